--- /dev/null
+++ b/gateway/tests/same_bytes.rs
@@ -0,0 +1,513 @@
+//! The gateway's HTTP bytes towards clients, servers and discovery, and what it reads from `LB_CONFIG`, held to fixtures.
+//!
+//! Masking rule: the digits of `X-Time-Left-Ms` in what a server gets, and the port of a test's own socket, are
+//! written as `#`; all other bytes stand as they were sent. `TERNSTACK_WRITE_FIXTURES=1` writes the fixtures anew.
+
+mod common;
+use common::*;
+use serde_json::{json, Value};
+use std::net::SocketAddr;
+use std::path::PathBuf;
+use std::time::Duration;
+use ternstack_gateway::answer::Plain;
+use ternstack_gateway::config::Config;
+use ternstack_gateway::http1::{Malformed, Reader, Status, MAX_BODY};
+use ternstack_gateway::requests::Answer;
+use tokio::io::{AsyncReadExt, AsyncWriteExt};
+use tokio::net::{TcpListener, TcpStream};
+use tokio::sync::mpsc;
+use tokio::time::{sleep, timeout};
+
+const DRAWN_REQUESTS: usize = 160;
+
+fn assert_fixture(name: &str, lines: &[String]) {
+    let path = PathBuf::from(env!("CARGO_MANIFEST_DIR")).join("tests/fixtures").join(name);
+    let seen = lines.join("\n") + "\n";
+    if std::env::var_os("TERNSTACK_WRITE_FIXTURES").is_some() {
+        std::fs::write(&path, &seen).expect("the fixture is written");
+    }
+    let expected = std::fs::read_to_string(&path).expect("the fixture is there");
+    for (n, (seen, expected)) in seen.lines().zip(expected.lines()).enumerate() {
+        assert_eq!(seen, expected, "{name}, line {}", n + 1);
+    }
+    assert_eq!(seen.lines().count(), expected.lines().count(), "{name}: number of lines");
+}
+
+fn line(label: &str, bytes: &[u8]) -> String {
+    format!("{label}\t{}", bytes.escape_ascii())
+}
+
+fn masked(bytes: &[u8]) -> Vec<u8> {
+    const TIME_LEFT: &[u8] = b"\r\nX-Time-Left-Ms: ";
+    let Some(at) = bytes.windows(TIME_LEFT.len()).position(|w| w == TIME_LEFT) else { return bytes.to_vec() };
+    let value = at + TIME_LEFT.len();
+    let digits = bytes[value..].iter().take_while(|b| b.is_ascii_digit()).count();
+    [&bytes[..value], b"#", &bytes[value + digits..]].concat()
+}
+
+/// SplitMix64.
+struct Draws(u64);
+
+impl Draws {
+    fn next(&mut self) -> u64 {
+        self.0 = self.0.wrapping_add(0x9e37_79b9_7f4a_7c15);
+        let mixed = (self.0 ^ (self.0 >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
+        let mixed = (mixed ^ (mixed >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
+        mixed ^ (mixed >> 31)
+    }
+
+    fn below(&mut self, count: usize) -> usize {
+        (self.next() % count as u64) as usize
+    }
+
+    fn one<'a>(&mut self, all: &[&'a str]) -> &'a str {
+        all[self.below(all.len())]
+    }
+}
+
+/// Reads a message as its bytes stand on the connection: the head, and as much body as `Content-Length` says.
+async fn raw_message(stream: &mut TcpStream) -> Option<Vec<u8>> {
+    let mut bytes = Vec::new();
+    loop {
+        if let Some(end) = bytes.windows(4).position(|w| w == b"\r\n\r\n").map(|at| at + 4) {
+            let head = String::from_utf8_lossy(&bytes[..end]).to_ascii_lowercase();
+            let length = head.lines().find_map(|line| line.strip_prefix("content-length: ")?.parse().ok());
+            if bytes.len() >= end + length.unwrap_or(0) {
+                return Some(bytes);
+            }
+        }
+        if timeout(LONG, stream.read_buf(&mut bytes)).await.expect("more comes").unwrap_or(0) == 0 {
+            return None;
+        }
+    }
+}
+
+/// A server that hands on the bytes of each request and answers as `answer` says; `None` ends the connection.
+async fn raw_server(
+    answer: impl Fn(&str) -> Option<String> + Clone + Send + 'static,
+) -> (SocketAddr, mpsc::UnboundedReceiver<Vec<u8>>) {
+    let listener = TcpListener::bind("127.0.0.1:0").await.expect("a free port");
+    let at = listener.local_addr().expect("an address");
+    let (tell, requests) = mpsc::unbounded_channel();
+    tokio::spawn(async move {
+        while let Ok((mut stream, _)) = listener.accept().await {
+            let (tell, answer) = (tell.clone(), answer.clone());
+            tokio::spawn(async move {
+                while let Some(request) = raw_message(&mut stream).await {
+                    let text = String::from_utf8_lossy(&request).into_owned();
+                    let _ = tell.send(request);
+                    let Some(answer) = answer(&text) else { return };
+                    drop(stream.write_all(answer.as_bytes()).await);
+                    if answer.contains("to the end") || answer.contains("Connection: close") {
+                        return;
+                    }
+                }
+            });
+        }
+    });
+    (at, requests)
+}
+
+async fn received(requests: &mut mpsc::UnboundedReceiver<Vec<u8>>) -> Vec<u8> {
+    masked(&timeout(LONG, requests.recv()).await.expect("a request comes").expect("the server runs"))
+}
+
+/// Sends a text over a new connection; the bytes of the answer.
+async fn exchange(gateway: &Gateway, text: &str) -> Vec<u8> {
+    let mut client = gateway.client().await;
+    client.send(text).await;
+    raw_message(&mut client.stream).await.expect("an answer")
+}
+
+/// A configuration of a safe, a keyed and an unsafe class, with one server and no quota.
+fn three_classes(server: SocketAddr, discovery: SocketAddr) -> Value {
+    let mut config = config(vec![target(1, server, "SERVING")], discovery);
+    config["settings"]["classes"].as_array_mut().expect("classes").push(json!(
+        {"name": "sign", "aim_ms": 8000.0, "deadline_ms": 20000.0, "effect": "unsafe", "late_value": 0.2}));
+    config["settings"]["tenants"][0]["quota_per_s"] = json!(0.0);
+    config
+}
+
+/// The n-th drawn request.
+fn drawn_request(draws: &mut Draws, n: usize) -> String {
+    let method = draws.one(&["GET", "POST"]);
+    let target = draws.one(&["/api", "/api?desk=4", "/api?a=%20b&c=d?e", "/api?"]);
+    let version = draws.one(&["HTTP/1.1", "HTTP/1.1", "HTTP/1.1", "HTTP/1.0"]);
+    let class = draws.one(&["look", "book", "sign"]);
+    let mut fields = vec![format!("X-Correlation-Id: id-{n}"), format!("X-Service-Class: {class}")];
+    fields.push(draws.one(&["Host: backend.local", "host: other:81", "X-None: 1"]).to_string());
+    if class == "book" || draws.below(4) == 0 {
+        fields.push(format!("{}: key {n}", draws.one(&["Idempotency-Key", "idempotency-key"])));
+    }
+    for (chances, field) in [
+        (2, "X-Account: acme"),
+        (5, "X-Account: nobody"),
+        (2, "X-Time-Left-Ms: 9000"),
+        (6, "x-other-field:  padded, value  "),
+        (6, "X-Empty:"),
+        (5, "Accept: text/x\r\nAccept: */*"),
+        (5, "Connection: keep-alive"),
+        (8, "Connection: close"),
+        (4, "Connection: X-Hop, X-Correlation-Id, idempotency-key"),
+        (4, "X-Hop: 1"),
+        (5, "Keep-Alive: timeout=5"),
+        (5, "TE: trailers"),
+        (5, "Upgrade: other/2"),
+        (5, "Proxy-Connection: keep-alive"),
+        (5, "Trailer: X-T"),
+        (7, "X-Backend-Load: util=0.1"),
+        (7, "X-Unprocessed: 1"),
+    ] {
+        if draws.below(chances) == 0 {
+            let at = draws.below(fields.len() + 1);
+            fields.insert(at, field.to_string());
+        }
+    }
+    let body = "desk\r\n\u{e9}\u{1}".repeat(draws.below(40));
+    let body = match draws.below(3) {
+        0 => String::new(),
+        1 => {
+            fields.push(format!("Content-Length: {}", body.len()));
+            body
+        }
+        _ => {
+            fields.push("Transfer-Encoding: chunked".into());
+            let sized = |part: &str| format!("{:x};a=b\r\n{part}\r\n", part.len());
+            let chunks = body.split_inclusive("\r\n").map(sized).collect::<String>();
+            chunks + draws.one(&["0\r\n\r\n", "0\r\nX-T: 1\r\n\r\n"])
+        }
+    };
+    format!("{method} {target} {version}\r\n{}\r\n\r\n{body}", fields.join("\r\n"))
+}
+
+/// How a server answers a drawn request.
+fn drawn_answer(request: &str) -> Option<String> {
+    let mut draws = Draws(request.len() as u64);
+    let interim =
+        draws.one(&["", "", "HTTP/1.1 100 Continue\r\n\r\n", "HTTP/1.1 103 Early\r\nX-I: 1\r\n\r\n"]);
+    let head = "200 OK\r\nContent-Type: text/x\r\nX-Backend-Load: util=0.5,qps=20";
+    let more = draws.one(&[
+        "X-Other: 1",
+        "Connection: X-Hop\r\nX-Hop: 1",
+        "Keep-Alive: timeout=3\r\nx-backend-load: util=1",
+        "Set-Cookie: a=b\r\nSet-Cookie: c=d",
+        "Retry-After: 3\r\nTrailer: X-T\r\nUpgrade: other/2",
+    ]);
+    let rest = draws.one(&[
+        "Content-Length: 4\r\n\r\ndesk",
+        "Content-Length: 0\r\n\r\n",
+        "Transfer-Encoding: chunked\r\n\r\n3\r\ndes\r\n1;x\r\nk\r\n0\r\nX-T: 1\r\n\r\n",
+        "Connection: close\r\nContent-Length: 4\r\n\r\ndesk",
+        "X-Last: 1\r\n\r\nto the end",
+    ]);
+    Some(format!("{interim}HTTP/1.1 {head}\r\n{more}\r\n{rest}"))
+}
+
+#[tokio::test]
+async fn drawn_requests_reach_servers_and_their_answers_clients_in_the_same_bytes() {
+    let (server, mut requests) = raw_server(drawn_answer).await;
+    let discovery = Discovery::start().await;
+    let gateway = Gateway::start(&three_classes(server, discovery.at)).await;
+    let (mut draws, mut lines) = (Draws(20), Vec::new());
+    for n in 0..DRAWN_REQUESTS {
+        let text = drawn_request(&mut draws, n);
+        let answer = exchange(&gateway, &text).await;
+        lines.push(line("client", text.as_bytes()));
+        lines.push(line("server", &received(&mut requests).await));
+        lines.push(line("answer", &answer));
+    }
+    // A client that waits to be asked for its body.
+    let mut client = gateway.client().await;
+    let head = look("expects").replace("GET", "POST").replace("\r\n\r\n", "\r\nExpect: 100-continue\r\n");
+    client.send(&format!("{head}Content-Length: 4\r\n\r\n")).await;
+    lines.push(line("continue", &raw_message(&mut client.stream).await.expect("it is asked")));
+    client.send("desk").await;
+    lines.push(line("server", &received(&mut requests).await));
+    lines.push(line("answer", &raw_message(&mut client.stream).await.expect("an answer")));
+    assert_fixture("requests.txt", &lines);
+}
+
+#[tokio::test]
+async fn what_the_gateway_answers_by_itself_keeps_its_bytes() {
+    let (server, mut requests) = raw_server(|request| match request {
+        text if text.contains("hangs") => Some(String::new()),
+        _ => None,
+    })
+    .await;
+    let discovery = Discovery::start().await;
+    let gateway = Gateway::start(&three_classes(server, discovery.at)).await;
+    let api = |fields: &str| format!("GET /api HTTP/1.1\r\n{fields}\r\n\r\n");
+    let named = "X-Correlation-Id: a\r\nX-Service-Class: look";
+    let mut lines = Vec::new();
+    for text in [
+        "GET /ready HTTP/1.1\r\n\r\n".into(),
+        "GET /ready?a=b HTTP/1.0\r\n\r\n".into(),
+        "GET /ready HTTP/1.1\r\nConnection: close\r\n\r\n".into(),
+        "POST /ready HTTP/1.1\r\n\r\n".into(),
+        "PUT /api HTTP/1.1\r\n\r\n".into(),
+        "GET /apis HTTP/1.1\r\n\r\n".into(),
+        "GET / HTTP/1.0\r\n\r\n".into(),
+        "\u{1} garbage\r\n\r\n".into(),
+        api("No colon"),
+        api(""),
+        api("X-Correlation-Id:\r\nX-Service-Class: look"),
+        api("X-Correlation-Id: a\r\nX-Correlation-Id: b\r\nX-Service-Class: look"),
+        api("X-Correlation-Id: a"),
+        api("X-Correlation-Id: a\r\nX-Service-Class: lunch"),
+        api("X-Correlation-Id: a\r\nX-Service-Class: book"),
+        api("X-Correlation-Id: a\r\nX-Service-Class: book\r\nIdempotency-Key:"),
+        api(&format!("{named}\r\nX-Time-Left-Ms: soon")),
+        api(&format!("{named}\r\nX-Time-Left-Ms: 1e2")),
+        api(&format!("{named}\r\nContent-Length: x")),
+        api(&format!("{named}\r\nContent-Length: 65537")),
+        api(&format!("{named}\r\nTransfer-Encoding: gzip")),
+        api(&format!("{named}\r\nX-Long: {}", "x".repeat(20_000))),
+        "POST /api HTTP/1.1\r\nContent-Length: 9\r\n\r\ndesk".into(), // Never whole.
+        look("b").replace("look", "sign"), // Its server ends the connection: it may have run.
+    ] {
+        let answer = exchange(&gateway, &text).await;
+        lines.push(line("client", &text.as_bytes()[..text.len().min(120)]));
+        lines.push(line("answer", &answer));
+    }
+    assert!(received(&mut requests).await.starts_with(b"GET /api"));
+    // The id of an open request, and clients that end their sending side while a server has their request.
+    for class in ["look", "sign"] {
+        let text = look("hangs").replace("look", class);
+        let mut client = gateway.client().await;
+        client.send(&text).await;
+        received(&mut requests).await;
+        lines.push(line("in use", &exchange(&gateway, &text).await));
+        client.stream.shutdown().await.expect("it is up");
+        let mut answer = Vec::new();
+        timeout(LONG, client.stream.read_to_end(&mut answer)).await.expect("an end").expect("an answer");
+        lines.push(line(class, &answer));
+    }
+    assert_fixture("local_answers.txt", &lines);
+}
+
+#[tokio::test]
+async fn refusals_and_the_phases_of_an_end_keep_their_bytes() {
+    let mut lines = Vec::new();
+    for advice in [true, false] {
+        let (server, mut requests) = raw_server(|_| Some(String::new())).await;
+        let discovery = Discovery::start().await;
+        let mut told = three_classes(server, discovery.at);
+        told["settings"]["limits"]["max_open"] = json!(1);
+        told["settings"]["limits"]["retry_after"] = json!(advice);
+        let mut gateway = Gateway::start(&told).await;
+        let mut open = gateway.client().await;
+        open.send(&look("open")).await;
+        received(&mut requests).await;
+        lines.push(line("past max_open", &exchange(&gateway, &look("more")).await));
+        lines.push(line("serving", &exchange(&gateway, "GET /ready HTTP/1.1\r\n\r\n").await));
+        gateway.stop();
+        let stopping = loop {
+            let answer = exchange(&gateway, "GET /ready HTTP/1.1\r\n\r\n").await;
+            if !answer.starts_with(b"HTTP/1.1 200") {
+                break answer;
+            }
+        };
+        lines.push(line("stopping", &stopping));
+        // Requests that have begun by then and are whole once nobody is accepted any more.
+        let mut late = Vec::new();
+        while let Ok(stream) = TcpStream::connect(gateway.at).await {
+            let mut client = Client { stream };
+            client.send("GET /").await;
+            late.push(client);
+            sleep(Duration::from_millis(20)).await;
+        }
+        let mut ready = late.pop().expect("some came");
+        ready.send("ready HTTP/1.1\r\n\r\n").await;
+        lines.push(line("ready at the end", &raw_message(&mut ready.stream).await.expect("an answer")));
+        let mut api = late.pop().expect("two came");
+        api.send(&look("late").replace("GET /", "")).await;
+        lines.push(line("api at the end", &raw_message(&mut api.stream).await.expect("an answer")));
+        drop((ready, api, late, open));
+        timeout(LONG, gateway.task).await.expect("it ends").expect("without panic").expect("well");
+    }
+    assert_fixture("phases.txt", &lines);
+}
+
+#[test]
+fn every_final_answer_keeps_its_words() {
+    let mut lines = Vec::new();
+    let mut word = |label: String, (head, body): (bytes::Bytes, bytes::Bytes)| {
+        lines.push(line(&label, &[head, body].concat()));
+    };
+    for keep_alive in [true, false] {
+        for n in 0..60 {
+            let text = drawn_answer(&"x".repeat(n)).expect("an answer");
+            let mut reader = Reader::<Status>::new(MAX_BODY);
+            reader.buffer().extend_from_slice(text.as_bytes());
+            let served = reader.next(true).expect("sound").expect("whole");
+            word(format!("served {n} {keep_alive}"), Answer::Served(served).word(keep_alive));
+        }
+        for retry_after_ms in [0.0, 0.4, 0.5, 1.0, 999.999, 1234.5, 2000.0, 86_400_000.0] {
+            let refused = Answer::Refused { retry_after_ms };
+            word(format!("refused {retry_after_ms} {keep_alive}"), refused.word(keep_alive));
+        }
+        word(format!("failed {keep_alive}"), Answer::Failed.word(keep_alive));
+        word(format!("overdue {keep_alive}"), Answer::Overdue.word(keep_alive));
+        for plain in [Plain::Ready, Plain::Stopping, Plain::Bad("why"), Plain::NotFound, Plain::Method] {
+            word(format!("plain {keep_alive}"), plain.word(keep_alive));
+        }
+        for plain in [Plain::TooSlow, Plain::BodyTooLarge, Plain::HeadTooLarge] {
+            word(format!("plain {keep_alive}"), plain.word(keep_alive));
+        }
+    }
+    for malformed in [Malformed::Head, Malformed::Length, Malformed::HeadTooLarge, Malformed::BodyTooLarge] {
+        word("malformed".into(), Plain::from(malformed).word(false));
+    }
+    assert_fixture("final_answers.txt", &lines);
+}
+
+#[tokio::test]
+async fn calls_to_discovery_and_health_checks_keep_their_bytes() {
+    let mut lines = Vec::new();
+    for known in [true, false] {
+        let (server, mut requests) = raw_server(|_| {
+            Some("HTTP/1.1 200 OK\r\nContent-Length: 23\r\n\r\nutil=0.9,qps=10,queue=0".into())
+        })
+        .await;
+        // The third call is answered with what is no list, so that the fourth begins a watch anew.
+        let (discovery, mut calls) = raw_server(|call| {
+            Some(match call {
+                text if text.contains("after=44") => "HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n".into(),
+                text if text.contains("after=43") => ok(&list(44, false, vec![])),
+                text if text.contains("after=42") => ok(&list(43, false, vec![])),
+                _ => ok(&list(42, false, vec![])),
+            })
+        })
+        .await;
+        let mut config = three_classes(server, discovery);
+        if !known {
+            config["known"] = Value::Null;
+        }
+        config["settings"]["report"]["how"] = "on_probe".into();
+        config["settings"]["limits"]["may_probe"] = true.into();
+        let _gateway = Gateway::start(&config).await;
+        for _ in 0..5 {
+            let call = String::from_utf8(received(&mut calls).await).expect("text");
+            lines.push(line("discovery", call.replace(&format!(":{}", discovery.port()), ":#").as_bytes()));
+        }
+        if known {
+            lines.push(line("health check", &received(&mut requests).await));
+        }
+    }
+    assert_fixture("discovery.txt", &lines);
+}
+
+/// A configuration with no value that is a default.
+const EVERY_KEY: &str = r#"{
+    "name": "n7", "listen": "127.0.0.3:8080", "discovery": "127.0.0.4:9090", "seed": "8c1f30d27a5be964",
+    "limits": {"cores": 2.5, "memory_mb": 111, "sockets": 777},
+    "known": {"rev": 12, "all": true, "targets": [
+        {"uid": "s-1", "endpoint": "10.1.0.18:9000", "az": "b", "model": "m2", "pod_group": 3, "state": "SERVING",
+         "capacity_hint": 2.5, "boot_ms": 1700000000123.5, "novel": 1},
+        {"uid": "s-2", "endpoint": "[::1]:9001", "az": "c", "pod_group": 4, "state": "DRAINING"},
+        {"uid": "s-3", "endpoint": null, "state": "DELETED"}]},
+    "settings": {
+        "classes": [
+            {"name": "look", "aim_ms": 801.0, "deadline_ms": 2001.0, "effect": "safe", "late_value": 0.25},
+            {"name": "book", "aim_ms": 802.0, "deadline_ms": 2002.0, "effect": "keyed", "group": "zone",
+             "window_ms": 2003.0, "late_value": 0.5}],
+        "tenants": [{"name": "acme", "quota_per_s": 51.0}, {"name": "zeta", "quota_per_s": 52.0}],
+        "limits": {"cancel": true, "conn_idle_ms": 30001.0, "dial_timeout_ms": 501.0, "max_attempts": 4,
+                   "max_open": 101, "max_retry_after_ms": 2004.0, "retry_after": true, "may_probe": true},
+        "report": {"how": "on_probe"}, "discovery": "ask", "instances": 5, "me": 3, "zone": "c",
+        "zones": ["a", "b", "c"], "tick_ms": 6.0}}"#;
+
+const FEWEST_KEYS: &str = r#"{"listen": "[::1]:1", "discovery": "127.0.0.1:2", "seed": 18446744073709551615,
+    "settings": {"classes": [{"name": "a", "deadline_ms": 1000.0}], "limits": {"dial_timeout_ms": 1.0, "max_open": 1}}}"#;
+
+fn config_lines(config: &Config) -> Vec<String> {
+    let balancer = &config.site.balancer;
+    let mut lines = vec![
+        format!("name={} listen={} discovery={}", config.name, config.listen, config.discovery),
+        format!("seed={:016x} sockets={} log={}", config.seed, config.sockets, config.log),
+        format!("rev={} all={}", config.known.rev, config.known.all),
+        format!(
+            "max_open={} dial_timeout={:016x}",
+            config.site.max_open,
+            config.site.dial_timeout_ms.to_bits()
+        ),
+        format!("classes={} tenants={}", balancer.classes.len(), balancer.tenants.len()),
+    ];
+    let names = &mut config.site.names.clone();
+    let classes = ["look", "book", "a", "other"].map(|name| names.class(name));
+    let tenants = ["acme", "zeta", "other"].map(|name| names.tenant(name));
+    let zones = ["a", "b", "c", "new", ""].map(|name| names.zone(name));
+    lines.push(format!("classes={classes:?} tenants={tenants:?} zones={zones:?}"));
+    for entry in &config.known.targets {
+        lines.push(format!(
+            "uid={} endpoint={:?} az={} pod_group={} state={} capacity_hint={:016x} boot_ms={:016x}",
+            entry.uid,
+            entry.endpoint,
+            entry.az,
+            entry.pod_group,
+            entry.state as u8,
+            entry.capacity_hint.to_bits(),
+            entry.boot_ms.to_bits(),
+        ));
+    }
+    lines
+}
+
+#[test]
+fn a_configuration_reads_to_the_same_values_and_errors() {
+    let none = |_: &str| None;
+    let mut lines = config_lines(&Config::read(EVERY_KEY, none).expect("sound"));
+    lines.extend(config_lines(&Config::read(FEWEST_KEYS, none).expect("sound")));
+    let variables = |name: &str| {
+        let value = match name {
+            "LB_NAME" => "n8",
+            "LB_LISTEN" => "127.0.0.5:5",
+            "LB_DISCOVERY" => "127.0.0.6:6",
+            "LB_LOG" => "debug",
+            _ => return None,
+        };
+        Some(value.to_string())
+    };
+    lines.extend(config_lines(&Config::read(EVERY_KEY, variables).expect("sound")));
+    lines.extend(config_lines(&Config::reread(EVERY_KEY, variables).expect("sound")));
+    let without = EVERY_KEY.replace(r#""discovery": "127.0.0.4:9090""#, r#""discovery": null"#);
+    lines.extend(config_lines(&Config::reread(&without, variables).expect("sound")));
+    for name in ["LB_LISTEN", "LB_DISCOVERY", "LB_LOG"] {
+        let odd = |asked: &str| (asked == name).then(|| "odd".to_string());
+        lines.push(Config::read(EVERY_KEY, odd).expect_err(name).to_string());
+    }
+    lines.push(Config::read("{", none).expect_err("no JSON").to_string());
+    lines.push(Config::reread("[1,", none).expect_err("no JSON").to_string());
+    for (path, value) in [
+        ("/name", json!(1)),
+        ("/listen", json!("nowhere")),
+        ("/listen", Value::Null),
+        ("/discovery", json!(7)),
+        ("/discovery", Value::Null),
+        ("/seed", Value::Null),
+        ("/seed", json!("xyz")),
+        ("/seed", json!(-1)),
+        ("/seed", json!([])),
+        ("/limits/sockets", json!(63)),
+        ("/limits/sockets", json!("many")),
+        ("/known", json!(1)),
+        ("/known/rev", json!(-1)),
+        ("/known/targets/0/state", json!("NAPPING")),
+        ("/known/targets/0/endpoint", Value::Null),
+        ("/known/targets/1/endpoint", json!("here")),
+        ("/settings", json!(1)),
+        ("/settings/classes", json!([])),
+        ("/settings/classes/0/deadline_ms", json!(-1)),
+        ("/settings/limits/max_open", json!("many")),
+        ("/settings/limits/dial_timeout_ms", json!(0)),
+    ] {
+        let mut config: Value = serde_json::from_str(EVERY_KEY).expect("JSON");
+        *config.pointer_mut(path).expect(path) = value.clone();
+        let problem = Config::read(&config.to_string(), none).expect_err(path).to_string();
+        lines.push(format!("{path}={value}\t{problem}"));
+    }
+    let mut config: Value = serde_json::from_str(EVERY_KEY).expect("JSON");
+    config.as_object_mut().expect("an object").remove("settings");
+    lines.push(Config::read(&config.to_string(), none).expect_err("settings").to_string());
+    assert_fixture("config.txt", &lines);
+}
