--- /dev/null
+++ b/tests/decision_digests/plan.rs
@@ -0,0 +1,120 @@
+//! Draws the settings of a stream and what its fleet is like, over the range of the known deployments.
+
+use crate::adapter::{Plan, PlanClass};
+use crate::random::Random;
+
+/// What surrounds the gateway of one stream.
+pub struct Scenario {
+    pub plan: Plan,
+    pub endpoint_count: usize,
+    pub zone_count: u32,
+    pub cell_size: usize,
+    /// Requests a second that a warm endpoint can serve.
+    pub capacity_per_s: f64,
+    /// Time to answer of an idle endpoint.
+    pub service_ms: f64,
+    /// Mean time between two faults or list changes.
+    pub fault_every_ms: f64,
+    /// Demand by fleet capacity, in each phase.
+    pub loads: Vec<f64>,
+    pub phase_ms: f64,
+    /// Which of utilization, throughput and backlog are reported.
+    pub reported: [bool; 3],
+    /// Share of the clients that wait less than usual.
+    pub impatient: f64,
+    /// Whether clients come again after a rejection or failure.
+    pub clients_retry: bool,
+    /// Whether answers are streamed.
+    pub streamed: bool,
+    pub event_count: usize,
+}
+
+/// Draws the scenario of a stream.
+pub fn draw(stream: u64, random: &mut Random) -> Scenario {
+    let zone_count = random.choose(&[1, 2, 2, 3]);
+    // Every tenth stream plays one gateway of a large fleet.
+    let (gateway_count, endpoint_count) = match stream % 10 {
+        9 => (random.choose(&[40, 120, 300]), 30 + random.below(50)),
+        8 => (8 + random.below(20) as u32, 16 + random.below(40)),
+        7 => (1, 1 + random.below(3)),
+        _ => (1 + random.below(6) as u32, 4 + random.below(13)),
+    };
+    let capacity_per_s = random.range(8.0, 60.0);
+    let reports = random.choose(&[0, 0, 1, 2]);
+    let classes = draw_classes(random);
+    let shortest = classes.iter().map(|c| c.objective_ms).fold(f64::INFINITY, f64::min);
+    let fleet_per_s = capacity_per_s * endpoint_count as f64;
+    let tenant_count = random.below(4);
+    let plan = Plan {
+        classes,
+        quotas_per_s: (0..tenant_count).map(|_| draw_quota(random, fleet_per_s)).collect(),
+        gateway_count,
+        gateway_index: random.below(gateway_count as usize) as u32,
+        zone: random.below(zone_count as usize) as u32,
+        tick_ms: random.choose(&[1.0, 5.0, 5.0, 12.5]),
+        live_weights: random.chance(0.35),
+        cross_zone_price: random.choose(&[0.0, 0.01, 0.02, 0.3]),
+        idle_ms: random.choose(&[2000.0, 12_000.0, 30_000.0]),
+        reports,
+        polls: random.chance(0.5),
+        max_attempts: 1 + random.below(4) as u32,
+        may_probe: reports == 1 || random.chance(0.3),
+        may_cancel: random.chance(0.6),
+        max_retry_after_ms: random.choose(&[0.0, 900.0, 2000.0]),
+        ask_within_ms: random.choose(&[1500.0, 6000.0, 10_000.0]),
+        cold_share: random.range(0.05, 0.6),
+        cold_ms: random.choose(&[3000.0, 7800.0, 20_000.0]),
+        tip_multiple: random.range(1.5, 4.5),
+        removal_not_binding: random.chance(0.5),
+        nines: random.choose(&[0.0, 0.4, 1.0]),
+        top_nines: random.choose(&[None, Some(4.5)]),
+    };
+    Scenario {
+        endpoint_count,
+        zone_count,
+        cell_size: 1 + random.below(8),
+        capacity_per_s,
+        service_ms: shortest * random.range(0.05, 0.45),
+        fault_every_ms: random.range(600.0, 5000.0),
+        loads: draw_loads(random),
+        phase_ms: random.range(2000.0, 9000.0),
+        reported: [random.chance(0.9), random.chance(0.9), random.chance(0.6)],
+        impatient: random.choose(&[0.0, 0.05, 0.3]),
+        clients_retry: random.chance(0.7),
+        streamed: random.chance(0.2),
+        event_count: 500 + random.below(900),
+        plan,
+    }
+}
+
+fn draw_classes(random: &mut Random) -> Vec<PlanClass> {
+    let objective_scale = random.choose(&[0.2, 1.0, 1.0, 4.0]);
+    let same = random.chance(0.3).then(|| random.below(3) as u8);
+    let count = 1 + random.below(3);
+    let mut classes = Vec::new();
+    for _ in 0..count {
+        let objective_ms = objective_scale * random.range(150.0, 400.0);
+        classes.push(PlanClass {
+            objective_ms,
+            deadline_ms: objective_ms * random.range(1.0, 4.2),
+            late_value: random.choose(&[0.0, 0.0, 0.1, 0.2, 1.0]),
+            idempotency: same.unwrap_or_else(|| random.below(3) as u8),
+            scope: random.below(3) as u8,
+            window_ms: objective_ms * random.range(0.3, 2.0),
+        });
+    }
+    classes
+}
+
+fn draw_quota(random: &mut Random, fleet_per_s: f64) -> f64 {
+    match random.below(4) {
+        0 => 0.0,
+        1 => fleet_per_s * random.range(0.02, 0.15),
+        _ => fleet_per_s * random.range(0.15, 0.5),
+    }
+}
+
+fn draw_loads(random: &mut Random) -> Vec<f64> {
+    let count = 2 + random.below(4);
+    (0..count).map(|_| random.choose(&[0.15, 0.4, 0.6, 0.8, 1.0, 1.4, 1.9, 3.0])).collect()
+}
