--- /dev/null
+++ b/lab/tests/shipped_experiments.rs
@@ -0,0 +1,43 @@
+//! Every shipped experiment reads to the same values: what it says, and every world that comes of it, written
+//! out with the keys of its own format and digested.
+
+use std::fmt::Write as _;
+use std::path::{Path, PathBuf};
+use ternstack_lab::experiment::Experiment;
+
+const DIGESTS: &str = include_str!("fixtures/shipped_experiments.txt");
+
+fn fnv(text: &str) -> u64 {
+    text.bytes().fold(0xcbf2_9ce4_8422_2325, |h, b| (h ^ u64::from(b)).wrapping_mul(0x0100_0000_01b3))
+}
+
+fn files(folder: &Path) -> Vec<PathBuf> {
+    let entries = std::fs::read_dir(folder).expect("the folder of experiments");
+    let mut files: Vec<PathBuf> = entries.map(|entry| entry.expect("an entry").path()).collect();
+    files.retain(|path| path.extension().is_some_and(|kind| kind == "toml"));
+    files.sort();
+    files
+}
+
+#[test]
+fn every_shipped_experiment_reads_to_the_same_values() {
+    let root = Path::new(env!("CARGO_MANIFEST_DIR")).join("experiments");
+    let mut seen = String::new();
+    for path in files(&root).into_iter().chain(files(&root.join("sizes"))) {
+        let experiment = Experiment::load(&path).expect("a shipped experiment is sound");
+        let whole = serde_json::to_string(&experiment).expect("JSON");
+        let cases = experiment.cases().expect("its worlds are sound");
+        let mut worlds = String::new();
+        for case in &cases {
+            let world = serde_json::to_string(&case.world).expect("JSON");
+            let troubles = serde_json::to_string(&case.troubles).expect("JSON");
+            let _ = writeln!(worlds, "{} {:?} {world} {troubles}", case.name, case.budget);
+        }
+        let name = path.file_stem().expect("a name").to_string_lossy();
+        let _ = writeln!(seen, "{name} {} {:016x} {:016x}", cases.len(), fnv(&whole), fnv(&worlds));
+    }
+    if std::env::var("EXPERIMENTS").is_ok_and(|wanted| wanted == "print") {
+        println!("{seen}");
+    }
+    assert_eq!(seen, DIGESTS);
+}
