--- a/control/tests/common/mod.rs
+++ b/control/tests/common/mod.rs
@@ -1,6 +1,8 @@
 //! An origin, distributors and followers as tasks on loopback, and what a test awaits of them.
 #![allow(dead_code)]
 
+pub mod fixtures;
+
 use std::net::{Ipv4Addr, SocketAddr, SocketAddrV4};
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
