--- /dev/null
+++ b/peers/tests/drawn/mod.rs
@@ -0,0 +1,179 @@
+//! Values drawn from a seed, a digest of what is observed, and fixture files to compare with.
+//!
+//! What is recorded are bytes and numbers, never names of types or fields, so that a renaming leaves the fixtures as they are.
+#![allow(dead_code)] // Each test file uses a part of it.
+use rand::{RngExt, SeedableRng};
+use rand_chacha::ChaCha8Rng;
+use sha2::{Digest as _, Sha256};
+use std::fmt::Write as _;
+use std::net::{Ipv4Addr, SocketAddrV4};
+use std::path::PathBuf;
+use ternstack_peers::scope::{Change, Digest, Entry, Host, Key, Route, Scope, Version};
+use ternstack_peers::version::Repeat;
+use ternstack_peers::wire::{encode, Message};
+
+/// Draws values; the order of draws is part of the fixtures.
+pub struct Drawn(pub ChaCha8Rng);
+
+impl Drawn {
+    pub fn new(seed: u64) -> Drawn {
+        Drawn(ChaCha8Rng::seed_from_u64(seed))
+    }
+
+    pub fn below(&mut self, end: u64) -> u64 {
+        self.0.random_range(0..end)
+    }
+
+    pub fn chance(&mut self, probability: f64) -> bool {
+        self.0.random_bool(probability)
+    }
+
+    /// Small and large numbers alike, as both lengths of a variable-length integer matter.
+    pub fn number(&mut self) -> u64 {
+        let shift = self.0.random_range(0..64);
+        self.0.random::<u64>() >> shift
+    }
+
+    pub fn repeat(&mut self) -> Repeat {
+        match self.below(3) {
+            0 => Repeat::Never,
+            1 => Repeat::Within(self.number()),
+            _ => Repeat::Always,
+        }
+    }
+
+    pub fn host(&mut self) -> Host {
+        Host {
+            address: SocketAddrV4::new(Ipv4Addr::from(self.0.random::<u32>()), self.0.random()),
+            zone: self.0.random(),
+            drains: self.0.random(),
+            weight_milli: self.0.random(),
+            started_s: self.0.random(),
+        }
+    }
+
+    pub fn any_scope(&mut self) -> Scope {
+        let n = self.number() as u32;
+        match self.below(5) {
+            0 => Scope::Zones,
+            1 => Scope::Fleet,
+            2 => Scope::Hosts(n),
+            3 => Scope::Routes(n),
+            _ => Scope::Tenants(n),
+        }
+    }
+
+    /// An entry that may stand in a scope.
+    pub fn entry_of(&mut self, scope: Scope) -> Entry {
+        match scope {
+            Scope::Zones => Entry::Zone(self.0.random()),
+            Scope::Fleet => Entry::Repeat(self.repeat()),
+            Scope::Hosts(_) => Entry::Host(self.host()),
+            Scope::Routes(_) => Entry::Route(Route { class: self.0.random(), repeat: self.repeat() }),
+            Scope::Tenants(_) => Entry::Quota(self.0.random()),
+        }
+    }
+
+    pub fn change(&mut self, scope: Scope, keys: u64) -> Change {
+        let key = Key(self.below(keys));
+        let removed = self.chance(0.3);
+        Change { scope, key, entry: (!removed).then(|| self.entry_of(scope)) }
+    }
+
+    pub fn version(&mut self, number: u64, scopes: &[Scope], keys: u64) -> Version {
+        let count = 1 + self.below(6);
+        let changes = (0..count).map(|_| {
+            let scope = scopes[self.below(scopes.len() as u64) as usize];
+            self.change(scope, keys)
+        });
+        Version { number, changes: changes.collect() }
+    }
+}
+
+/// A SHA-256 of what was observed, in its order.
+#[derive(Default)]
+pub struct Observed(Sha256);
+
+impl Observed {
+    pub fn bytes(&mut self, bytes: &[u8]) {
+        self.0.update((bytes.len() as u64).to_be_bytes());
+        self.0.update(bytes);
+    }
+
+    pub fn number(&mut self, number: u64) {
+        self.0.update(number.to_be_bytes());
+    }
+
+    pub fn float(&mut self, float: f64) {
+        self.number(float.to_bits());
+    }
+
+    pub fn digest(&mut self, digest: Digest) {
+        self.0.update(digest.0.to_be_bytes());
+    }
+
+    pub fn scope_and_key(&mut self, scope: Scope, key: Key) {
+        self.bytes(&postcard::to_allocvec(&(scope, key)).expect("bytes"));
+    }
+
+    pub fn entry(&mut self, entry: Option<Entry>) {
+        self.bytes(&postcard::to_allocvec(&entry).expect("bytes"));
+    }
+
+    pub fn message(&mut self, message: &Message) {
+        self.bytes(&frame(message));
+    }
+
+    pub fn finish(self) -> String {
+        hex(&self.0.finalize())
+    }
+}
+
+pub fn frame(message: &Message) -> Vec<u8> {
+    let mut bytes = Vec::new();
+    encode(message, &mut bytes).expect("it fits a frame");
+    bytes
+}
+
+pub fn hex(bytes: &[u8]) -> String {
+    bytes.iter().fold(String::new(), |mut text, byte| {
+        let _ = write!(text, "{byte:02x}");
+        text
+    })
+}
+
+pub fn from_hex(text: &str) -> Vec<u8> {
+    let digits = text.as_bytes().chunks(2);
+    digits
+        .map(|pair| u8::from_str_radix(std::str::from_utf8(pair).expect("text"), 16).expect("hex"))
+        .collect()
+}
+
+fn path(name: &str) -> PathBuf {
+    [env!("CARGO_MANIFEST_DIR"), "tests", "fixtures", name].iter().collect()
+}
+
+/// The bytes of the fixture of that name.
+pub fn kept(name: &str) -> Vec<u8> {
+    std::fs::read(path(name)).unwrap_or_else(|e| panic!("fixture {name}: {e}"))
+}
+
+/// The fixture of that name. One that is not there yet is written from `made`, and the test fails, so that it is looked at
+/// before it is kept; one that is there is never written.
+pub fn fixture(name: &str, made: &[u8]) -> Vec<u8> {
+    if path(name).exists() {
+        return kept(name);
+    }
+    std::fs::write(path(name), made).expect("a fixture that can be written");
+    panic!("fixture {name} was missing and has been written; run the test again");
+}
+
+/// Compares lines of `name value` with the fixture, and names those that differ.
+pub fn same_lines(name: &str, lines: &[(String, String)]) {
+    let text: String = lines.iter().map(|(name, value)| format!("{name} {value}\n")).collect();
+    let kept = String::from_utf8(fixture(name, text.as_bytes())).expect("text");
+    let differing: Vec<&str> =
+        text.lines().zip(kept.lines()).filter(|(made, kept)| made != kept).map(|(made, _)| made).collect();
+    assert!(differing.is_empty(), "{} lines differ from {name}: {differing:.300?}", differing.len());
+    assert_eq!(text.lines().count(), kept.lines().count(), "as many lines as in {name}");
+}
--- /dev/null
+++ b/peers/tests/same_bytes.rs
@@ -0,0 +1,329 @@
+//! The bytes of messages, snapshots, digests and JSON texts are those that earlier versions wrote.
+use drawn::{fixture, frame, from_hex, hex, kept, same_lines, Drawn};
+use std::collections::BTreeMap;
+use ternstack_peers::follower::Follower;
+use ternstack_peers::lease::Terms;
+use ternstack_peers::list::{look, Seen, Verdict};
+use ternstack_peers::placing::{order, Machine};
+use ternstack_peers::scope::{stricter, Change, Digest, Key, Scope, Version};
+use ternstack_peers::snapshot::Snapshot;
+use ternstack_peers::store::{Keeps, Store};
+use ternstack_peers::tables::Tables;
+use ternstack_peers::version::{self, contradictions, Rules};
+use ternstack_peers::wire::{
+    decode, Ask, Causes, Counts, Cursor, Grant, Interest, Member, Message, Part, Status, Tally,
+};
+
+mod drawn;
+
+const SCOPES: [Scope; 7] = [
+    Scope::Zones,
+    Scope::Fleet,
+    Scope::Hosts(1),
+    Scope::Hosts(3700),
+    Scope::Routes(1),
+    Scope::Tenants(0),
+    Scope::Tenants(4095),
+];
+
+fn several<T>(drawn: &mut Drawn, most: u64, mut one: impl FnMut(&mut Drawn) -> T) -> Vec<T> {
+    let count = drawn.below(most + 1);
+    (0..count).map(|_| one(drawn)).collect()
+}
+
+fn change(drawn: &mut Drawn) -> Change {
+    let scope = drawn.any_scope();
+    Change { key: Key(drawn.number()), ..drawn.change(scope, 9) }
+}
+
+fn interest(drawn: &mut Drawn, kind: u64) -> Interest {
+    let revision = drawn.number();
+    match kind {
+        0 => Interest::Same { revision },
+        1 => Interest::Changed {
+            from: drawn.number(),
+            revision,
+            more: several(drawn, 4, Drawn::any_scope),
+            fewer: several(drawn, 4, Drawn::any_scope),
+        },
+        2 => Interest::Whole { revision, scopes: several(drawn, 4, Drawn::any_scope) },
+        _ => Interest::Everything { revision },
+    }
+}
+
+fn ask(drawn: &mut Drawn, kind: u64) -> Ask {
+    Ask {
+        member: Member { name: format!("gateway-{}", drawn.below(5000)), incarnation: drawn.number() },
+        number: drawn.number(),
+        heard: drawn.number(),
+        known: drawn.number(),
+        in_force: drawn.number(),
+        interest: interest(drawn, kind),
+        fetch: several(drawn, 4, |drawn| {
+            (drawn.any_scope(), Cursor { changed: drawn.number(), key: drawn.number() })
+        }),
+    }
+}
+
+fn part(drawn: &mut Drawn) -> Part {
+    let scope = drawn.any_scope();
+    Part {
+        scope,
+        anew: drawn.chance(0.5),
+        entries: several(drawn, 5, |drawn| {
+            let change = change(drawn);
+            (drawn.number(), change.key, change.entry)
+        }),
+        whole: drawn
+            .chance(0.5)
+            .then(|| Digest(u128::from(drawn.number()) << 64 | u128::from(drawn.number()))),
+    }
+}
+
+fn grant(drawn: &mut Drawn) -> Grant {
+    Grant {
+        number: drawn.number(),
+        interest: drawn.number(),
+        lease_us: drawn.number(),
+        in_force: drawn.number(),
+        through: drawn.number(),
+        parts: several(drawn, 4, part),
+        behind: several(drawn, 4, Drawn::any_scope),
+        pending: several(drawn, 3, |drawn| Version {
+            number: drawn.number(),
+            changes: several(drawn, 4, change),
+        }),
+    }
+}
+
+fn causes(drawn: &mut Drawn) -> Causes {
+    let mut tally = || Tally { messages: drawn.number(), bytes: drawn.number() };
+    Causes { asks: tally(), leases: tally(), changes: tally(), starts: tally(), staff: tally() }
+}
+
+fn status(drawn: &mut Drawn) -> Status {
+    Status {
+        name: format!("control-{}", drawn.below(9)),
+        in_force: drawn.number(),
+        through: drawn.number(),
+        sum: Digest(u128::from(drawn.number()) << 64 | u128::from(drawn.number())),
+        followers: drawn.number(),
+        lease_ms: drawn.chance(0.5).then(|| drawn.number()),
+        counts: Counts { read: causes(drawn), written: causes(drawn) },
+    }
+}
+
+/// Messages of every kind, twenty drawn ones of each.
+fn messages() -> Vec<(String, Message)> {
+    let mut drawn = Drawn::new(45);
+    let mut all = Vec::new();
+    for n in 0..20 {
+        for kind in 0..4 {
+            all.push((format!("ask-{kind}-{n}"), Message::Ask(ask(&mut drawn, kind))));
+        }
+        all.push((format!("grant-{n}"), Message::Grant(grant(&mut drawn))));
+        let (number, changes) = (drawn.number(), several(&mut drawn, 5, change));
+        all.push((format!("propose-{n}"), Message::Propose { number, changes }));
+        let version = if n % 2 == 0 { Ok(drawn.number()) } else { Err(format!("reason {n}")) };
+        all.push((format!("proposed-{n}"), Message::Proposed { number: drawn.number(), version }));
+        all.push((format!("status-{n}"), Message::Status(status(&mut drawn))));
+    }
+    all.push(("look".into(), Message::Look));
+    all
+}
+
+#[test]
+fn messages_of_every_kind_have_the_bytes_of_the_fixture() {
+    let lines: Vec<(String, String)> =
+        messages().into_iter().map(|(name, message)| (name, hex(&frame(&message)))).collect();
+    same_lines("messages.txt", &lines);
+}
+
+#[test]
+fn frames_of_the_fixture_decode_to_what_encodes_to_the_same() {
+    let text = String::from_utf8(kept("messages.txt")).expect("text");
+    let made = messages();
+    assert_eq!(text.lines().count(), made.len());
+    for (line, (name, message)) in text.lines().zip(&made) {
+        let bytes = from_hex(line.split(' ').nth(1).expect("a frame"));
+        let (read, used) = decode(&bytes).expect("a message").expect("a whole frame");
+        assert_eq!((&read, used), (message, bytes.len()), "{name}");
+        assert_eq!(frame(&read), bytes, "{name}");
+    }
+}
+
+/// Tables after some hundred drawn changes.
+fn tables(seed: u64) -> Tables {
+    let mut drawn = Drawn::new(seed);
+    let mut tables = Tables::new();
+    for n in 0..400 {
+        let scope = SCOPES[drawn.below(SCOPES.len() as u64) as usize];
+        let change = drawn.change(scope, 60);
+        tables.set(scope, change.key, n, change.entry);
+    }
+    tables
+}
+
+#[test]
+fn a_snapshot_has_the_bytes_of_the_fixture() {
+    let made = Snapshot { known: 71, in_force: 70, tables: tables(7) }.encode().expect("bytes");
+    assert!(made == fixture("snapshot.bin", &made), "the bytes of a snapshot differ");
+    let made = Snapshot { known: 70, in_force: 70, tables: tables(8) }.encode().expect("bytes");
+    assert!(made == fixture("snapshot-of-a-gateway.bin", &made), "the bytes of a gateway's snapshot differ");
+}
+
+#[test]
+fn a_snapshot_of_an_earlier_version_restores() {
+    let bytes = kept("snapshot.bin");
+    let read = Snapshot::decode(&bytes).expect("a snapshot");
+    assert_eq!((read.known, read.in_force), (71, 70));
+    assert_eq!(read.tables, tables(7));
+    assert_eq!(read.tables.sum(), tables(7).sum());
+    assert!(read.encode().expect("bytes") == bytes, "what was read has other bytes");
+
+    let bytes = kept("snapshot-of-a-gateway.bin");
+    let read = Snapshot::decode(&bytes).expect("a snapshot");
+    let member = Member { name: "g".into(), incarnation: 2 };
+    let follower = Follower::restored(Terms::default(), member, read);
+    assert_eq!((follower.known(), follower.in_force()), (70, 70));
+    assert_eq!(follower.whole().count(), SCOPES.len());
+    assert!(follower.snapshot().encode().expect("bytes") == bytes, "what was restored has other bytes");
+}
+
+#[test]
+fn digests_of_drawn_state_are_those_of_the_fixture() {
+    let mut lines = Vec::new();
+    for seed in 0..10 {
+        let tables = tables(seed);
+        lines.push((format!("tables-{seed}-sum"), format!("{:032x}", tables.sum().0)));
+        for (n, scope) in SCOPES.into_iter().enumerate() {
+            lines.push((format!("tables-{seed}-{n}"), format!("{:032x}", tables.digest(scope).0)));
+        }
+        let (mut drawn, mut store) = (Drawn::new(seed), Store::new());
+        for number in 1..80 {
+            store.pending(drawn.version(number, &SCOPES, 40));
+        }
+        store.in_force(79);
+        lines.push((format!("store-{seed}-sum"), format!("{:032x}", store.sum().0)));
+    }
+    for name in ["", "acme", "tenant-0000001", "Ünïcode"] {
+        lines.push((format!("key-of-{}", name.len()), format!("{:016x}", Key::of(name).0)));
+        lines.push((format!("shard-of-{}", name.len()), hex(&bytes(&Scope::of_tenant(Key::of(name))))));
+    }
+    same_lines("digests.txt", &lines);
+}
+
+fn bytes(value: &impl serde::Serialize) -> Vec<u8> {
+    postcard::to_allocvec(value).expect("bytes")
+}
+
+fn json(value: &impl serde::Serialize) -> String {
+    serde_json::to_string(value).expect("JSON")
+}
+
+fn rules(drawn: &mut Drawn) -> Rules {
+    let mut rules = Rules { list_rev: drawn.below(20), ..Rules::default() };
+    for n in 0..drawn.below(6) {
+        rules.quotas.insert(format!("tenant-{n}"), drawn.below(3) as u32);
+    }
+    for n in 0..drawn.below(6) {
+        let repeat = drawn.repeat();
+        rules.classes.insert(format!("class-{n}"), repeat);
+    }
+    for _ in 0..drawn.below(9) {
+        let uid = format!("host-{}", drawn.below(9));
+        rules.hosts.insert(uid, plain_host(drawn));
+    }
+    rules
+}
+
+fn plain_host(drawn: &mut Drawn) -> version::Host {
+    version::Host { address: format!("10.0.0.{}:80", drawn.below(2)), drains: drawn.chance(0.3) }
+}
+
+#[test]
+fn json_texts_of_rules_and_of_lists_are_those_of_the_fixture() {
+    let mut lines = vec![("terms".into(), json(&Terms::default()))];
+    for seed in 0..40 {
+        let mut drawn = Drawn::new(seed);
+        let (one, other) = (rules(&mut drawn), rules(&mut drawn));
+        lines.push((format!("rules-{seed}"), json(&one)));
+        lines.push((format!("digest-{seed}"), one.digest()));
+        lines.push((format!("stricter-{seed}"), json(&one.stricter(&other))));
+        lines.push((format!("within-{seed}"), one.is_within(&other).to_string()));
+        lines.push((format!("contradictions-{seed}"), json(&contradictions(&one, &other))));
+        let version = version::Version {
+            number: seed,
+            epoch: 3,
+            proposer: "staff".into(),
+            proposed_ms: 1_790_000_000_000,
+            rules: other,
+        };
+        lines.push((format!("version-{seed}"), json(&version)));
+        let hosts: BTreeMap<_, _> = (0..drawn.below(6))
+            .map(|_| {
+                let uid = format!("host-{}", drawn.below(9));
+                (uid, drawn.chance(0.6).then(|| plain_host(&mut drawn)))
+            })
+            .collect();
+        let seen = Seen { rev: drawn.below(30), whole: drawn.chance(0.6), hosts };
+        for confirmed in [false, true] {
+            let (kind, texts) = match look(&one, &seen, confirmed) {
+                Verdict::Old => (0, vec![]),
+                Verdict::Propose(rules) => (1, vec![json(&rules)]),
+                Verdict::Confirm { meanwhile, all } => (2, vec![json(&meanwhile), json(&all)]),
+            };
+            lines.push((format!("look-{seed}-{confirmed}"), format!("{kind} {}", texts.concat())));
+        }
+    }
+    same_lines("json.txt", &lines);
+    let text = String::from_utf8(kept("json.txt")).expect("text");
+    for line in text.lines() {
+        let (name, text) = line.split_once(' ').expect("a name and a text");
+        let again = match name.split('-').next() {
+            Some("rules" | "stricter") => json(&serde_json::from_str::<Rules>(text).expect("rules")),
+            Some("version") => json(&serde_json::from_str::<version::Version>(text).expect("a version")),
+            Some("terms") => json(&serde_json::from_str::<Terms>(text).expect("terms")),
+            _ => continue,
+        };
+        assert_eq!(again, text, "{name}");
+    }
+}
+
+#[test]
+fn orders_times_and_stricter_entries_are_those_of_the_fixture() {
+    let mut lines = Vec::new();
+    let terms = Terms::default();
+    let times = [
+        terms.contradiction_ms(),
+        terms.held_ms(),
+        terms.held(777.7),
+        terms.handed_on(777.7),
+        terms.ask_every_ms(),
+        terms.between_every_ms(),
+        terms.ask_soon_ms(),
+        terms.answer_within_ms(),
+        terms.in_force_ms(),
+    ];
+    for (n, time) in times.iter().enumerate() {
+        lines.push((format!("time-{n}"), format!("{:016x}", time.to_bits())));
+    }
+    for seed in 0..40 {
+        let mut drawn = Drawn::new(seed);
+        let machines: Vec<Machine> = (0..drawn.below(9))
+            .map(|n| Machine {
+                name: format!("m{n}"),
+                zone: format!("z{}", drawn.below(3)),
+                region: format!("r{}", drawn.below(2)),
+            })
+            .collect();
+        let member = format!("gateway-{seed}");
+        let order = order(&member, &format!("z{}", seed % 3), &format!("r{}", seed % 2), &machines);
+        lines.push((format!("order-{seed}"), format!("{order:?}")));
+        for (n, scope) in SCOPES.into_iter().enumerate() {
+            let (a, b) = (drawn.change(scope, 9).entry, drawn.change(scope, 9).entry);
+            lines.push((format!("stricter-{seed}-{n}"), hex(&bytes(&stricter(scope, a, b)))));
+        }
+    }
+    same_lines("orders.txt", &lines);
+}
