--- a/src/lib.rs
+++ b/balancer/src/lib.rs
@@ -16,5 +16,5 @@
 
 /// The README's example, compiled and run.
 #[cfg(doctest)]
-#[doc = include_str!("../README.md")]
+#[doc = include_str!("../../README.md")]
 struct Readme;
--- a/tests/balance.rs
+++ b/balancer/tests/balance.rs
@@ -2,7 +2,7 @@
 
 mod common;
 use common::*;
-use ternstack::*;
+use ternstack_balancer::*;
 
 /// A fleet in which everything is out: limits bind.
 fn fill(bench: &mut Bench) -> Vec<(RequestId, ServerId)> {
--- a/tests/common/mod.rs
+++ b/balancer/tests/common/mod.rs
@@ -1,7 +1,7 @@
 //! A small deployment and short ways to speak to a balancer.
 #![allow(dead_code)]
 
-use ternstack::*;
+use ternstack_balancer::*;
 
 pub fn class(effect: Effect) -> Class {
     Class {
--- a/tests/decision_digests/adapter.rs
+++ b/balancer/tests/decision_digests/adapter.rs
@@ -1,6 +1,6 @@
 //! The only place of this test that names the balancer's interface: plain inputs in, plain outputs out.
 
-use ternstack::{
+use ternstack_balancer::{
     Action, Arrival, AttemptEnd, Balancer, Cause, Class, Effect, Event, Group, ListKind, Member, Outcome,
     Readiness, Report, Reports, RequestId, ServerId, Settings, Tenant,
 };
--- a/tests/rules.rs
+++ b/balancer/tests/rules.rs
@@ -4,7 +4,7 @@
 use common::*;
 use oorandom::Rand64;
 use std::collections::BTreeMap;
-use ternstack::*;
+use ternstack_balancer::*;
 
 #[derive(Default)]
 struct Seen {
--- a/benchlink/src/lib.rs
+++ b/benchlink/src/lib.rs
@@ -8,7 +8,7 @@
 use std::collections::{BTreeMap, HashMap};
 use std::fmt::Write as _;
 use std::io::{BufRead, Write};
-use ternstack::{
+use ternstack_balancer::{
     Action, Arrival, AttemptEnd, Balancer, Event, ListKind, Member, Outcome, Readiness, Report, RequestId,
     ServerId,
 };
--- a/gateway/src/decide.rs
+++ b/gateway/src/decide.rs
@@ -11,7 +11,7 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 use std::time::Duration;
-use ternstack::{
+use ternstack_balancer::{
     Action, Arrival, AttemptEnd, Balancer, Class, Effect, Event, ListKind, Member, Outcome, Readiness,
     Report, RequestId, ServerId,
 };
--- a/gateway/src/lib.rs
+++ b/gateway/src/lib.rs
@@ -1,7 +1,7 @@
 //! The gateway around ternstack's decisions, one module for each stage of a request.
 //!
 //! [`listener`] takes requests from clients, [`decide`] is the one task that owns the
-//! [`Balancer`](ternstack::Balancer), [`upstream`] carries requests to servers, [`answer`] words what
+//! [`Balancer`](ternstack_balancer::Balancer), [`upstream`] carries requests to servers, [`answer`] words what
 //! the client gets, and [`discovery`] follows discovery's list. [`http1`] parses and frames bytes, [`clock`]
 //! tells the time, [`requests`] is what these tell each other, [`config`] reads what the gateway is told at its
 //! start. [`permit`] decides whether an attempt may begin, [`invariants`] counts what must never happen, [`loop_lag`] tells
--- a/gateway/src/listener.rs
+++ b/gateway/src/listener.rs
@@ -15,7 +15,7 @@
 use std::sync::atomic::{AtomicU64, AtomicUsize, Ordering};
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
-use ternstack::{Effect, RequestId};
+use ternstack_balancer::{Effect, RequestId};
 use ternstack_settings::Site;
 use tokio::io::AsyncWriteExt;
 use tokio::net::{TcpListener, TcpStream};
--- a/gateway/src/permit.rs
+++ b/gateway/src/permit.rs
@@ -1,7 +1,7 @@
 //! The one place that decides whether an attempt may begin: first as it is asked for, and once more in the moment before
 //! its first byte, since what held then may have changed. No I/O and no clock.
 use crate::invariants::Invariant;
-use ternstack::{Class, Effect, Group};
+use ternstack_balancer::{Class, Effect, Group};
 use tokio::time::Instant;
 
 /// Where a server stands, as far as repeats of keyed requests are concerned.
--- a/gateway/src/requests.rs
+++ b/gateway/src/requests.rs
@@ -5,7 +5,7 @@
 use serde::Deserialize;
 use serde_json::Value;
 use std::net::SocketAddr;
-use ternstack::{Outcome, Report, RequestId, ServerId};
+use ternstack_balancer::{Outcome, Report, RequestId, ServerId};
 use tokio::sync::{mpsc, oneshot};
 use tokio::time::Instant;
 
--- a/gateway/src/upstream.rs
+++ b/gateway/src/upstream.rs
@@ -15,7 +15,7 @@
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError, Weak};
 use std::time::Duration;
-use ternstack::{Outcome, Report, RequestId, ServerId};
+use ternstack_balancer::{Outcome, Report, RequestId, ServerId};
 use tokio::net::TcpStream;
 use tokio::sync::oneshot;
 use tokio::sync::oneshot::error::TryRecvError;
--- a/gateway/tests/ends.rs
+++ b/gateway/tests/ends.rs
@@ -7,7 +7,7 @@
 use serde_json::{json, Value};
 use std::sync::Arc;
 use std::time::Duration;
-use ternstack::{Outcome, RequestId, ServerId};
+use ternstack_balancer::{Outcome, RequestId, ServerId};
 use ternstack_gateway::descriptors::Descriptors;
 use ternstack_gateway::http1::{Reader, Status, MAX_BODY};
 use ternstack_gateway::requests::{Input, RawRequest};
--- a/gateway/tests/parts.rs
+++ b/gateway/tests/parts.rs
@@ -8,7 +8,7 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::Arc;
 use std::time::Duration;
-use ternstack::{Outcome, Report, RequestId, ServerId};
+use ternstack_balancer::{Outcome, Report, RequestId, ServerId};
 use ternstack_gateway::clock::Clock;
 use ternstack_gateway::config::Config;
 use ternstack_gateway::descriptors::Descriptors;
--- a/lab/benches/decision.rs
+++ b/lab/benches/decision.rs
@@ -1,7 +1,7 @@
 //! What one decision costs the module as the fleet grows: a message's arrival and its end, with a report. One
 //! gateway uses all hosts. `cargo bench -p ternstack-lab` prints microseconds a message.
 use criterion::{criterion_group, criterion_main, BenchmarkId, Criterion, Throughput};
-use ternstack::{
+use ternstack_balancer::{
     Action, Arrival, AttemptEnd, Balancer, Class, Effect, Event, Group, ListKind, Member, Outcome, RequestId,
     ServerId, Settings, Tenant,
 };
@@ -58,7 +58,7 @@
         });
         let Some(server) = sent else { return };
         // Figures that change from report to report, as real ones do.
-        let report = ternstack::Report {
+        let report = ternstack_balancer::Report {
             utilization: Some(0.4 + 0.001 * (self.next % 97) as f64),
             throughput: Some(18.0 + 0.01 * (self.next % 89) as f64),
             backlog: None,
--- a/lab/src/capacity/decision.rs
+++ b/lab/src/capacity/decision.rs
@@ -1,6 +1,6 @@
 //! One module before the hosts of one list, for what a decision costs.
 use crate::policy::alone;
-use ternstack::{
+use ternstack_balancer::{
     Action, Arrival, AttemptEnd, Balancer, Class, Effect, Event, Group, ListKind, Member, Outcome, Report,
     RequestId, ServerId, Settings, Tenant,
 };
--- a/lab/src/drive.rs
+++ b/lab/src/drive.rs
@@ -18,7 +18,7 @@
 use slotmap::{new_key_type, Key, KeyData, SlotMap};
 use std::cmp::Reverse;
 use std::collections::{BinaryHeap, VecDeque};
-use ternstack::{
+use ternstack_balancer::{
     Action, Arrival, AttemptEnd, Event as Heard, Group, ListKind, Member, Outcome, Readiness, Report,
     Reports, RequestId, ServerId, Settings, Tenant,
 };
@@ -280,15 +280,15 @@
 }
 
 fn settings(world: &World, quotas: &[f64]) -> Settings {
-    let class = |c: &crate::world::spec::Class| ternstack::Class {
+    let class = |c: &crate::world::spec::Class| ternstack_balancer::Class {
         name: c.name.clone(),
         aim_ms: c.aim_ms,
         deadline_ms: c.deadline_ms,
         late_value: c.late_worth,
         effect: match c.effect {
-            Effect::Safe => ternstack::Effect::Safe,
-            Effect::Keyed => ternstack::Effect::Keyed,
-            Effect::Unsafe => ternstack::Effect::Unsafe,
+            Effect::Safe => ternstack_balancer::Effect::Safe,
+            Effect::Keyed => ternstack_balancer::Effect::Keyed,
+            Effect::Unsafe => ternstack_balancer::Effect::Unsafe,
         },
         group: Group::All,
         window_ms: c.window_ms,
@@ -729,7 +729,7 @@
 
     /// A gateway refuses or fails a try.
     fn final_answer(
-        &mut self, gateway: u32, request: RequestId, end: TryEnd, cause: Option<ternstack::Cause>,
+        &mut self, gateway: u32, request: RequestId, end: TryEnd, cause: Option<ternstack_balancer::Cause>,
     ) {
         let key = TryKey::from(KeyData::from_ffi(request.0));
         let Some(t) = self.tries.get(key).filter(|t| t.gateway == gateway) else {
--- a/lab/src/judge.rs
+++ b/lab/src/judge.rs
@@ -7,7 +7,7 @@
 use hdrhistogram::Histogram;
 use serde::{Deserialize, Serialize};
 use std::collections::HashMap;
-use ternstack::{Cause, Outcome};
+use ternstack_balancer::{Cause, Outcome};
 
 /// Length of a bin of the time series.
 pub const BIN: Us = 500_000;
--- a/lab/src/policy/mod.rs
+++ b/lab/src/policy/mod.rs
@@ -5,7 +5,7 @@
 use std::cell::Cell;
 use std::rc::Rc;
 use std::time::{Duration, Instant};
-use ternstack::{Action, Balancer, Event, Settings};
+use ternstack_balancer::{Action, Balancer, Event, Settings};
 
 /// Decides for one gateway, behind the module's own interface.
 pub trait Policy {
@@ -21,7 +21,7 @@
 
 /// Settings of a gateway that is alone before warm hosts in one zone and has no retry to spare: for measuring one
 /// decision, and the limiter by itself.
-pub fn alone(classes: Vec<ternstack::Class>, tenants: Vec<ternstack::Tenant>) -> Settings {
+pub fn alone(classes: Vec<ternstack_balancer::Class>, tenants: Vec<ternstack_balancer::Tenant>) -> Settings {
     Settings {
         classes,
         tenants,
@@ -32,7 +32,7 @@
         live_weights: false,
         cross_price: 0.0,
         idle_ms: 1e6,
-        reports: ternstack::Reports::Inline,
+        reports: ternstack_balancer::Reports::Inline,
         ask_discovery: false,
         max_attempts: 1,
         may_probe: false,
--- a/lab/src/policy/rivals.rs
+++ b/lab/src/policy/rivals.rs
@@ -6,7 +6,7 @@
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use std::collections::{BTreeMap, HashMap};
-use ternstack::{
+use ternstack_balancer::{
     Action, AttemptEnd, Cause, Effect, Event, ListKind, Outcome, Readiness, RequestId, ServerId, Settings,
 };
 
@@ -204,7 +204,8 @@
     }
 
     fn on_list(
-        &mut self, now: f64, kind: ListKind, members: Vec<ternstack::Member>, actions: &mut Vec<Action>,
+        &mut self, now: f64, kind: ListKind, members: Vec<ternstack_balancer::Member>,
+        actions: &mut Vec<Action>,
     ) {
         match kind {
             ListKind::Lost => {
--- a/lab/tests/judge.rs
+++ b/lab/tests/judge.rs
@@ -1,6 +1,8 @@
 //! Planted offenders: a policy that breaks a rule is caught, by that rule; one that keeps them is not.
 use std::collections::BTreeMap;
-use ternstack::{Action, AttemptEnd, Balancer, Event, Member, Outcome, RequestId, ServerId, Settings};
+use ternstack_balancer::{
+    Action, AttemptEnd, Balancer, Event, Member, Outcome, RequestId, ServerId, Settings,
+};
 use ternstack_lab::drive::{play, Played, Setup};
 use ternstack_lab::experiment::Experiment;
 use ternstack_lab::judge::Rule;
@@ -42,7 +44,8 @@
     }
 
     fn host(&self) -> Option<ServerId> {
-        let fits = |m: &&Member| self.bad == Bad::Forgets || m.readiness == ternstack::Readiness::Active;
+        let fits =
+            |m: &&Member| self.bad == Bad::Forgets || m.readiness == ternstack_balancer::Readiness::Active;
         let fit: Vec<&Member> = self.hosts.values().filter(fits).collect();
         if self.bad == Bad::Crowds {
             let last = fit.iter().max_by(|a, b| a.started_at.total_cmp(&b.started_at));
@@ -72,7 +75,7 @@
                 self.send(request, until, actions);
             }
             Bad::Refuses if unsafe_class && !end.outcome.never_ran() => {
-                let cause = ternstack::Cause::Failed;
+                let cause = ternstack_balancer::Cause::Failed;
                 actions.push(Action::Refuse { request, cause, retry_after_ms: 0.0 });
             }
             _ => actions.push(Action::Fail { request }),
@@ -87,7 +90,7 @@
     fn handle(&mut self, now: f64, event: Event, actions: &mut Vec<Action>) {
         match event {
             Event::List { kind, members } => {
-                if kind == ternstack::ListKind::WarmCopy {
+                if kind == ternstack_balancer::ListKind::WarmCopy {
                     actions.push(Action::Watch);
                 }
                 for member in members {
--- a/lab/tests/theory.rs
+++ b/lab/tests/theory.rs
@@ -4,7 +4,7 @@
 use rand_chacha::ChaCha8Rng;
 use rand_distr::{Distribution, Exp1};
 use statrs::distribution::{ChiSquared, ContinuousCDF};
-use ternstack::{
+use ternstack_balancer::{
     Action, Arrival, Balancer, Cause, Class, Effect, Event, Group, ListKind, Member, RequestId, ServerId,
     Tenant,
 };
--- a/settings/src/lib.rs
+++ b/settings/src/lib.rs
@@ -6,7 +6,7 @@
 #![warn(missing_docs)]
 
 use serde_json::Value;
-use ternstack::{Class, Effect, Group, Reports, Settings, Tenant};
+use ternstack_balancer::{Class, Effect, Group, Reports, Settings, Tenant};
 
 /// All that the settings tell: what the balancer needs, the names, and what only sockets need.
 #[derive(Clone, Debug)]
--- a/settings/tests/keys.rs
+++ b/settings/tests/keys.rs
@@ -2,7 +2,7 @@
 
 use serde_json::Value;
 use std::fmt::Write as _;
-use ternstack::{Effect, Group, Reports};
+use ternstack_balancer::{Effect, Group, Reports};
 use ternstack_settings::{read, spread, Site};
 
 const ALL_KEYS: &str = include_str!("fixtures/all-keys.json");
