--- a/benchlink/src/main.rs
+++ b/simulator-adapter/src/main.rs
@@ -7,10 +7,10 @@
 fn main() -> ExitCode {
     let input = BufReader::with_capacity(1 << 16, io::stdin().lock());
     let output = BufWriter::with_capacity(1 << 16, io::stdout().lock());
-    match ternstack_benchlink::run(input, output) {
+    match ternstack_simulator_adapter::run(input, output) {
         Ok(()) => ExitCode::SUCCESS,
         Err(problem) => {
-            eprintln!("ternstack-benchlink: {problem}");
+            eprintln!("ternstack-simulator-adapter: {problem}");
             ExitCode::FAILURE
         }
     }
--- a/benchlink/tests/dialogues/main.rs
+++ b/simulator-adapter/tests/dialogues/main.rs
@@ -54,7 +54,7 @@
 fn stored_dialogues_are_answered_byte_by_byte() {
     for (number, input, output) in WHOLE {
         let mut seen = Vec::new();
-        ternstack_benchlink::run(input.as_bytes(), &mut seen).expect("a stored dialogue is legal");
+        ternstack_simulator_adapter::run(input.as_bytes(), &mut seen).expect("a stored dialogue is legal");
         let seen = String::from_utf8(seen).expect("UTF-8");
         assert!(seen.ends_with("NEXT\n") && !seen.contains('\r'), "lines end in a newline alone");
         let seen: String = seen.lines().map(|line| comparable(line) + "\n").collect();
@@ -117,7 +117,7 @@
             Some(alone) => format!("{alone}\nFLUSH\n"),
             None => format!("{begin}{faulty}\nFLUSH\n"),
         };
-        let told = match ternstack_benchlink::run(text.as_bytes(), &mut Vec::new()) {
+        let told = match ternstack_simulator_adapter::run(text.as_bytes(), &mut Vec::new()) {
             Ok(()) => "taken".to_string(),
             Err(error) => error.to_string(),
         };
--- a/benchlink/tests/dialogues/simulator.rs
+++ b/simulator-adapter/tests/dialogues/simulator.rs
@@ -29,7 +29,8 @@
 pub fn dialogue(number: u64) -> Dialogue {
     let simulator = Rc::new(RefCell::new(Simulator::new(number)));
     let input = BufReader::new(Said { simulator: simulator.clone(), ready: Vec::new() });
-    ternstack_benchlink::run(input, Heard { simulator: simulator.clone() }).expect("a legal dialogue");
+    ternstack_simulator_adapter::run(input, Heard { simulator: simulator.clone() })
+        .expect("a legal dialogue");
     let simulator = simulator.borrow();
     Dialogue { input: simulator.said.clone(), output: simulator.heard.clone() }
 }
--- a/benchlink/tests/transcripts.rs
+++ b/simulator-adapter/tests/transcripts.rs
@@ -1,6 +1,6 @@
 //! Transcripts written for this project, played through the adapter.
 
-use ternstack_benchlink::run;
+use ternstack_simulator_adapter::run;
 
 const CONF: &str = concat!(
     r#"conf={"classes":[{"name":"read","effect":"safe","aim_ms":200.0,"deadline_ms":600.0,"novel":1}],"#,
