--- a/control/src/beside.rs
+++ b/control/src/beside.rs
@@ -1,9 +1,9 @@
 //! A gateway's snapshot, beside it on its disk: what it has whole, as it was in one version, so that it starts with that and
-//! is sent only what has changed since. [`ternstack_peers::snapshot`] has its bytes.
+//! is sent only what has changed since. [`ternstack_replication::snapshot`] has its bytes.
 use std::fs::File;
 use std::io::{ErrorKind, Write};
 use std::path::Path;
-use ternstack_peers::snapshot::Snapshot;
+use ternstack_replication::snapshot::Snapshot;
 
 /// Reads a snapshot; `None` where there is no file. It waits for the disk.
 pub fn read(path: &Path) -> Result<Option<Snapshot>, String> {
--- a/control/src/frames.rs
+++ b/control/src/frames.rs
@@ -1,8 +1,10 @@
-//! Frames of [`wire`](ternstack_peers::wire) on a stream: read within bounds, written one at a time, and counted by cause.
+//! Frames of [`wire`](ternstack_replication::wire) on a stream: read within bounds, written one at a time, and counted by cause.
 use bytes::{BufMut, BytesMut};
 use std::io;
 use std::sync::atomic::{AtomicU64, Ordering::Relaxed};
-use ternstack_peers::wire::{decode, encode, Ask, Causes, Counts, Grant, Malformed, Message, Tally, LONGEST};
+use ternstack_replication::wire::{
+    decode, encode, Ask, Causes, Counts, Grant, Malformed, Message, Tally, LONGEST,
+};
 use tokio::io::{AsyncRead, AsyncReadExt, AsyncWrite, AsyncWriteExt};
 
 /// What an empty buffer may keep, in bytes: more is given back, as thousands of connections have one each.
--- a/control/src/lib.rs
+++ b/control/src/lib.rs
@@ -1,4 +1,4 @@
-//! The drives of what `peers/` decides, on tokio's current-thread runtime.
+//! The drives of what `replication/` decides, on tokio's current-thread runtime.
 //!
 //! [`frames`] reads and writes messages and counts them by cause. [`serve`] is an origin or a distributor, [`follow`] a
 //! gateway's end, with its snapshot beside it ([`beside`]); what both have in common, the end that asks, is [`asking`],
--- a/control/src/operator.rs
+++ b/control/src/operator.rs
@@ -8,10 +8,10 @@
 use std::ops::Range;
 use std::path::{Path, PathBuf};
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
-use ternstack_peers::lease::Terms;
-use ternstack_peers::scope::{Change, Entry, Host, Key, Route, Scope};
-use ternstack_peers::version::Repeat;
-use ternstack_peers::wire::Member;
+use ternstack_replication::lease::Terms;
+use ternstack_replication::scope::{Change, Entry, Host, Key, Route, Scope};
+use ternstack_replication::version::Repeat;
+use ternstack_replication::wire::Member;
 use toml::de::{DeTable, DeValue};
 
 /// What a control machine does.
--- a/control/src/serve.rs
+++ b/control/src/serve.rs
@@ -10,12 +10,12 @@
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
-use ternstack_peers::distributor::Distributor;
-use ternstack_peers::lease::Terms;
-use ternstack_peers::origin::{Happened, Origin, Proposer, Unfit};
-use ternstack_peers::scope::{Change, Number};
-use ternstack_peers::store::Store;
-use ternstack_peers::wire::{Ask, Counts, Grant, Malformed, Member, Message, Status};
+use ternstack_replication::distributor::Distributor;
+use ternstack_replication::lease::Terms;
+use ternstack_replication::origin::{Happened, Origin, Proposer, Unfit};
+use ternstack_replication::scope::{Change, Number};
+use ternstack_replication::store::Store;
+use ternstack_replication::wire::{Ask, Counts, Grant, Malformed, Member, Message, Status};
 use tokio::net::tcp::WriteHalf;
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::{mpsc, Notify};
@@ -398,5 +398,5 @@
 
 /// A number of the member's own.
 pub(crate) fn seed(name: &str) -> u64 {
-    ternstack_peers::scope::Key::of(name).0
+    ternstack_replication::scope::Key::of(name).0
 }
--- a/control/src/staff.rs
+++ b/control/src/staff.rs
@@ -2,8 +2,8 @@
 use crate::frames::{write, Frames};
 use std::net::SocketAddr;
 use std::time::Duration;
-use ternstack_peers::scope::{Change, Number};
-use ternstack_peers::wire::{Message, Status};
+use ternstack_replication::scope::{Change, Number};
+use ternstack_replication::wire::{Message, Status};
 use tokio::net::TcpStream;
 use tokio::time::timeout;
 
--- a/control/tests/folder.rs
+++ b/control/tests/folder.rs
@@ -9,7 +9,7 @@
 use std::path::Path;
 use std::sync::atomic::Ordering::Relaxed;
 use ternstack_control::beside::{read, save};
-use ternstack_peers::snapshot::Snapshot;
+use ternstack_replication::snapshot::Snapshot;
 
 fn snapshot(version: u64) -> Snapshot {
     Snapshot { known: version, in_force: version, ..Snapshot::default() }
--- a/control/tests/frames.rs
+++ b/control/tests/frames.rs
@@ -1,7 +1,7 @@
 //! Frames on a stream: cut anywhere, joined anyhow, and none that is malformed gets through.
 use ternstack_control::frames::{write, Broken, Counter, Frames};
-use ternstack_peers::scope::{Change, Digest, Entry, Key, Scope, Version};
-use ternstack_peers::wire::{
+use ternstack_replication::scope::{Change, Digest, Entry, Key, Scope, Version};
+use ternstack_replication::wire::{
     Ask, Cursor, Grant, Interest, Malformed, Member, Message, Part, HEADER, LONGEST,
 };
 use tokio::io::{duplex, AsyncWriteExt};
--- a/control/tests/machines.rs
+++ b/control/tests/machines.rs
@@ -2,13 +2,13 @@
 mod common;
 use common::*;
 use ternstack_control::follow::Told;
-use ternstack_peers::follower::News;
-use ternstack_peers::scope::{Change, Entry, Key, Number, Scope};
+use ternstack_replication::follower::News;
+use ternstack_replication::scope::{Change, Entry, Key, Number, Scope};
 use tokio::io::copy_bidirectional;
 use tokio::net::TcpStream;
 
 /// Waits until a proposal from within is agreed on: the number of its version follows the last one.
-fn propose(origin: &Running<ternstack_peers::origin::Origin>, changes: Vec<Change>) -> Number {
+fn propose(origin: &Running<ternstack_replication::origin::Origin>, changes: Vec<Change>) -> Number {
     let next = origin.machine.with(|core, _| core.store().through()) + 1;
     origin.machine.propose(changes).expect("it is sound");
     next
--- a/control/tests/operator.rs
+++ b/control/tests/operator.rs
@@ -1,8 +1,8 @@
 //! The operators' file and the staff's: read whole, or told by line, key and what was expected.
 use ternstack_control::operator::{changes, Operator, Role};
-use ternstack_peers::lease::Terms;
-use ternstack_peers::scope::{Entry, Key, Scope};
-use ternstack_peers::version::Repeat;
+use ternstack_replication::lease::Terms;
+use ternstack_replication::scope::{Entry, Key, Scope};
+use ternstack_replication::version::Repeat;
 
 const EXAMPLE: &str = include_str!("../../deploy/operator.example.toml");
 
--- a/control/tests/recorded_bytes.rs
+++ b/control/tests/recorded_bytes.rs
@@ -7,14 +7,14 @@
 use ternstack_control::follow::Following;
 use ternstack_control::frames::{write, Frames};
 use ternstack_control::{serve, staff};
-use ternstack_peers::follower::Follower;
-use ternstack_peers::lease::Terms;
-use ternstack_peers::scope::{Change, Digest, Entry, Host, Key, Route, Scope, Version};
-use ternstack_peers::snapshot::Snapshot;
-use ternstack_peers::store::Keeps;
-use ternstack_peers::tables::Tables;
-use ternstack_peers::version::Repeat;
-use ternstack_peers::wire::{
+use ternstack_replication::follower::Follower;
+use ternstack_replication::lease::Terms;
+use ternstack_replication::scope::{Change, Digest, Entry, Host, Key, Route, Scope, Version};
+use ternstack_replication::snapshot::Snapshot;
+use ternstack_replication::store::Keeps;
+use ternstack_replication::tables::Tables;
+use ternstack_replication::version::Repeat;
+use ternstack_replication::wire::{
     Ask, Causes, Counts, Cursor, Grant, Interest, Member, Message, Part, Status, Tally,
 };
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
--- a/control/tests/recorded_settings.rs
+++ b/control/tests/recorded_settings.rs
@@ -4,8 +4,8 @@
 use common::fixtures;
 use std::fmt::Debug;
 use ternstack_control::operator::{changes, Operator, Role};
-use ternstack_peers::scope::{Change, Entry, Scope};
-use ternstack_peers::version::Repeat;
+use ternstack_replication::scope::{Change, Entry, Scope};
+use ternstack_replication::version::Repeat;
 
 /// A line for a value: what it is, and the value as it is written for people.
 fn line(what: &str, value: impl Debug) -> String {
--- a/gateway/src/control.rs
+++ b/gateway/src/control.rs
@@ -11,10 +11,10 @@
 use std::sync::{Arc, Mutex, PoisonError};
 use ternstack_control::follow::{Follow, Following, Told};
 use ternstack_control::operator::Operator;
-use ternstack_peers::follower::{Acting, Follower, News as Agreed};
-use ternstack_peers::scope::{Entry, Host, Key, Scope};
-use ternstack_peers::store::Keeps;
-use ternstack_peers::tables::Tables;
+use ternstack_replication::follower::{Acting, Follower, News as Agreed};
+use ternstack_replication::scope::{Entry, Host, Key, Scope};
+use ternstack_replication::store::Keeps;
+use ternstack_replication::tables::Tables;
 use tokio::sync::{mpsc, Notify};
 use tracing::{debug, info, warn};
 
--- a/lab/src/capacity/control.rs
+++ b/lab/src/capacity/control.rs
@@ -3,14 +3,14 @@
 use std::net::{Ipv4Addr, SocketAddrV4};
 use std::path::Path;
 use std::time::Instant;
-use ternstack_peers::follower::Follower;
-use ternstack_peers::grantor::Grantor;
-use ternstack_peers::lease::Terms;
-use ternstack_peers::scope::{Change, Entry, Host, Key, Number, Scope, Version};
-use ternstack_peers::snapshot::Snapshot;
-use ternstack_peers::store::{Keeps, Store};
-use ternstack_peers::tables::Tables;
-use ternstack_peers::wire::{decode, encode, Ask, Interest, Member, Message};
+use ternstack_replication::follower::Follower;
+use ternstack_replication::grantor::Grantor;
+use ternstack_replication::lease::Terms;
+use ternstack_replication::scope::{Change, Entry, Host, Key, Number, Scope, Version};
+use ternstack_replication::snapshot::Snapshot;
+use ternstack_replication::store::{Keeps, Store};
+use ternstack_replication::tables::Tables;
+use ternstack_replication::wire::{decode, encode, Ask, Interest, Member, Message};
 
 /// A server's entry.
 pub fn host(n: u32) -> Entry {
--- a/lab/src/capacity/measure.rs
+++ b/lab/src/capacity/measure.rs
@@ -13,10 +13,10 @@
 use std::net::SocketAddr;
 use std::path::Path;
 use std::time::Duration;
-use ternstack_peers::list::{look, Seen};
-use ternstack_peers::scope::{self, Change, Digest, Entry, Scope};
-use ternstack_peers::version::{contradictions, Host, Rules, Version};
-use ternstack_peers::wire::{encode, Ask, Grant, Interest, Message, Part};
+use ternstack_replication::list::{look, Seen};
+use ternstack_replication::scope::{self, Change, Digest, Entry, Scope};
+use ternstack_replication::version::{contradictions, Host, Rules, Version};
+use ternstack_replication::wire::{encode, Ask, Grant, Interest, Message, Part};
 
 /// What can be measured.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, ValueEnum)]
@@ -411,7 +411,8 @@
         encode(&message, &mut frame).map_err(|e| e.to_string())?;
         Ok(frame.len() as f64)
     };
-    let member = ternstack_peers::wire::Member { name: "gateway-4711".into(), incarnation: 1_790_000_000 };
+    let member =
+        ternstack_replication::wire::Member { name: "gateway-4711".into(), incarnation: 1_790_000_000 };
     let interest = Interest::Same { revision: 1_000 };
     let ask = Ask {
         member,
--- a/peers/benches/state.rs
+++ b/replication/benches/state.rs
@@ -1,6 +1,6 @@
 //! What state costs as an installation grows: in a `Store`, in `Tables`, and as it was before, whole `Rules` in each version.
 //!
-//! `cargo bench -p ternstack-peers --bench state -- [--json FILE] [--sizes 2000,20000]` prints a table; sizes count hosts, and
+//! `cargo bench -p ternstack-replication --bench state -- [--json FILE] [--sizes 2000,20000]` prints a table; sizes count hosts, and
 //! services, routes and tenants grow with them. Memory is the growth of VmRSS in a process of its own for each figure.
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -10,12 +10,12 @@
 use std::net::{Ipv4Addr, SocketAddrV4};
 use std::process::{Command, ExitCode};
 use std::time::Instant;
-use ternstack_peers::list::{look, Seen};
-use ternstack_peers::scope::{Change, Digest, Entry, Host, Key, Number, Route, Scope, Version};
-use ternstack_peers::store::{Keeps, Store};
-use ternstack_peers::tables::Tables;
-use ternstack_peers::version::{self, contradictions, Repeat, Rules};
-use ternstack_peers::wire::Cursor;
+use ternstack_replication::list::{look, Seen};
+use ternstack_replication::scope::{Change, Digest, Entry, Host, Key, Number, Route, Scope, Version};
+use ternstack_replication::store::{Keeps, Store};
+use ternstack_replication::tables::Tables;
+use ternstack_replication::version::{self, contradictions, Repeat, Rules};
+use ternstack_replication::wire::Cursor;
 
 const SIZES: [usize; 4] = [2_000, 20_000, 100_000, 200_000];
 /// Of an installation of 200,000 hosts.
--- a/peers/tests/agreement.rs
+++ b/replication/tests/agreement.rs
@@ -3,13 +3,13 @@
 use quickcheck::{quickcheck, Arbitrary, Gen};
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
-use ternstack_peers::follower::{Acting, Follower, Refused};
-use ternstack_peers::lease::Terms;
-use ternstack_peers::list::{look, Seen as SeenList, Verdict};
-use ternstack_peers::scope::{Change, Entry, Key, Scope, Version};
-use ternstack_peers::tables::Tables;
-use ternstack_peers::version::{contradictions, Contradiction, Host, Repeat, Rules};
-use ternstack_peers::wire::{Grant, Member, Part};
+use ternstack_replication::follower::{Acting, Follower, Refused};
+use ternstack_replication::lease::Terms;
+use ternstack_replication::list::{look, Seen as SeenList, Verdict};
+use ternstack_replication::scope::{Change, Entry, Key, Scope, Version};
+use ternstack_replication::tables::Tables;
+use ternstack_replication::version::{contradictions, Contradiction, Host, Repeat, Rules};
+use ternstack_replication::wire::{Grant, Member, Part};
 
 mod common;
 
@@ -157,7 +157,7 @@
     let mut follower = Follower::new(terms, member, Tables::new());
     let part = |number| {
         let entry = Entry::Repeat(Repeat::Within(number));
-        let mut digest = ternstack_peers::scope::Digest::default();
+        let mut digest = ternstack_replication::scope::Digest::default();
         digest.add(scope, key, &entry);
         Part { scope, anew: true, entries: vec![(number, key, Some(entry))], whole: Some(digest) }
     };
--- a/peers/tests/apart.rs
+++ b/replication/tests/apart.rs
@@ -1,13 +1,13 @@
 //! Who was apart for an hour and comes back: changes or a start, whichever is smaller, within the budget of bytes.
-use ternstack_peers::distributor::Distributor;
-use ternstack_peers::follower::{Acting, Follower};
-use ternstack_peers::grantor::Grantor;
-use ternstack_peers::lease::Terms;
-use ternstack_peers::origin::{Happened, Origin, Proposer, Unfit, LONGEST_PROPOSAL};
-use ternstack_peers::scope::{Change, Entry, Host, Key, Scope};
-use ternstack_peers::store::{Keeps, Store};
-use ternstack_peers::tables::Tables;
-use ternstack_peers::wire::{encode, Ask, Grant, Member, Message};
+use ternstack_replication::distributor::Distributor;
+use ternstack_replication::follower::{Acting, Follower};
+use ternstack_replication::grantor::Grantor;
+use ternstack_replication::lease::Terms;
+use ternstack_replication::origin::{Happened, Origin, Proposer, Unfit, LONGEST_PROPOSAL};
+use ternstack_replication::scope::{Change, Entry, Host, Key, Scope};
+use ternstack_replication::store::{Keeps, Store};
+use ternstack_replication::tables::Tables;
+use ternstack_replication::wire::{encode, Ask, Grant, Member, Message};
 
 const HOUR_MS: f64 = 3_600_000.0;
 const HOSTS: u32 = 3000;
--- a/peers/tests/common/judge.rs
+++ b/replication/tests/common/judge.rs
@@ -1,8 +1,8 @@
 //! The leader's second step, and what is to be seen of the fleet.
 use super::*;
-use ternstack_peers::follower::Acting;
-use ternstack_peers::origin::Happened;
-use ternstack_peers::store::Keeps;
+use ternstack_replication::follower::Acting;
+use ternstack_replication::origin::Happened;
+use ternstack_replication::store::Keeps;
 use ternstack_rig::checkers::{check, Promise, Terms as Promised};
 use ternstack_rig::history::What;
 
--- a/peers/tests/common/mod.rs
+++ b/replication/tests/common/mod.rs
@@ -3,13 +3,13 @@
 #![allow(dead_code)] // Each test file uses a part of it.
 use rand_chacha::ChaCha8Rng;
 use std::collections::{BTreeMap, BinaryHeap};
-use ternstack_peers::distributor::Distributor;
-use ternstack_peers::follower::Follower;
-use ternstack_peers::lease::Terms;
-use ternstack_peers::origin::Origin;
-use ternstack_peers::scope::{Change, Entry, Key, Number, Scope};
-use ternstack_peers::tables::Tables;
-use ternstack_peers::wire::{Ask, Grant, Member};
+use ternstack_replication::distributor::Distributor;
+use ternstack_replication::follower::Follower;
+use ternstack_replication::lease::Terms;
+use ternstack_replication::origin::Origin;
+use ternstack_replication::scope::{Change, Entry, Key, Number, Scope};
+use ternstack_replication::tables::Tables;
+use ternstack_replication::wire::{Ask, Grant, Member};
 use ternstack_rig::history::Event;
 
 mod judge;
--- a/peers/tests/common/world.rs
+++ b/replication/tests/common/world.rs
@@ -1,10 +1,10 @@
 //! What happens in the fleet.
 use super::*;
 use rand::{RngExt, SeedableRng};
-use ternstack_peers::follower::{News, Refused};
-use ternstack_peers::origin::Proposer;
-use ternstack_peers::scope::Version;
-use ternstack_peers::store::Store;
+use ternstack_replication::follower::{News, Refused};
+use ternstack_replication::origin::Proposer;
+use ternstack_replication::scope::Version;
+use ternstack_replication::store::Store;
 
 impl World {
     /// A fleet with the first version in force; its rng has drawn the clocks of members, in their order.
--- a/peers/tests/control.rs
+++ b/replication/tests/control.rs
@@ -5,13 +5,13 @@
 use rand_chacha::ChaCha8Rng;
 use std::collections::BTreeMap;
 use std::net::{Ipv4Addr, SocketAddrV4};
-use ternstack_peers::grantor::Grantor;
-use ternstack_peers::lease::Terms;
-use ternstack_peers::placing::{order, Machine};
-use ternstack_peers::scope::{Change, Entry, Host, Key, Scope, Version};
-use ternstack_peers::store::Store;
-use ternstack_peers::version::Repeat;
-use ternstack_peers::wire::{Ask, Interest, Member};
+use ternstack_replication::grantor::Grantor;
+use ternstack_replication::lease::Terms;
+use ternstack_replication::placing::{order, Machine};
+use ternstack_replication::scope::{Change, Entry, Host, Key, Scope, Version};
+use ternstack_replication::store::Store;
+use ternstack_replication::version::Repeat;
+use ternstack_replication::wire::{Ask, Interest, Member};
 
 mod common;
 
--- a/peers/tests/drawn/mod.rs
+++ b/replication/tests/drawn/mod.rs
@@ -8,9 +8,9 @@
 use std::fmt::Write as _;
 use std::net::{Ipv4Addr, SocketAddrV4};
 use std::path::PathBuf;
-use ternstack_peers::scope::{Change, Digest, Entry, Host, Key, Route, Scope, Version};
-use ternstack_peers::version::Repeat;
-use ternstack_peers::wire::{encode, Message};
+use ternstack_replication::scope::{Change, Digest, Entry, Host, Key, Route, Scope, Version};
+use ternstack_replication::version::Repeat;
+use ternstack_replication::wire::{encode, Message};
 
 /// Draws values; the order of draws is part of the fixtures.
 pub struct Drawn(pub ChaCha8Rng);
--- a/peers/tests/same_bytes.rs
+++ b/replication/tests/same_bytes.rs
@@ -1,16 +1,16 @@
 //! The bytes of messages, snapshots, digests and JSON texts are those that earlier versions wrote.
 use drawn::{fixture, frame, from_hex, hex, kept, same_lines, Drawn};
 use std::collections::BTreeMap;
-use ternstack_peers::follower::Follower;
-use ternstack_peers::lease::Terms;
-use ternstack_peers::list::{look, Seen, Verdict};
-use ternstack_peers::placing::{order, Machine};
-use ternstack_peers::scope::{stricter, Change, Digest, Key, Scope, Version};
-use ternstack_peers::snapshot::Snapshot;
-use ternstack_peers::store::{Keeps, Store};
-use ternstack_peers::tables::Tables;
-use ternstack_peers::version::{self, contradictions, Rules};
-use ternstack_peers::wire::{
+use ternstack_replication::follower::Follower;
+use ternstack_replication::lease::Terms;
+use ternstack_replication::list::{look, Seen, Verdict};
+use ternstack_replication::placing::{order, Machine};
+use ternstack_replication::scope::{stricter, Change, Digest, Key, Scope, Version};
+use ternstack_replication::snapshot::Snapshot;
+use ternstack_replication::store::{Keeps, Store};
+use ternstack_replication::tables::Tables;
+use ternstack_replication::version::{self, contradictions, Rules};
+use ternstack_replication::wire::{
     decode, Ask, Causes, Counts, Cursor, Grant, Interest, Member, Message, Part, Status, Tally,
 };
 
--- a/peers/tests/same_exchanges.rs
+++ b/replication/tests/same_exchanges.rs
@@ -1,14 +1,14 @@
 //! What the state machines send, tell and decide in drawn plays, byte by byte, is what earlier versions did.
 use drawn::{same_lines, Drawn, Observed};
-use ternstack_peers::distributor::Distributor;
-use ternstack_peers::follower::{Acting, Follower, News, Refused};
-use ternstack_peers::grantor::Grantor;
-use ternstack_peers::lease::Terms;
-use ternstack_peers::origin::{Happened, Origin, Proposer};
-use ternstack_peers::scope::{Change, Key, Scope, Version};
-use ternstack_peers::store::{Keeps, Store};
-use ternstack_peers::tables::Tables;
-use ternstack_peers::wire::{Ask, Cursor, Grant, Interest, Member, Message};
+use ternstack_replication::distributor::Distributor;
+use ternstack_replication::follower::{Acting, Follower, News, Refused};
+use ternstack_replication::grantor::Grantor;
+use ternstack_replication::lease::Terms;
+use ternstack_replication::origin::{Happened, Origin, Proposer};
+use ternstack_replication::scope::{Change, Key, Scope, Version};
+use ternstack_replication::store::{Keeps, Store};
+use ternstack_replication::tables::Tables;
+use ternstack_replication::wire::{Ask, Cursor, Grant, Interest, Member, Message};
 
 mod drawn;
 
--- a/peers/tests/store.rs
+++ b/replication/tests/store.rs
@@ -4,10 +4,10 @@
 use rand_chacha::ChaCha8Rng;
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::{Ipv4Addr, SocketAddrV4};
-use ternstack_peers::scope::{Change, Digest, Entry, Host, Key, Number, Route, Scope, Version};
-use ternstack_peers::store::{Keeps, Store};
-use ternstack_peers::version::Repeat;
-use ternstack_peers::wire::{Cursor, Part};
+use ternstack_replication::scope::{Change, Digest, Entry, Host, Key, Number, Route, Scope, Version};
+use ternstack_replication::store::{Keeps, Store};
+use ternstack_replication::version::Repeat;
+use ternstack_replication::wire::{Cursor, Part};
 
 const SCOPES: [Scope; 6] =
     [Scope::Zones, Scope::Fleet, Scope::Hosts(1), Scope::Hosts(2), Scope::Routes(1), Scope::Tenants(7)];
--- a/peers/tests/tables.rs
+++ b/replication/tests/tables.rs
@@ -4,11 +4,11 @@
 use rand_chacha::ChaCha8Rng;
 use std::collections::BTreeMap;
 use std::net::{Ipv4Addr, SocketAddrV4};
-use ternstack_peers::scope::{Digest, Entry, Host, Key, Route, Scope};
-use ternstack_peers::snapshot::{Snapshot, Unreadable, FORMAT, HEADER, MARK};
-use ternstack_peers::store::Keeps;
-use ternstack_peers::tables::Tables;
-use ternstack_peers::version::Repeat;
+use ternstack_replication::scope::{Digest, Entry, Host, Key, Route, Scope};
+use ternstack_replication::snapshot::{Snapshot, Unreadable, FORMAT, HEADER, MARK};
+use ternstack_replication::store::Keeps;
+use ternstack_replication::tables::Tables;
+use ternstack_replication::version::Repeat;
 
 const SCOPES: [Scope; 7] = [
     Scope::Zones,
--- a/peers/tests/wire.rs
+++ b/replication/tests/wire.rs
@@ -1,9 +1,9 @@
 //! The bytes of what followers and grantors send each other: every message comes back as it was, and no others do.
 use quickcheck::{quickcheck, Arbitrary, Gen};
 use std::net::{Ipv4Addr, SocketAddrV4};
-use ternstack_peers::scope::{stricter, Change, Digest, Entry, Host, Key, Route, Scope, Version};
-use ternstack_peers::version::Repeat;
-use ternstack_peers::wire::{
+use ternstack_replication::scope::{stricter, Change, Digest, Entry, Host, Key, Route, Scope, Version};
+use ternstack_replication::version::Repeat;
+use ternstack_replication::wire::{
     decode, encode, Ask, Causes, Counts, Cursor, Grant, Interest, Malformed, Member, Message, Part, Status,
     Tally, FORMAT, HEADER, LONGEST,
 };
--- a/scale/src/before.rs
+++ b/scale/src/before.rs
@@ -1,10 +1,10 @@
-//! What one change costs when a version is the whole state ([`ternstack_peers::version`]), at the size of a plan, and
-//! what it costs as a change ([`ternstack_peers::scope`]).
+//! What one change costs when a version is the whole state ([`ternstack_replication::version`]), at the size of a plan, and
+//! what it costs as a change ([`ternstack_replication::scope`]).
 use crate::world::World;
 use serde::{Deserialize, Serialize};
 use std::time::Instant;
-use ternstack_peers::scope::{Digest, Entry};
-use ternstack_peers::version::{contradictions, Host, Repeat, Rules};
+use ternstack_replication::scope::{Digest, Entry};
+use ternstack_replication::version::{contradictions, Host, Repeat, Rules};
 
 /// The cost of one change of one quota.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
--- a/scale/src/fleet.rs
+++ b/scale/src/fleet.rs
@@ -11,12 +11,12 @@
 use std::time::Duration;
 use tempfile::TempDir;
 use ternstack_control::beside::save;
-use ternstack_peers::placing;
-use ternstack_peers::scope::{Digest, Key, Number, Scope};
-use ternstack_peers::snapshot::Snapshot;
-use ternstack_peers::store::Keeps;
-use ternstack_peers::tables::Tables;
-use ternstack_peers::wire::{decode, encode, Message, Status};
+use ternstack_replication::placing;
+use ternstack_replication::scope::{Digest, Key, Number, Scope};
+use ternstack_replication::snapshot::Snapshot;
+use ternstack_replication::store::Keeps;
+use ternstack_replication::tables::Tables;
+use ternstack_replication::wire::{decode, encode, Message, Status};
 use ternstack_rig::links::{Faults, Link};
 use ternstack_rig::process::Launch;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
@@ -320,8 +320,8 @@
 
 impl Traffic {
     /// What a control machine counted.
-    pub fn of(counts: &ternstack_peers::wire::Counts) -> Traffic {
-        let sums = |causes: &ternstack_peers::wire::Causes| {
+    pub fn of(counts: &ternstack_replication::wire::Counts) -> Traffic {
+        let sums = |causes: &ternstack_replication::wire::Causes| {
             let all = [
                 ("asks", causes.asks),
                 ("leases", causes.leases),
@@ -329,7 +329,7 @@
                 ("starts", causes.starts),
                 ("staff", causes.staff),
             ];
-            let sum = |tally: ternstack_peers::wire::Tally| crate::traffic::Sum {
+            let sum = |tally: ternstack_replication::wire::Tally| crate::traffic::Sum {
                 messages: tally.messages as f64,
                 bytes: tally.bytes as f64,
             };
--- a/scale/src/hollow.rs
+++ b/scale/src/hollow.rs
@@ -14,13 +14,13 @@
 use std::time::Duration;
 use ternstack_control::follow::{Beside, Follow, Following, Machine, Told as Heard};
 use ternstack_control::serve;
-use ternstack_peers::distributor::Distributor;
-use ternstack_peers::follower::{Acting, News};
-use ternstack_peers::origin::Origin;
-use ternstack_peers::placing;
-use ternstack_peers::scope::{Digest, Entry, Key, Scope};
-use ternstack_peers::store::{Keeps, Store};
-use ternstack_peers::wire::Member;
+use ternstack_replication::distributor::Distributor;
+use ternstack_replication::follower::{Acting, News};
+use ternstack_replication::origin::Origin;
+use ternstack_replication::placing;
+use ternstack_replication::scope::{Digest, Entry, Key, Scope};
+use ternstack_replication::store::{Keeps, Store};
+use ternstack_replication::wire::Member;
 use tokio::sync::mpsc;
 
 /// A distributor, as the choice among them sees it.
--- a/scale/src/judge.rs
+++ b/scale/src/judge.rs
@@ -2,8 +2,8 @@
 use crate::record::Span;
 use serde::Serialize;
 use std::collections::BTreeMap;
-use ternstack_peers::lease::Terms;
-use ternstack_peers::scope::{Digest, Number, Scope};
+use ternstack_replication::lease::Terms;
+use ternstack_replication::scope::{Digest, Number, Scope};
 
 /// Who follows a scope and has it whole at the end, by what they hold.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
--- a/scale/src/options.rs
+++ b/scale/src/options.rs
@@ -2,7 +2,7 @@
 use crate::faults::Fault;
 use crate::world::Size;
 use std::path::PathBuf;
-use ternstack_peers::lease::Terms;
+use ternstack_replication::lease::Terms;
 
 /// A run: a fleet of hollow gateways before an installation that is drawn from a seed.
 #[derive(Clone, Debug, clap::Args)]
--- a/scale/src/real.rs
+++ b/scale/src/real.rs
@@ -11,7 +11,7 @@
 use std::net::{SocketAddr, SocketAddrV4};
 use std::time::Duration;
 use tempfile::TempDir;
-use ternstack_peers::scope::{Change, Entry, Host, Key, Scope};
+use ternstack_replication::scope::{Change, Entry, Host, Key, Scope};
 use ternstack_rig::history::What;
 use ternstack_rig::peers::Client;
 use ternstack_rig::process::Launch;
--- a/scale/src/record.rs
+++ b/scale/src/record.rs
@@ -2,7 +2,7 @@
 use crate::hist::Times;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
-use ternstack_peers::scope::Number;
+use ternstack_replication::scope::Number;
 
 /// A follower acted on a version from one moment to another, in us.
 #[derive(Clone, Copy, Debug, PartialEq)]
--- a/scale/src/run.rs
+++ b/scale/src/run.rs
@@ -13,7 +13,7 @@
 use rustix::process::Signal;
 use serde::Serialize;
 use std::time::Duration;
-use ternstack_peers::scope::{Change, Entry, Key, Number, Scope};
+use ternstack_replication::scope::{Change, Entry, Key, Number, Scope};
 use ternstack_rig::links::{Faults, Way};
 use ternstack_rig::process::Launch;
 use tokio::time::{sleep, sleep_until, Instant};
@@ -288,7 +288,7 @@
         let number = self.drained % self.world.spared().min(self.world.hosts_of(0));
         self.drained += 1;
         let (scope, key, host) = self.world.host(number);
-        let entry = Some(Entry::Host(ternstack_peers::scope::Host { drains: true, ..host }));
+        let entry = Some(Entry::Host(ternstack_replication::scope::Host { drains: true, ..host }));
         self.staff.propose(vec![Change { scope, key, entry }]).await?;
         Ok((scope, key))
     }
@@ -422,7 +422,7 @@
         let distributors_keep_all = self.machines_whole().await.is_ok();
         let digests = self.staff.log().digests(self.world);
         let origin = look(self.fleet.origin.at).await?;
-        let mut sum = ternstack_peers::scope::Digest::default();
+        let mut sum = ternstack_replication::scope::Digest::default();
         digests.values().for_each(|d| sum.join(*d));
         let mut evidence = Evidence {
             followers: (report.followers, report.whole),
--- a/scale/src/world.rs
+++ b/scale/src/world.rs
@@ -4,8 +4,8 @@
 use serde::{Deserialize, Serialize};
 use std::collections::VecDeque;
 use std::net::{Ipv4Addr, SocketAddrV4};
-use ternstack_peers::scope::{Change, Entry, Host, Key, Route, Scope, TENANT_SCOPES};
-use ternstack_peers::version::Repeat;
+use ternstack_replication::scope::{Change, Entry, Host, Key, Route, Scope, TENANT_SCOPES};
+use ternstack_replication::version::Repeat;
 
 /// How large an installation is.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
--- a/scale/tests/judge.rs
+++ b/scale/tests/judge.rs
@@ -1,7 +1,7 @@
 //! The judge catches each planted offender, and holds nothing against a sound run.
 use std::collections::BTreeMap;
-use ternstack_peers::lease::Terms;
-use ternstack_peers::scope::{Digest, Entry, Key, Scope};
+use ternstack_replication::lease::Terms;
+use ternstack_replication::scope::{Digest, Entry, Key, Scope};
 use ternstack_scale::judge::{judge, longest_contradiction, Drain, Evidence, Held, Promise};
 use ternstack_scale::record::{spans, Reached, Track};
 
--- a/scale/tests/world.rs
+++ b/scale/tests/world.rs
@@ -1,6 +1,6 @@
 //! The installation and its changes as drawn.
 use std::collections::{BTreeMap, BTreeSet, HashMap};
-use ternstack_peers::scope::{Change, Entry, Scope};
+use ternstack_replication::scope::{Change, Entry, Scope};
 use ternstack_scale::world::{Size, Stream, World};
 
 const SIZE: Size = Size {
