--- a/control/tests/choice.rs
+++ b/control-plane/tests/choice.rs
@@ -1,5 +1,5 @@
 //! Whom a member calls, and when it leaves.
-use ternstack_control::choice::Choice;
+use ternstack_control_plane::choice::Choice;
 
 const PATIENCE: f64 = 950.0;
 
--- a/control/tests/folder.rs
+++ b/control-plane/tests/folder.rs
@@ -8,7 +8,7 @@
 use shim::{Control, Kind, ALWAYS};
 use std::path::Path;
 use std::sync::atomic::Ordering::Relaxed;
-use ternstack_control::beside::{read, save};
+use ternstack_control_plane::beside::{read, save};
 use ternstack_replication::snapshot::Snapshot;
 
 fn snapshot(version: u64) -> Snapshot {
--- a/control/tests/frames.rs
+++ b/control-plane/tests/frames.rs
@@ -1,5 +1,5 @@
 //! Frames on a stream: cut anywhere, joined anyhow, and none that is malformed gets through.
-use ternstack_control::frames::{write, Broken, Counter, Frames};
+use ternstack_control_plane::frames::{write, Broken, Counter, Frames};
 use ternstack_replication::scope::{Change, Digest, Entry, Key, Scope, Version};
 use ternstack_replication::wire::{
     Ask, Cursor, Grant, Interest, Malformed, Member, Message, Part, HEADER, LONGEST,
--- a/control/tests/machines.rs
+++ b/control-plane/tests/machines.rs
@@ -1,7 +1,7 @@
 //! An origin, two distributors and followers on real sockets. No outcome here depends on how fast the machine is.
 mod common;
 use common::*;
-use ternstack_control::follow::Told;
+use ternstack_control_plane::follow::Told;
 use ternstack_replication::follower::News;
 use ternstack_replication::scope::{Change, Entry, Key, Number, Scope};
 use tokio::io::copy_bidirectional;
--- a/control/tests/operator.rs
+++ b/control-plane/tests/operator.rs
@@ -1,5 +1,5 @@
 //! The operators' file and the staff's: read whole, or told by line, key and what was expected.
-use ternstack_control::operator::{changes, Operator, Role};
+use ternstack_control_plane::operator::{changes, Operator, Role};
 use ternstack_replication::lease::Terms;
 use ternstack_replication::scope::{Entry, Key, Scope};
 use ternstack_replication::version::Repeat;
--- a/control/tests/recorded_settings.rs
+++ b/control-plane/tests/recorded_settings.rs
@@ -3,7 +3,7 @@
 mod common;
 use common::fixtures;
 use std::fmt::Debug;
-use ternstack_control::operator::{changes, Operator, Role};
+use ternstack_control_plane::operator::{changes, Operator, Role};
 use ternstack_replication::scope::{Change, Entry, Scope};
 use ternstack_replication::version::Repeat;
 
--- a/scale/src/fleet.rs
+++ b/scale/src/fleet.rs
@@ -10,7 +10,7 @@
 use std::path::PathBuf;
 use std::time::Duration;
 use tempfile::TempDir;
-use ternstack_control::beside::save;
+use ternstack_control_plane::beside::save;
 use ternstack_replication::placing;
 use ternstack_replication::scope::{Digest, Key, Number, Scope};
 use ternstack_replication::snapshot::Snapshot;
