--- a/Makefile
+++ b/Makefile
@@ -1,6 +1,6 @@
 # The usual steps; .ci/run is what every change must pass.
 CONFIG ?= config.json
-EXPERIMENT ?= lab/experiments/jam.toml
+EXPERIMENT ?= fleet-simulator/experiments/jam.toml
 OUT ?= found
 
 .PHONY: build test lint run lab bench sites
@@ -19,10 +19,10 @@
 	LB_CONFIG=$(CONFIG) target/release/ternstack-gateway
 
 lab:
-	cargo run --release --locked -p ternstack-lab -- run $(EXPERIMENT) --out $(OUT)
+	cargo run --release --locked -p ternstack-fleet-simulator -- run $(EXPERIMENT) --out $(OUT)
 
 bench:
-	cargo bench --locked -p ternstack-lab
+	cargo bench --locked -p ternstack-fleet-simulator
 
 # Lays links to the bench's own files beside the variants; they are not the project's, and git does not keep them.
 # BENCH_SITES is the bench's folder that holds them: make sites BENCH_SITES=path/to/sites
--- a/lab/benches/decision.rs
+++ b/fleet-simulator/benches/decision.rs
@@ -1,11 +1,11 @@
 //! What one decision costs the module as the fleet grows: a message's arrival and its end, with a report. One
-//! gateway uses all hosts. `cargo bench -p ternstack-lab` prints microseconds a message.
+//! gateway uses all hosts. `cargo bench -p ternstack-fleet-simulator` prints microseconds a message.
 use criterion::{criterion_group, criterion_main, BenchmarkId, Criterion, Throughput};
 use ternstack_balancer::{
     Action, Arrival, AttemptEnd, Balancer, Class, Effect, Event, Group, ListKind, Member, Outcome, RequestId,
     ServerId, Settings, Tenant,
 };
-use ternstack_lab::policy::alone;
+use ternstack_fleet_simulator::policy::alone;
 
 fn settings() -> Settings {
     let class = Class {
--- a/lab/src/capacity/cli.rs
+++ b/fleet-simulator/src/capacity/cli.rs
@@ -4,7 +4,7 @@
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
 
-/// What `ternstack-lab capacity` takes.
+/// What `ternstack-fleet-simulator capacity` takes.
 #[derive(Args, Debug)]
 #[command(args_conflicts_with_subcommands = true)]
 pub struct Capacities {
--- a/lab/src/capacity/measure.rs
+++ b/fleet-simulator/src/capacity/measure.rs
@@ -68,7 +68,10 @@
     /// Prints what gave a figure.
     fn end(&self) {
         let of = self.what.to_possible_value().map_or(String::new(), |v| v.get_name().to_string());
-        println!("command = \"ternstack-lab capacity measure {of}\"\ncommit = \"{}\"", self.commit);
+        println!(
+            "command = \"ternstack-fleet-simulator capacity measure {of}\"\ncommit = \"{}\"",
+            self.commit
+        );
     }
 
     /// Prints a slope that is one figure.
--- a/lab/src/main.rs
+++ b/fleet-simulator/src/main.rs
@@ -1,23 +1,23 @@
-//! `ternstack-lab`: plays experiments in the model and reports on them.
+//! `ternstack-fleet-simulator`: plays experiments in the model and reports on them.
 use clap::{Parser, Subcommand};
 use indicatif::{ProgressBar, ProgressStyle};
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
 use std::time::Duration;
-use ternstack_lab::drive::Focus;
-use ternstack_lab::experiment::{Experiment, Results, Spent};
-use ternstack_lab::judge::Findings;
-use ternstack_lab::report;
-use ternstack_lab::statistics::{compare, Verdict};
+use ternstack_fleet_simulator::drive::Focus;
+use ternstack_fleet_simulator::experiment::{Experiment, Results, Spent};
+use ternstack_fleet_simulator::judge::Findings;
+use ternstack_fleet_simulator::report;
+use ternstack_fleet_simulator::statistics::{compare, Verdict};
 use ternstack_rig::process::{be_a_gateway, Launch};
 use ternstack_scale::run::Launches;
 
 /// Where the shipped experiments are, from the repository's root.
-const SHIPPED: &str = "lab/experiments";
+const SHIPPED: &str = "fleet-simulator/experiments";
 
 /// The laboratory: a model of a whole platform in virtual time round the gateways' real decisions.
 #[derive(Parser)]
-#[command(name = "ternstack-lab", version, about)]
+#[command(name = "ternstack-fleet-simulator", version, about)]
 struct Cli {
     /// Tell more; twice for the module's own log lines.
     #[arg(short, long, global = true, action = clap::ArgAction::Count)]
@@ -88,7 +88,7 @@
         seconds: u64,
     },
     /// Work out what each role needs at a size, from a file of sizes, budgets and measured slopes; or measure slopes.
-    Capacity(ternstack_lab::capacity::cli::Capacities),
+    Capacity(ternstack_fleet_simulator::capacity::cli::Capacities),
     /// Play a fleet of hollow gateways before control machines, measure it by role, and judge it from outside. Exits with
     /// 1 if a promise was broken.
     Scale(Box<ternstack_scale::options::Options>),
@@ -164,7 +164,7 @@
     match work(cli.command) {
         Ok(code) => code,
         Err(problem) => {
-            eprintln!("ternstack-lab: {problem}");
+            eprintln!("ternstack-fleet-simulator: {problem}");
             ExitCode::from(2)
         }
     }
@@ -186,7 +186,7 @@
             }
         }
         Command::Demo { plain: _, seconds } => return demo(seconds),
-        Command::Capacity(told) => return ternstack_lab::capacity::cli::run(told),
+        Command::Capacity(told) => return ternstack_fleet_simulator::capacity::cli::run(told),
         Command::Scale(options) => return scale(&options),
         Command::Gateway { .. } | Command::Part => {}
         Command::Trace { file, what, seed, variant } => trace(&file, what, seed, variant.as_deref())?,
@@ -259,8 +259,9 @@
         println!("{whole:.1} s of one core, {policy:.1} s of it in the policies");
     }
     // The comparison policies are not held to the rules: they are here to be compared.
-    let module =
-        |v: &&ternstack_lab::experiment::VariantResults| v.policy == ternstack_lab::policy::Which::Module;
+    let module = |v: &&ternstack_fleet_simulator::experiment::VariantResults| {
+        v.policy == ternstack_fleet_simulator::policy::Which::Module
+    };
     let broken: u64 = results.variants.iter().filter(module).map(|v| v.broken()).sum();
     Ok(if broken > 0 { ExitCode::FAILURE } else { ExitCode::SUCCESS })
 }
--- a/lab/tests/capacity.rs
+++ b/fleet-simulator/tests/capacity.rs
@@ -1,9 +1,9 @@
 //! The page of sizes: its arithmetic, its file's faults, its tables, and the play that its bound on tenants' limits rests on.
 use std::path::PathBuf;
 use std::process::Command;
-use ternstack_lab::capacity::limits::{play, Sizes, Terms};
-use ternstack_lab::capacity::page::{first_difference, with_tables};
-use ternstack_lab::capacity::{tables, Capacity, Moment, Slope};
+use ternstack_fleet_simulator::capacity::limits::{play, Sizes, Terms};
+use ternstack_fleet_simulator::capacity::page::{first_difference, with_tables};
+use ternstack_fleet_simulator::capacity::{tables, Capacity, Moment, Slope};
 
 /// A small file, in which staff have put a platform of their own.
 const OWN: &str = r#"
@@ -150,7 +150,8 @@
     std::fs::create_dir_all(&folder).expect("a folder");
     let file = folder.join("own.toml");
     std::fs::write(&file, OWN.replacen("slope = \"change\"", "slope = \"chnge\"", 1)).expect("written");
-    let ran = Command::new(env!("CARGO_BIN_EXE_ternstack-lab")).arg("capacity").arg(&file).output();
+    let ran =
+        Command::new(env!("CARGO_BIN_EXE_ternstack-fleet-simulator")).arg("capacity").arg(&file).output();
     let ran = ran.expect("runs");
     std::fs::remove_dir_all(&folder).expect("removed");
     let told = String::from_utf8_lossy(&ran.stderr).into_owned();
@@ -166,7 +167,7 @@
     assert_eq!(
         first_difference(&page, &wanted),
         None,
-        "put the tables there: ternstack-lab capacity --write"
+        "put the tables there: ternstack-fleet-simulator capacity --write"
     );
     let changed = page.replacen("| gateways | 8,900 |", "| gateways | 8,901 |", 1);
     assert!(first_difference(&changed, &wanted).is_some(), "a changed figure is seen");
--- a/lab/tests/cold.rs
+++ b/fleet-simulator/tests/cold.rs
@@ -2,9 +2,9 @@
 //! and none may leave one without work.
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
-use ternstack_lab::drive::Focus;
-use ternstack_lab::experiment::Experiment;
-use ternstack_lab::judge::Rule;
+use ternstack_fleet_simulator::drive::Focus;
+use ternstack_fleet_simulator::experiment::Experiment;
+use ternstack_fleet_simulator::judge::Rule;
 
 /// When the hosts of a zone are lost, and for how long, in seconds.
 const LOST: (f64, f64) = (4.0, 5.0);
--- a/lab/tests/experiments.rs
+++ b/fleet-simulator/tests/experiments.rs
@@ -1,10 +1,10 @@
 //! Experiments: what a file may say, what stays the same whatever plays it, and what a run must leave behind.
 use std::path::Path;
-use ternstack_lab::drive::Focus;
-use ternstack_lab::experiment::Experiment;
-use ternstack_lab::judge::Findings;
-use ternstack_lab::report;
-use ternstack_lab::statistics::{paired, Verdict};
+use ternstack_fleet_simulator::drive::Focus;
+use ternstack_fleet_simulator::experiment::Experiment;
+use ternstack_fleet_simulator::judge::Findings;
+use ternstack_fleet_simulator::report;
+use ternstack_fleet_simulator::statistics::{paired, Verdict};
 
 const SMALL: &str = r#"
 name = "small"
@@ -44,7 +44,8 @@
     let json = |jobs| serde_json::to_string(&small().run(jobs, &|| ()).expect("it plays").0).expect("JSON");
     let one = json(1);
     assert!(one == json(4), "one job and four differ");
-    let back: ternstack_lab::experiment::Results = serde_json::from_str(&one).expect("it reads back");
+    let back: ternstack_fleet_simulator::experiment::Results =
+        serde_json::from_str(&one).expect("it reads back");
     assert!(serde_json::to_string(&back).expect("JSON") == one, "it reads back as something else");
     assert!(report::html(&back, &[]).expect("a page").contains("<svg"));
     assert_eq!(report::table(&back).lines().count(), 2 + 3);
--- a/lab/tests/judge.rs
+++ b/fleet-simulator/tests/judge.rs
@@ -3,11 +3,11 @@
 use ternstack_balancer::{
     Action, AttemptEnd, Balancer, Event, Member, Outcome, RequestId, ServerId, Settings,
 };
-use ternstack_lab::drive::{play, Played, Setup};
-use ternstack_lab::experiment::Experiment;
-use ternstack_lab::judge::Rule;
-use ternstack_lab::policy::{Policy, Which};
-use ternstack_lab::world::us;
+use ternstack_fleet_simulator::drive::{play, Played, Setup};
+use ternstack_fleet_simulator::experiment::Experiment;
+use ternstack_fleet_simulator::judge::Rule;
+use ternstack_fleet_simulator::policy::{Policy, Which};
+use ternstack_fleet_simulator::world::us;
 
 /// How an offender offends.
 #[derive(Clone, Copy, Debug, PartialEq)]
--- a/lab/tests/shipped_experiments.rs
+++ b/fleet-simulator/tests/shipped_experiments.rs
@@ -3,7 +3,7 @@
 
 use std::fmt::Write as _;
 use std::path::{Path, PathBuf};
-use ternstack_lab::experiment::Experiment;
+use ternstack_fleet_simulator::experiment::Experiment;
 
 const DIGESTS: &str = include_str!("fixtures/shipped_experiments.txt");
 
--- a/lab/tests/theory.rs
+++ b/fleet-simulator/tests/theory.rs
@@ -8,11 +8,11 @@
     Action, Arrival, Balancer, Cause, Class, Effect, Event, Group, ListKind, Member, RequestId, ServerId,
     Tenant,
 };
-use ternstack_lab::policy::alone;
-use ternstack_lab::world::clients::Arrivals;
-use ternstack_lab::world::draw::{Shape, Span};
-use ternstack_lab::world::hosts::{Host, Job, Offer};
-use ternstack_lab::world::spec::{Kind, Report, World};
+use ternstack_fleet_simulator::policy::alone;
+use ternstack_fleet_simulator::world::clients::Arrivals;
+use ternstack_fleet_simulator::world::draw::{Shape, Span};
+use ternstack_fleet_simulator::world::hosts::{Host, Job, Offer};
+use ternstack_fleet_simulator::world::spec::{Kind, Report, World};
 
 /// Mean service of a job, in microseconds.
 const SERVICE: f64 = 100_000.0;
--- a/lab/tests/world.rs
+++ b/fleet-simulator/tests/world.rs
@@ -1,16 +1,16 @@
 //! The parts of the world, each by itself.
 use rand::SeedableRng;
 use rand_pcg::Pcg64Mcg;
-use ternstack_lab::trouble::{Act, Plan, Trouble, What};
-use ternstack_lab::world::clients::{again, patience, Message, TryEnd};
-use ternstack_lab::world::discovery::{Discovery, Entry, State};
-use ternstack_lab::world::draw::{Shape, Span};
-use ternstack_lab::world::front::Front;
-use ternstack_lab::world::hosts::{Done, Host, Job, Life, Offer};
-use ternstack_lab::world::spec::{
+use ternstack_fleet_simulator::trouble::{Act, Plan, Trouble, What};
+use ternstack_fleet_simulator::world::clients::{again, patience, Message, TryEnd};
+use ternstack_fleet_simulator::world::discovery::{Discovery, Entry, State};
+use ternstack_fleet_simulator::world::draw::{Shape, Span};
+use ternstack_fleet_simulator::world::front::Front;
+use ternstack_fleet_simulator::world::hosts::{Done, Host, Job, Life, Offer};
+use ternstack_fleet_simulator::world::spec::{
     self, BackOff, Cold, Crowding, Effect, Kind, Memory, Report, WarmBy, World,
 };
-use ternstack_lab::world::{us, Us};
+use ternstack_fleet_simulator::world::{us, Us};
 
 const MS: Us = 1000;
 
