--- a/control-plane/tests/folder.rs
+++ b/control-plane/tests/folder.rs
@@ -2,7 +2,7 @@
 //! rig's shim, within the test's own process.
 
 #[allow(dead_code)]
-#[path = "../../rig/shim/faults.rs"]
+#[path = "../../fault-tests/shim/faults.rs"]
 mod shim;
 
 use shim::{Control, Kind, ALWAYS};
--- a/rig/shim/faults.rs
+++ b/fault-tests/shim/faults.rs
@@ -1,6 +1,6 @@
 //! Makes system calls of a process fail in ways that Linux documents, as another process tells it to.
 //!
-//! `rig/build.rs` compiles this file alone into a library that the rig preloads into gateways; the gateway's tests include
+//! `fault-tests/build.rs` compiles this file alone into a library that the rig preloads into gateways; the gateway's tests include
 //! it as a module. It stands between the program and the C library: each function below takes the place of the one of the
 //! same name, makes the call fail if its fault is due, and else carries it out.
 //!
--- a/rig/src/main.rs
+++ b/fault-tests/src/main.rs
@@ -1,17 +1,17 @@
-//! `ternstack-rig`: starts real processes of the gateway, breaks what is between them, and judges from outside.
+//! `ternstack-fault-tests`: starts real processes of the gateway, breaks what is between them, and judges from outside.
 use clap::{Parser, Subcommand};
 use std::path::PathBuf;
 use std::process::ExitCode;
 use std::time::Duration;
-use ternstack_rig::matrix;
-use ternstack_rig::nemesis::{self, Schedule};
-use ternstack_rig::process::{be_a_gateway, Launch};
-use ternstack_rig::site::{Site, Size};
-use ternstack_rig::soak;
+use ternstack_fault_tests::matrix;
+use ternstack_fault_tests::nemesis::{self, Schedule};
+use ternstack_fault_tests::process::{be_a_gateway, Launch};
+use ternstack_fault_tests::site::{Site, Size};
+use ternstack_fault_tests::soak;
 
 /// The rig: many processes of the gateway, with links between them that fail by script.
 #[derive(Parser)]
-#[command(name = "ternstack-rig", version, about)]
+#[command(name = "ternstack-fault-tests", version, about)]
 struct Cli {
     #[command(subcommand)]
     command: Command,
@@ -94,7 +94,7 @@
         Ok(true) => ExitCode::SUCCESS,
         Ok(false) => ExitCode::FAILURE,
         Err(problem) => {
-            eprintln!("ternstack-rig: {problem}");
+            eprintln!("ternstack-fault-tests: {problem}");
             ExitCode::from(2)
         }
     }
--- a/rig/src/process.rs
+++ b/fault-tests/src/process.rs
@@ -47,7 +47,7 @@
 pub fn be_a_gateway() -> std::process::ExitCode {
     // Guards against processes that outlive a rig which was killed.
     if !end_with_parent() {
-        eprintln!("ternstack-rig: the rig that started this gateway is gone");
+        eprintln!("ternstack-fault-tests: the rig that started this gateway is gone");
         return std::process::ExitCode::FAILURE;
     }
     ternstack_gateway::program::main()
--- a/rig/tests/checkers.rs
+++ b/fault-tests/tests/checkers.rs
@@ -1,6 +1,6 @@
 //! Each checker catches its planted offenders, and finds nothing in the same history without them.
-use ternstack_rig::checkers::{check, Effect, Promise, Terms};
-use ternstack_rig::history::{Event, What};
+use ternstack_fault_tests::checkers::{check, Effect, Promise, Terms};
+use ternstack_fault_tests::history::{Event, What};
 
 fn terms() -> Terms {
     Terms {
--- a/rig/tests/links.rs
+++ b/fault-tests/tests/links.rs
@@ -1,7 +1,7 @@
 //! Each fault of a link does what it says, in its own direction only.
 use std::net::SocketAddr;
 use std::time::Duration;
-use ternstack_rig::links::{Datagrams, Door, Faults, Link, Then, Way};
+use ternstack_fault_tests::links::{Datagrams, Door, Faults, Link, Then, Way};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream, UdpSocket};
 use tokio::time::timeout;
--- a/rig/tests/processes.rs
+++ b/fault-tests/tests/processes.rs
@@ -2,12 +2,12 @@
 use std::path::PathBuf;
 use std::process::{Command, Stdio};
 use std::time::Duration;
-use ternstack_rig::matrix;
-use ternstack_rig::nemesis::{self, Schedule};
-use ternstack_rig::process::Launch;
-use ternstack_rig::site::{Site, Size};
+use ternstack_fault_tests::matrix;
+use ternstack_fault_tests::nemesis::{self, Schedule};
+use ternstack_fault_tests::process::Launch;
+use ternstack_fault_tests::site::{Site, Size};
 
-const RIG: &str = env!("CARGO_BIN_EXE_ternstack-rig");
+const RIG: &str = env!("CARGO_BIN_EXE_ternstack-fault-tests");
 
 fn launch() -> Launch {
     Launch { program: PathBuf::from(RIG), args: vec!["gateway".into()], variables: vec![] }
@@ -42,7 +42,7 @@
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
 async fn the_demo_keeps_every_promise() {
-    assert_eq!(ternstack_rig::demo::play(&launch(), Duration::from_secs(10)).await, Ok(true));
+    assert_eq!(ternstack_fault_tests::demo::play(&launch(), Duration::from_secs(10)).await, Ok(true));
 }
 
 #[test]
--- a/rig/tests/soak.rs
+++ b/fault-tests/tests/soak.rs
@@ -1,14 +1,14 @@
 //! The soak's judge against planted offenders, and a small soak judged by counts.
 use std::path::PathBuf;
 use std::time::Duration;
-use ternstack_rig::checkers::{check, Effect, Promise, Terms};
-use ternstack_rig::history::{Event, What};
-use ternstack_rig::process::Launch;
-use ternstack_rig::soak::faults::{named, Kind, Phase};
-use ternstack_rig::soak::report::Report;
-use ternstack_rig::soak::run::{play, Outcome, Plan};
+use ternstack_fault_tests::checkers::{check, Effect, Promise, Terms};
+use ternstack_fault_tests::history::{Event, What};
+use ternstack_fault_tests::process::Launch;
+use ternstack_fault_tests::soak::faults::{named, Kind, Phase};
+use ternstack_fault_tests::soak::report::Report;
+use ternstack_fault_tests::soak::run::{play, Outcome, Plan};
 
-const RIG: &str = env!("CARGO_BIN_EXE_ternstack-rig");
+const RIG: &str = env!("CARGO_BIN_EXE_ternstack-fault-tests");
 
 fn launch() -> Launch {
     Launch { program: PathBuf::from(RIG), args: vec!["gateway".into()], variables: vec![] }
--- a/fleet-simulator/src/capacity/load.rs
+++ b/fleet-simulator/src/capacity/load.rs
@@ -3,8 +3,8 @@
 use super::gateway::{config, host, Discovery, Gateway};
 use serde_json::json;
 use std::time::Duration;
-use ternstack_rig::history::Book;
-use ternstack_rig::peers::{Client, Host, Message};
+use ternstack_fault_tests::history::Book;
+use ternstack_fault_tests::peers::{Client, Host, Message};
 use tokio::time::{interval, Instant, MissedTickBehavior};
 
 /// A load.
--- a/fleet-simulator/src/main.rs
+++ b/fleet-simulator/src/main.rs
@@ -4,12 +4,12 @@
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
 use std::time::Duration;
+use ternstack_fault_tests::process::{be_a_gateway, Launch};
 use ternstack_fleet_simulator::drive::Focus;
 use ternstack_fleet_simulator::experiment::{Experiment, Results, Spent};
 use ternstack_fleet_simulator::judge::Findings;
 use ternstack_fleet_simulator::report;
 use ternstack_fleet_simulator::statistics::{compare, Verdict};
-use ternstack_rig::process::{be_a_gateway, Launch};
 use ternstack_scale::run::Launches;
 
 /// Where the shipped experiments are, from the repository's root.
@@ -123,7 +123,7 @@
     let launch = Launch::myself().map_err(|e| e.to_string())?;
     let runtime =
         tokio::runtime::Builder::new_multi_thread().enable_all().build().map_err(|e| e.to_string())?;
-    let kept = runtime.block_on(ternstack_rig::demo::play(&launch, Duration::from_secs(seconds)))?;
+    let kept = runtime.block_on(ternstack_fault_tests::demo::play(&launch, Duration::from_secs(seconds)))?;
     Ok(if kept { ExitCode::SUCCESS } else { ExitCode::FAILURE })
 }
 
--- a/gateway/tests/faults.rs
+++ b/gateway/tests/faults.rs
@@ -3,7 +3,7 @@
 
 mod common;
 #[allow(dead_code)]
-#[path = "../../rig/shim/faults.rs"]
+#[path = "../../fault-tests/shim/faults.rs"]
 mod shim;
 
 use common::*;
--- a/replication/tests/common/judge.rs
+++ b/replication/tests/common/judge.rs
@@ -1,10 +1,10 @@
 //! The leader's second step, and what is to be seen of the fleet.
 use super::*;
+use ternstack_fault_tests::checkers::{check, Promise, Terms as Promised};
+use ternstack_fault_tests::history::What;
 use ternstack_replication::follower::Acting;
 use ternstack_replication::origin::Happened;
 use ternstack_replication::store::Keeps;
-use ternstack_rig::checkers::{check, Promise, Terms as Promised};
-use ternstack_rig::history::What;
 
 impl World {
     /// The leader of today puts versions together and brings them into force.
--- a/replication/tests/common/mod.rs
+++ b/replication/tests/common/mod.rs
@@ -3,6 +3,7 @@
 #![allow(dead_code)] // Each test file uses a part of it.
 use rand_chacha::ChaCha8Rng;
 use std::collections::{BTreeMap, BinaryHeap};
+use ternstack_fault_tests::history::Event;
 use ternstack_replication::distributor::Distributor;
 use ternstack_replication::follower::Follower;
 use ternstack_replication::lease::Terms;
@@ -10,7 +11,6 @@
 use ternstack_replication::scope::{Change, Entry, Key, Number, Scope};
 use ternstack_replication::tables::Tables;
 use ternstack_replication::wire::{Ask, Grant, Member};
-use ternstack_rig::history::Event;
 
 mod judge;
 mod world;
--- a/scale/src/real.rs
+++ b/scale/src/real.rs
@@ -11,11 +11,11 @@
 use std::net::{SocketAddr, SocketAddrV4};
 use std::time::Duration;
 use tempfile::TempDir;
+use ternstack_fault_tests::history::What;
+use ternstack_fault_tests::peers::Client;
+use ternstack_fault_tests::process::Launch;
+use ternstack_fault_tests::site::{Site, Size};
 use ternstack_replication::scope::{Change, Entry, Host, Key, Scope};
-use ternstack_rig::history::What;
-use ternstack_rig::peers::Client;
-use ternstack_rig::process::Launch;
-use ternstack_rig::site::{Site, Size};
 use tokio::time::{sleep, sleep_until, Instant};
 
 /// Servers of each gateway.
@@ -174,7 +174,7 @@
 
     /// Tells one server to drain; requests that arrive there once the bound is over, and those at all servers meanwhile.
     pub async fn drain(&self, staff: &mut Proposer, within: Duration) -> Result<(u64, u64), String> {
-        let arrived = |events: Vec<ternstack_rig::history::Event>| {
+        let arrived = |events: Vec<ternstack_fault_tests::history::Event>| {
             let hosts = events.into_iter().filter_map(|e| match e.what {
                 What::Arrived { host, .. } => Some(host),
                 _ => None,
--- a/scale/src/run.rs
+++ b/scale/src/run.rs
@@ -13,9 +13,9 @@
 use rustix::process::Signal;
 use serde::Serialize;
 use std::time::Duration;
+use ternstack_fault_tests::links::{Faults, Way};
+use ternstack_fault_tests::process::Launch;
 use ternstack_replication::scope::{Change, Entry, Key, Number, Scope};
-use ternstack_rig::links::{Faults, Way};
-use ternstack_rig::process::Launch;
 use tokio::time::{sleep, sleep_until, Instant};
 
 /// The operators' bound on a change, in force everywhere: a drain that was told is obeyed within it.
--- a/scale/tests/fleet.rs
+++ b/scale/tests/fleet.rs
@@ -1,7 +1,7 @@
 //! The scale run's twin: a small fleet of real processes through changes and a killed distributor, judged by counts and
 //! digests. What the judge says of times depends on the machine, so that is left to the run itself.
 use clap::Parser;
-use ternstack_rig::process::Launch;
+use ternstack_fault_tests::process::Launch;
 use ternstack_scale::judge::Promise;
 use ternstack_scale::options::Options;
 use ternstack_scale::run::{play, Launches};
