--- a/fleet-simulator/src/main.rs
+++ b/fleet-simulator/src/main.rs
@@ -10,7 +10,7 @@
 use ternstack_fleet_simulator::judge::Findings;
 use ternstack_fleet_simulator::report;
 use ternstack_fleet_simulator::statistics::{compare, Verdict};
-use ternstack_scale::run::Launches;
+use ternstack_scale_tests::run::Launches;
 
 /// Where the shipped experiments are, from the repository's root.
 const SHIPPED: &str = "fleet-simulator/experiments";
@@ -91,7 +91,7 @@
     Capacity(ternstack_fleet_simulator::capacity::cli::Capacities),
     /// Play a fleet of hollow gateways before control machines, measure it by role, and judge it from outside. Exits with
     /// 1 if a promise was broken.
-    Scale(Box<ternstack_scale::options::Options>),
+    Scale(Box<ternstack_scale_tests::options::Options>),
     /// Be a gateway: the demo starts itself so.
     #[command(hide = true)]
     Gateway {
@@ -128,11 +128,11 @@
 }
 
 /// Plays fleets of hollow gateways.
-fn scale(options: &ternstack_scale::options::Options) -> Result<ExitCode, String> {
+fn scale(options: &ternstack_scale_tests::options::Options) -> Result<ExitCode, String> {
     let program = std::env::current_exe().map_err(|e| e.to_string())?;
     let part = Launch { program, args: vec!["part".into()], variables: Vec::new() };
     let gateway = Some(Launch::myself().map_err(|e| e.to_string())?);
-    let kept = ternstack_scale::command::command(options, &Launches { part, gateway })?;
+    let kept = ternstack_scale_tests::command::command(options, &Launches { part, gateway })?;
     Ok(if kept { ExitCode::SUCCESS } else { ExitCode::FAILURE })
 }
 
@@ -153,7 +153,7 @@
         return be_a_gateway();
     }
     if matches!(cli.command, Command::Part) {
-        return ternstack_scale::hollow::be_a_part();
+        return ternstack_scale_tests::hollow::be_a_part();
     }
     let level = match cli.verbose {
         0 => tracing::Level::WARN,
--- a/scale/src/hollow.rs
+++ b/scale-tests/src/hollow.rs
@@ -42,7 +42,7 @@
     match worked {
         Ok(()) => ExitCode::SUCCESS,
         Err(problem) => {
-            eprintln!("ternstack-scale: {problem}");
+            eprintln!("ternstack-scale-tests: {problem}");
             ExitCode::FAILURE
         }
     }
--- a/scale/tests/fleet.rs
+++ b/scale-tests/tests/fleet.rs
@@ -2,9 +2,9 @@
 //! digests. What the judge says of times depends on the machine, so that is left to the run itself.
 use clap::Parser;
 use ternstack_fault_tests::process::Launch;
-use ternstack_scale::judge::Promise;
-use ternstack_scale::options::Options;
-use ternstack_scale::run::{play, Launches};
+use ternstack_scale_tests::judge::Promise;
+use ternstack_scale_tests::options::Options;
+use ternstack_scale_tests::run::{play, Launches};
 
 #[derive(Parser)]
 struct Cli {
@@ -21,7 +21,7 @@
     let options = Cli::try_parse_from(SMALL.split_whitespace()).map_err(|e| e.to_string())?.options;
     let plans = options.plans()?;
     let part = Launch {
-        program: env!("CARGO_BIN_EXE_ternstack-part").into(),
+        program: env!("CARGO_BIN_EXE_ternstack-scale-worker").into(),
         args: Vec::new(),
         variables: Vec::new(),
     };
--- a/scale/tests/options.rs
+++ b/scale-tests/tests/options.rs
@@ -1,7 +1,7 @@
 //! What a run is told: defaults, steps, and faults of the command line by name.
 use clap::Parser;
-use ternstack_scale::faults::Fault;
-use ternstack_scale::options::{Options, Plan};
+use ternstack_scale_tests::faults::Fault;
+use ternstack_scale_tests::options::{Options, Plan};
 
 #[derive(Parser)]
 struct Cli {
--- a/scale/src/main.rs
+++ /dev/null
@@ -1,4 +0,0 @@
-//! `ternstack-part`: a process of a fleet by itself, for the tests, which have no laboratory to start.
-fn main() -> std::process::ExitCode {
-    ternstack_scale::hollow::be_a_part()
-}
