--- a/balancer/src/balance.rs
+++ b/balancer/src/balance.rs
@@ -1,9 +1,9 @@
-//! All decisions of the balancer. Its types, events and actions are in `src/interface.rs`.
+//! All decisions of the balancer. Its types, events and actions are in `src/event.rs` and `src/action.rs`.
 //!
 //! Reading order: tenant limiter, server health and weight, pick, request life, probes. The mechanism is
 //! that of "Teaching Abusive Users a Lesson with Recent Average Rate Limiters" with a weighted random pick.
-use crate::interface::*;
 use crate::state::*;
+use crate::{action::*, event::*, ids::*, settings::*};
 
 const HALFLIFE_MS: f64 = 2000.0; // Of the rate estimates: past chance clusters, yet soon enough for a burst.
 const UTIL_FLOOR: f64 = 0.2; // Reported utilisation counts as this at least, as the design has it.
@@ -86,7 +86,7 @@
     /// Learnt only while no limit binds: refusals lower the own rate, and with it the next limit, and so on.
     fn learn_fraction(&mut self, now: f64) {
         let own: f64 = self.fleet.active().map(|s| s.sent.per_s(now)).sum();
-        let reported = self.fleet.mean(|s| s.last_report.throughput);
+        let reported = self.fleet.mean(|s| s.last_report.throughput_per_s);
         let Some(mean) = reported.filter(|mean| *mean > 0.0) else { return };
         let fraction = (own / (mean * self.fleet.size() as f64)).clamp(self.even / 4.0, 1.0);
         self.fraction += FRACTION_GAIN * (fraction - self.fraction);
@@ -133,7 +133,7 @@
 
     /// How busy the servers of the own zone (side 0) or of the others are.
     fn busy(&self, side: usize) -> Option<f64> {
-        if !self.settings.live_weights {
+        if !self.settings.weights_reflect_load {
             return self.fleet.mean_of(self.fleet.used[side].iter(), |s| s.last_report.utilization);
         }
         let busy = |s: &Server| Some(1.0 - 1.0 / (1.0 + HELD_FULL * s.crowd));
@@ -143,7 +143,7 @@
     /// Guards against a zone with more traffic than its servers carry: what spills is learnt from busyness.
     pub(crate) fn learn_spill(&mut self, now: f64) {
         let (Some(own), far) = (self.busy(0), self.busy(1).unwrap_or(SPILL)) else { return };
-        let excess = own - far - self.settings.cross_price;
+        let excess = own - far - self.settings.cross_zone_cost_ratio;
         let part = ((now - self.spill_at) / (SPILL_AIMS * self.aim)).min(1.0);
         (self.spill, self.spill_at) = ((self.spill + excess * part).clamp(0.0, 0.9), now);
     }
@@ -163,8 +163,8 @@
     /// The part of its capacity that a server can be trusted with, by its age.
     pub(crate) fn warmth(&self, now: f64, s: &Server) -> f64 {
         let age = if s.young_since > 0.0 { (now - s.young_since).max(0.0) } else { f64::INFINITY };
-        let gained = (age / self.settings.cold_ms.max(1.0)).min(1.0);
-        self.settings.cold_share + (1.0 - self.settings.cold_share) * gained
+        let gained = (age / self.settings.slow_start_ms.max(1.0)).min(1.0);
+        self.settings.slow_start_min_ratio + (1.0 - self.settings.slow_start_min_ratio) * gained
     }
 
     /// Slow start: the time between sends with which all gateways' together stay within what the server's age
@@ -177,8 +177,8 @@
         let sent = self.fleet.mean(|s| Some(s.sent.per_s(now) / self.share)).unwrap_or(0.0);
         let by_age = self.fleet.mean(|s| s.capacity).unwrap_or(sent).max(1.0) * size * self.warmth(now, s);
         let carries = (by_age + s.capacity.unwrap_or(0.0).min(by_age)) * mine;
-        let carries = carries * (COLD_PART * self.settings.tip_multiple).min(1.0);
-        (1000.0 / carries.max(1e-3)).min(self.settings.cold_ms)
+        let carries = carries * (COLD_PART * self.settings.slow_start_overload_multiple).min(1.0);
+        (1000.0 / carries.max(1e-3)).min(self.settings.slow_start_ms)
     }
 
     /// This gateway's part of what a cold server is sent, by numbers that all gateways know: so many of them,
@@ -186,9 +186,9 @@
     /// Guards against a share by the mean number of users, which a zone that comes back multiplies.
     fn cold_part(&self, now: f64, s: &Server) -> Option<f64> {
         (self.warmth(now, s) < 1.0).then(|| {
-            let (me, all) = (u64::from(self.settings.me), f64::from(self.settings.instances));
+            let (me, all) = (u64::from(self.settings.gateway_index), f64::from(self.settings.gateway_count));
             let users = (3.0 * USERS).max(2.0 * FEW * all / self.fleet.size().max(1) as f64).min(all);
-            let at = me.wrapping_sub(s.listed.place).wrapping_mul(0x9e3779b97f4a7c15) as f64 / 2f64.powi(64);
+            let at = me.wrapping_sub(s.listed.hash).wrapping_mul(0x9e3779b97f4a7c15) as f64 / 2f64.powi(64);
             f64::from(u8::from(at * all < users)) / users
         })
     }
@@ -199,15 +199,15 @@
         if capacity <= 0.0 {
             return BLIND_BOUND * self.share;
         }
-        let reported = s.last_report.throughput.filter(|t| *t > 0.0);
+        let reported = s.last_report.throughput_per_s.filter(|t| *t > 0.0);
         let part = reported.map_or(self.share, |t| (s.sent.per_s(now) / t).clamp(self.share, 1.0));
         capacity * part * s.squeeze * self.aim * QUEUE_PART / 1000.0
     }
 
-    pub(crate) fn on_report(&mut self, id: ServerId, report: Report) {
+    pub(crate) fn on_report(&mut self, id: EndpointId, report: LoadReport) {
         let mean = self.fleet.mean(|s| s.capacity);
         let Some(s) = self.fleet.servers.get_mut(&id) else { return };
-        let (Some(u), Some(t)) = (report.utilization, report.throughput) else { return };
+        let (Some(u), Some(t)) = (report.utilization, report.throughput_per_s) else { return };
         if !u.is_finite() || !t.is_finite() || u < 0.0 || t < 0.0 || report == s.last_report {
             return;
         }
@@ -219,7 +219,7 @@
             let gain = sure * if s.capacity.is_some() { REPORT_GAIN } else { 1.0 };
             s.capacity = Some(s.capacity.or(mean).map_or(new, |w| w + gain * (new - w)));
         }
-        if let (Some(backlog), false) = (report.backlog, self.settings.live_weights) {
+        if let (Some(backlog), false) = (report.queue_length, self.settings.weights_reflect_load) {
             let may_wait = s.capacity.unwrap_or(t) * self.aim * QUEUE_PART / 1000.0;
             self.trust = TRUST;
             s.crowd += CROWD_GAIN * ((backlog / may_wait.max(1.0)).min(9.0) - s.crowd);
@@ -231,14 +231,14 @@
     pub(crate) fn on_server_news(&mut self, now: f64, end: &AttemptEnd) {
         let typical = 2.0 * self.latency.iter().copied().fold(0.0, f64::max);
         let class = self.requests.get(&end.request).map(|r| r.class);
-        let aim = class.map(|class| self.settings.classes[class].aim_ms);
+        let aim = class.map(|class| self.settings.classes[class].latency_objective_ms);
         let patient = aim.map_or(typical, |aim| typical.min(STALL_PART * aim));
         // Guards against a server that answers, but far later than its peers and the aim.
         let slow = end.outcome == Outcome::Served && end.latency_ms > typical.max(self.aim);
-        let stalled = slow || (end.outcome == Outcome::NoAnswer && end.latency_ms >= patient);
+        let stalled = slow || (end.outcome == Outcome::ResponseTimeout && end.latency_ms >= patient);
         let failed = stalled
-            || matches!(end.outcome, Outcome::ServerError | Outcome::NoConnection | Outcome::ConnectionLost);
-        let tells = failed || matches!(end.outcome, Outcome::Served | Outcome::TurnedAway);
+            || matches!(end.outcome, Outcome::ServerError | Outcome::ConnectFailed | Outcome::ConnectionLost);
+        let tells = failed || matches!(end.outcome, Outcome::Served | Outcome::Rejected);
         let excuse = if tells { self.judge(end.request, [failed, stalled]) } else { 0.0 };
         // Guards against ejecting most of the fleet when everything fails or is slow at once.
         let mean = self.mean_fault();
@@ -247,9 +247,9 @@
         let of_tenant = tenant.map_or(0.0, |t| (self.faults[t][0] - all) / (1.0 - all).max(0.2));
         let (aim, half, few) = (self.aim, FAULT_AIMS * self.aim, self.few());
         let busy = |s: &&Server| few < 1.0 && s.last_report.utilization.is_some_and(|u| u >= UTIL_SURE);
-        let part = self.fleet.servers.get(&end.server).filter(busy);
+        let part = self.fleet.servers.get(&end.endpoint).filter(busy);
         let part = part.map_or(1.0, |s| self.bound(now, s, self.mean_capacity()));
-        let Some(s) = self.fleet.servers.get_mut(&end.server) else { return };
+        let Some(s) = self.fleet.servers.get_mut(&end.endpoint) else { return };
         // Guards against a crowd that stays, of one request from each of many gateways: what takes longer
         // than usual at a busy server waits for that much there, so each lets the others have their turns.
         let turns = if part < 1.0 { TURNS * (1.0 / self.share - 1.0) * (1.0 - few) } else { 0.0 };
@@ -269,10 +269,10 @@
         }
         s.out = s.out.saturating_sub(1);
         match end.outcome {
-            Outcome::Served | Outcome::TurnedAway if !slow => {
+            Outcome::Served | Outcome::Rejected if !slow => {
                 s.fail.0 -= FAULT_GAIN * s.fail.0;
                 // Guards against a black hole: a full server answers fastest and looks the emptiest.
-                if end.outcome == Outcome::TurnedAway {
+                if end.outcome == Outcome::Rejected {
                     s.next_send = now + FULL_AIMS * aim;
                 }
                 // A machine back from silence may have restarted: cold before the list says so.
@@ -281,9 +281,9 @@
                 }
                 (s.quiet_since, s.heard_at, s.proven) = (now, now, true);
             }
-            Outcome::CalledOff | Outcome::NotSent => {}
+            Outcome::Cancelled | Outcome::NotSent => {}
             // Guards against blaming a server for an attempt that was sent too late to be answered.
-            Outcome::NoAnswer if !stalled => {}
+            Outcome::ResponseTimeout if !stalled => {}
             Outcome::ServerError => (s.quiet_since, s.heard_at, s.ejected) = (now, now, None),
             _ => {
                 if slow {
@@ -292,13 +292,13 @@
                 s.fail.0 += FAULT_GAIN * (1.0 - excuse - s.fail.0);
                 // Guards against a list that names what does not exist, or keeps what has died: without its
                 // word, or an answer ever, the first failed connection is enough.
-                let dead = (!s.proven || s.unlisted.is_some()) && end.outcome == Outcome::NoConnection;
+                let dead = (!s.proven || s.unlisted.is_some()) && end.outcome == Outcome::ConnectFailed;
                 if dead || Self::outlier(s.fail.0, mean) || s.ejected.is_some() {
                     let longest = MAX_EJECT_AIMS * aim;
                     let wait = s.ejected.map_or(EJECT_AIMS * aim, |(_, wait)| (wait * 2.0).min(longest));
                     s.ejected = Some((now + wait, wait));
                     if s.unlisted.is_some() && wait >= longest {
-                        s.listed.readiness = Readiness::Left;
+                        s.listed.readiness = Readiness::Removed;
                         self.follow(now);
                     }
                     self.refill(now);
@@ -364,10 +364,11 @@
     }
 
     /// Takes one more server into use: a low-discrepancy sequence over all gateways uses servers evenly.
-    fn widen(&mut self, now: f64, side: usize) -> Option<ServerId> {
+    fn widen(&mut self, now: f64, side: usize) -> Option<EndpointId> {
         self.drawn += 1.0;
         let (row, used) = (&self.fleet.rows[side], &self.fleet.used[side]);
-        let at = (f64::from(self.settings.me) * 0.618_033_988_75 + self.drawn * 0.414_213_562_37).fract();
+        let at = (f64::from(self.settings.gateway_index) * 0.618_033_988_75 + self.drawn * 0.414_213_562_37)
+            .fract();
         let from = (at * row.len() as f64) as usize;
         let mut ids = (0..row.len()).map(|n| row[(from + n) % row.len()]);
         let others = |s: &Server| self.cold_part(now, s) == Some(0.0);
@@ -386,10 +387,10 @@
                 continue;
             }
             let (row, used) = (&self.fleet.rows[side], &self.fleet.used[side]);
-            let part = |id: &ServerId| self.cold_part(now, &self.fleet.servers[id]);
+            let part = |id: &EndpointId| self.cold_part(now, &self.fleet.servers[id]);
             let mine = row.iter().filter(|id| part(id) > Some(0.0) && !used.contains(id));
             let used: Vec<_> = used.iter().chain(mine).copied().collect();
-            let fit = |id: &&ServerId| part(id) != Some(0.0) && self.fleet.servers[id].ejected.is_none();
+            let fit = |id: &&EndpointId| part(id) != Some(0.0) && self.fleet.servers[id].ejected.is_none();
             let mut fit = used.iter().filter(fit).count();
             self.fleet.used[side] = used;
             while fit < wanted && self.widen(now, side).is_some() {
@@ -412,7 +413,7 @@
     }
 
     /// Draws a server for an attempt: at random by weight, own zone first, where there is room.
-    fn pick(&mut self, now: f64, request: &Request) -> Option<ServerId> {
+    fn pick(&mut self, now: f64, request: &Request) -> Option<EndpointId> {
         let class = &self.settings.classes[request.class];
         let mean = self.mean_capacity();
         let (fault, half) = (self.mean_fault(), FAULT_AIMS * self.aim);
@@ -420,12 +421,18 @@
         let typical = self.latency.iter().copied().fold(0.0, f64::max);
         let ran = request.ran();
         let (mut own, mut far, mut spare) = (Vec::new(), Vec::new(), false);
-        let keyed = class.effect == Effect::Keyed && class.group != Group::All && ran.is_some();
+        let keyed = class.idempotency == Idempotency::IdempotentWithKey
+            && class.deduplication_scope != DeduplicationScope::All
+            && ran.is_some();
         for &id in if keyed { &self.fleet.rows } else { &self.fleet.used }.iter().flatten() {
             let Some(s) = self.fleet.servers.get(&id) else { continue };
-            let same = match (class.effect, class.group, ran) {
-                (Effect::Keyed, Group::Zone, Some(first)) => first.home.0 == s.listed.zone,
-                (Effect::Keyed, Group::Cell, Some(first)) => first.home.1 == s.listed.cell,
+            let same = match (class.idempotency, class.deduplication_scope, ran) {
+                (Idempotency::IdempotentWithKey, DeduplicationScope::Zone, Some(first)) => {
+                    first.home.0 == s.listed.zone
+                }
+                (Idempotency::IdempotentWithKey, DeduplicationScope::Cell, Some(first)) => {
+                    first.home.1 == s.listed.cell
+                }
                 _ => true,
             };
             let tried = request.attempts.iter().any(|a| a.server == id) && self.fleet.servers.len() > 1;
@@ -438,7 +445,7 @@
                 let used = self.fleet.used[usize::from(s.listed.zone != self.settings.zone)].len() as f64;
                 let lost = f64::from(u8::from(now - s.heard_at > MAX_EJECT_AIMS * self.aim));
                 let trial_at = trial_at + lost * wait * (used / self.wanted() as f64 - 1.0).max(0.0);
-                let spare = class.effect == Effect::Safe || !self.has_safe;
+                let spare = class.idempotency == Idempotency::Idempotent || !self.has_safe;
                 if trial_at <= now && s.out == 0 && spare && request.attempts.is_empty() {
                     return Some(id);
                 }
@@ -463,7 +470,8 @@
             // Guards against filling the rest with a class that a server takes which fails another one.
             let free = if s.errors.iter().any(|e| e.0 > ERROR_PART) { LEFT_OUT_LEAN } else { 1.0 };
             // Guards against a handshake for each request, where idle connections close soon.
-            let warm = if now - s.heard_at < self.settings.idle_ms { 1.0 } else { NOT_WARM };
+            let warm =
+                if now - s.heard_at < self.settings.connection_idle_timeout_ms { 1.0 } else { NOT_WARM };
             let healthy = (1.0 - Self::fault(now, s.fail, fault, half)) * (1.0 - wrong);
             let weight = warm * free * self.weight(now, s, mean) * (1.0 - filled) * s.squeeze;
             let weight = weight * healthy.powi(FAULT_POWER) / (1.0 + HELD_FULL * s.crowd);
@@ -490,8 +498,8 @@
     // ---- request life ----
 
     pub(crate) fn on_request(&mut self, now: f64, arrival: Arrival, actions: &mut Vec<Action>) {
-        let Arrival { request: id, class, tenant, patience_ms, .. } = arrival;
-        if !self.settings.live_weights {
+        let Arrival { request: id, class, tenant, client_timeout_ms: patience_ms, .. } = arrival;
+        if !self.settings.weights_reflect_load {
             self.learn_spill(now);
         }
         let fill = self.fill(now);
@@ -499,13 +507,14 @@
         // Worth counts from the first try: what comes too late to earn any needs room.
         let age = self.age(class, tenant, patience_ms);
         let c = &self.settings.classes[class];
-        let late = age + self.latency[class].min(c.aim_ms / 2.0) > c.aim_ms;
-        let worthless = late && self.rng.rand_float() >= c.late_value
-            || full && patience_ms < (2.0 * self.latency[class]).min(c.aim_ms / 2.0);
+        let late = age + self.latency[class].min(c.latency_objective_ms / 2.0) > c.latency_objective_ms;
+        let worthless = late && self.rng.rand_float() >= c.late_value_ratio
+            || full && patience_ms < (2.0 * self.latency[class]).min(c.latency_objective_ms / 2.0);
         // Guards against a jam: given up, what was sent goes on at its server while its client comes again.
         let end = now + patience_ms - 1.5 * self.settings.tick_ms;
-        let useful = if late { end } else { end.min(now + c.aim_ms - age) };
-        let end = if c.late_value > 0.0 { end } else { useful }; // A cancel may free a host of what waits.
+        let useful = if late { end } else { end.min(now + c.latency_objective_ms - age) };
+        // A cancel may free an endpoint of what waits there.
+        let end = if c.late_value_ratio > 0.0 { end } else { useful };
         self.retries = (self.retries + RETRY_PART).min(RETRY_BURST);
         self.probes = (self.probes + PROBE_PART).min(RETRY_BURST);
         // Guards against a crowd of which a gateway sees little, and a squeeze with less than one to cut.
@@ -516,11 +525,11 @@
         // Guards against a tenant or class that stalls everywhere, and holds slots of others meanwhile.
         let stalls = (2.2 * self.excuse(tenant, class, 1) - 1.0).min(STALL_SHED);
         let refusal = match tenant.and_then(|t| self.over_limit(now, t, full)) {
-            Some(retry_after) => Some((Cause::OverLimit, retry_after)),
+            Some(retry_after) => Some((RejectionReason::QuotaExceeded, retry_after)),
             None if self.rng.rand_float() < crowded.max(1.0 - kept.unwrap_or(1.0)).max(stalls) => {
-                Some((Cause::NoRoom, f64::INFINITY))
+                Some((RejectionReason::NoCapacity, f64::INFINITY))
             }
-            None => (worthless && fill >= LATE_ROOM).then_some((Cause::TooLate, f64::INFINITY)),
+            None => (worthless && fill >= LATE_ROOM).then_some((RejectionReason::TooLate, f64::INFINITY)),
         };
         if let Some((cause, retry_after)) = refusal {
             return self.refuse(id, cause, retry_after, actions);
@@ -557,16 +566,18 @@
         let Some(request) = self.requests.get(&id) else { return };
         let late = now + self.latency[request.class].max(2.0 * WAKE_MS) > request.useful;
         if late || !self.may_repeat(now, id) {
-            self.end(id, Cause::NoRoom, actions);
+            self.end(id, RejectionReason::NoCapacity, actions);
         } else {
             self.held.push(id);
         }
     }
 
-    fn refuse(&mut self, request: RequestId, cause: Cause, retry_after: f64, actions: &mut Vec<Action>) {
+    fn refuse(
+        &mut self, request: RequestId, cause: RejectionReason, retry_after: f64, actions: &mut Vec<Action>,
+    ) {
         self.refused[cause as usize] += 1;
         let retry_after_ms = retry_after.clamp(0.0, self.settings.max_retry_after_ms);
-        actions.push(Action::Refuse { request, cause, retry_after_ms });
+        actions.push(Action::Reject { request, reason: cause, retry_after_ms });
     }
 
     /// Sends the request's next attempt if a server has room for it.
@@ -586,7 +597,7 @@
                 s.ejected = s.ejected.map(|(_, wait)| (now + wait, wait));
             }
             // Guards against a jam: what is given up goes on at its server, and its repeat adds to that.
-            actions.push(Action::Send { request: id, server, until: request.end });
+            actions.push(Action::Send { request: id, endpoint: server, give_up_at_ms: request.end });
         }
         self.requests.insert(id, request);
         picked.is_some()
@@ -594,15 +605,15 @@
 
     pub(crate) fn on_attempt_end(&mut self, now: f64, end: &AttemptEnd, actions: &mut Vec<Action>) {
         let (id, latency) = (end.request, end.latency_ms);
-        let (served, timed_out) = (end.outcome == Outcome::Served, end.outcome == Outcome::NoAnswer);
+        let (served, timed_out) = (end.outcome == Outcome::Served, end.outcome == Outcome::ResponseTimeout);
         let Some(&Request { class, tenant, .. }) = self.requests.get(&id) else { return };
         let blame = 1.0 - self.excuse(tenant, class, 0);
         let Some(request) = self.requests.get_mut(&id) else { return };
         if let Some(a) = request.attempts.get_mut(end.attempt as usize) {
             (a.out, a.may_have_run) = (false, !end.outcome.never_ran());
         }
-        let good = latency < GOOD_PART * self.settings.classes[class].aim_ms;
-        match self.fleet.servers.get_mut(&end.server) {
+        let good = latency < GOOD_PART * self.settings.classes[class].latency_objective_ms;
+        match self.fleet.servers.get_mut(&end.endpoint) {
             Some(s) if served && good => s.squeeze = (s.squeeze + SQUEEZE_GAIN).min(1.0),
             Some(s) if served || (timed_out && !good) => {
                 s.squeeze = (s.squeeze * SQUEEZE_CUT.powf(blame)).max(SQUEEZE_FLOOR)
@@ -613,7 +624,7 @@
         if served || (timed_out && latency > self.latency[class]) {
             self.latency[class] += blame * LATENCY_GAIN * (latency - self.latency[class]);
         }
-        if end.complete {
+        if end.request_complete {
             self.requests.remove(&id);
             self.held.retain(|h| *h != id);
             return;
@@ -629,7 +640,7 @@
                 self.hold(now, id, actions);
             }
         } else {
-            self.end(id, Cause::Failed, actions);
+            self.end(id, RejectionReason::AttemptsFailed, actions);
         }
     }
 
@@ -638,17 +649,19 @@
         let Some(request) = self.requests.get(&id) else { return false };
         let class = &self.settings.classes[request.class];
         let first = request.ran();
-        match (class.effect, first) {
-            (Effect::Safe, _) | (_, None) => true,
-            (Effect::Keyed, Some(first)) => now < first.sent_at + class.window_ms,
-            (Effect::Unsafe, Some(_)) => false,
+        match (class.idempotency, first) {
+            (Idempotency::Idempotent, _) | (_, None) => true,
+            (Idempotency::IdempotentWithKey, Some(first)) => {
+                now < first.sent_at + class.deduplication_window_ms
+            }
+            (Idempotency::NonIdempotent, Some(_)) => false,
         }
     }
 
     /// Ends a request unserved: refused where that promise is true, else failed.
-    fn end(&mut self, id: RequestId, cause: Cause, actions: &mut Vec<Action>) {
+    fn end(&mut self, id: RequestId, cause: RejectionReason, actions: &mut Vec<Action>) {
         let Some(request) = self.requests.remove(&id) else { return };
-        if self.settings.classes[request.class].may_refuse(request.ran().is_some()) {
+        if self.settings.classes[request.class].may_reject(request.ran().is_some()) {
             // Its worth is gone: the client should not come back soon.
             self.refuse(id, cause, self.settings.max_retry_after_ms, actions);
         } else {
@@ -659,7 +672,9 @@
     pub(crate) fn on_gone(&mut self, id: RequestId, actions: &mut Vec<Action>) {
         let Some(request) = self.requests.remove(&id) else { return };
         self.held.retain(|h| *h != id);
-        for (n, _) in request.attempts.iter().enumerate().filter(|(_, a)| a.out && self.settings.may_cancel) {
+        for (n, _) in
+            request.attempts.iter().enumerate().filter(|(_, a)| a.out && self.settings.cancellation_allowed)
+        {
             actions.push(Action::Cancel { request: id, attempt: n as u32 });
         }
     }
@@ -682,7 +697,8 @@
     // ---- probes ----
 
     pub(crate) fn may_probe(&self) -> bool {
-        self.settings.may_probe && self.settings.reports == Reports::OnProbe
+        self.settings.health_checks_allowed
+            && self.settings.load_report_delivery == LoadReportDelivery::OnHealthCheck
     }
 
     pub(crate) fn on_wake(&mut self, now: f64, actions: &mut Vec<Action>) {
@@ -691,14 +707,14 @@
         self.wake_at = if due { f64::INFINITY } else { self.wake_at };
         self.release_held(now, actions);
         if self.watch_at.take_if(|at| *at <= now).is_some() {
-            actions.push(Action::Watch);
+            actions.push(Action::WatchEndpoints);
         }
         if self.may_probe() {
             for &server in self.fleet.used.iter().flatten() {
                 let Some(s) = self.fleet.servers.get_mut(&server) else { continue };
                 if s.next_probe <= now && self.probes >= 1.0 {
                     (s.next_probe, self.probes) = (now + PROBE_MS, self.probes - 1.0);
-                    actions.push(Action::Probe { server });
+                    actions.push(Action::HealthCheck { endpoint: server });
                 }
             }
         }
--- a/balancer/src/lib.rs
+++ b/balancer/src/lib.rs
@@ -1,17 +1,25 @@
 //! The decisions of a load-balancing proxy, without I/O, clock or threads.
 //!
 //! A gateway owns one [`Balancer`], hands it [`Event`]s with its own time, and carries out the [`Action`]s
-//! that come back. Everything the balancer may know is in [`interface`]; everything it decides is in
-//! [`balance`].
+//! that come back. Everything the balancer may know is in [`Settings`] and [`Event`]; everything it decides
+//! is in `balance`.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
-pub mod balance;
-pub mod interface;
+mod action;
+mod balance;
+mod event;
+mod ids;
 mod membership;
+mod settings;
 mod state;
 
-pub use interface::*;
+pub use action::{Action, RejectionReason};
+pub use event::{Arrival, AttemptEnd, EndpointRecord, Event, LoadReport, Outcome, Readiness, UpdateKind};
+pub use ids::{EndpointId, RequestId};
+pub use settings::{
+    DeduplicationScope, Idempotency, LoadReportDelivery, RequestClass, Settings, SettingsError, Tenant,
+};
 pub use state::Balancer;
 
 /// The README's example, compiled and run.
--- a/balancer/src/membership.rs
+++ b/balancer/src/membership.rs
@@ -1,7 +1,7 @@
 //! Which servers there are: how a balancer follows discovery's lists, when it asks for them, and since when a server is cold.
 use crate::balance::*;
-use crate::interface::*;
 use crate::state::*;
+use crate::{action::*, event::*};
 
 const WATCH_MS: f64 = 200.0; // The shortest pause before subscribing anew, jittered.
 const CALL_MS: f64 = 50.0; // Discovery is one for all: gateways spread their calls, so far apart,
@@ -11,45 +11,45 @@
 impl Balancer {
     /// Within what time all gateways' calls to discovery are spread, where they have one for all.
     fn spread(&self) -> f64 {
-        let others = if self.settings.ask_discovery { self.settings.instances - 1 } else { 0 };
-        (CALL_MS * f64::from(others)).min(self.settings.ask_within_ms / 2.0).min(CALLS_MS)
+        let others = if self.settings.poll_discovery { self.settings.gateway_count - 1 } else { 0 };
+        (CALL_MS * f64::from(others)).min(self.settings.max_discovery_age_ms / 2.0).min(CALLS_MS)
     }
 
     pub(crate) fn on_list(
-        &mut self, now: f64, kind: ListKind, members: Vec<Member>, actions: &mut Vec<Action>,
+        &mut self, now: f64, kind: UpdateKind, members: Vec<EndpointRecord>, actions: &mut Vec<Action>,
     ) {
-        if kind == ListKind::Lost {
+        if kind == UpdateKind::WatchLost {
             let pause = WATCH_MS.max(self.spread()) * (0.5 + 0.5 * self.rng.rand_float());
             self.watch_at = Some(now + pause);
             return;
         }
-        if kind == ListKind::WarmCopy && self.settings.ask_discovery {
+        if kind == UpdateKind::Cached && self.settings.poll_discovery {
             // Guards against a line at discovery that no gateway gets through when all start at once.
             match self.spread() * self.rng.rand_float() {
-                wait if wait < WATCH_MS => actions.push(Action::Watch),
+                wait if wait < WATCH_MS => actions.push(Action::WatchEndpoints),
                 wait => self.watch_at = Some(now + wait),
             }
         }
         // Guards against a list that calls running servers gone. Where only drains bind, what has served, or
         // was there from the start, stays in use until it fails or has long been silent; what drained never.
-        let not_binding = self.settings.removal_not_binding;
+        let not_binding = self.settings.removal_is_advisory;
         let remove = |s: &mut Server| {
             if not_binding && s.proven && s.listed.readiness == Readiness::Active {
                 s.unlisted = s.unlisted.or(Some(now));
             } else {
-                s.listed.readiness = Readiness::Left;
+                s.listed.readiness = Readiness::Removed;
             }
         };
-        if kind != ListKind::Changes {
+        if kind != UpdateKind::Delta {
             self.fleet.servers.values_mut().for_each(remove);
         }
-        let mut moved = kind != ListKind::Changes;
+        let mut moved = kind != UpdateKind::Delta;
         // Until the first answer is there, what has started since the warm copy may have started long ago.
         let first_list = self.fleet.servers.is_empty() || !self.follows;
-        self.follows = kind != ListKind::WarmCopy;
+        self.follows = kind != UpdateKind::Cached;
         for member in members {
-            let id = member.server;
-            if let (Readiness::Left, Some(s)) = (member.readiness, self.fleet.servers.get_mut(&id)) {
+            let id = member.endpoint;
+            if let (Readiness::Removed, Some(s)) = (member.readiness, self.fleet.servers.get_mut(&id)) {
                 moved = true;
                 remove(s);
                 continue;
@@ -61,14 +61,14 @@
                 Server { quiet_since: now, heard_at: now, squeeze: 1.0, next_probe, ..Server::default() }
             });
             s.unlisted = None;
-            s.proven |= kind == ListKind::WarmCopy;
-            if self.settings.live_weights && member.weight > 0.0 && member.weight.is_finite() {
+            s.proven |= kind == UpdateKind::Cached;
+            if self.settings.weights_reflect_load && member.weight > 0.0 && member.weight.is_finite() {
                 s.nominal = s.nominal.max(member.weight);
                 let crowd = (s.nominal / member.weight - 1.0) / HELD_FULL;
                 s.crowd += CROWD_GAIN * (crowd.min(9.0) - s.crowd);
             }
-            let started_at = s.learn_start(member.started_at);
-            let young = now - member.started_at < self.settings.cold_ms;
+            let started_at = s.learn_start(member.started_at_ms);
+            let young = now - member.started_at_ms < self.settings.slow_start_ms;
             let cold_since = match started_at {
                 // Guards against wall clocks, the server's and this machine's, which may have been stepped in between: a
                 // start that is told while this gateway follows the list is as new as the news.
@@ -77,7 +77,7 @@
                 _ => None,
             };
             let was_cold = self.warmth(now, &s) < 1.0 && s.young_since > 0.0;
-            s.listed = Member { started_at: s.last_start, ..member };
+            s.listed = EndpointRecord { started_at_ms: s.last_start, ..member };
             if let Some(since) = cold_since {
                 s.young_since = since;
                 moved = true;
@@ -93,7 +93,7 @@
             // A server that left goes once nothing of this gateway's is out there.
             self.fleet.servers.retain(|_, s| {
                 let kept = s.unlisted.is_none_or(|since| now - since.max(s.heard_at) < UNLISTED_MS);
-                (kept && s.listed.readiness != Readiness::Left) || s.out > 0
+                (kept && s.listed.readiness != Readiness::Removed) || s.out > 0
             });
             self.follow(now);
         }
--- a/balancer/src/state.rs
+++ b/balancer/src/state.rs
@@ -1,17 +1,17 @@
 //! What a balancer remembers, and how events reach the decisions, which are all in `src/balance.rs`.
 use crate::balance::*;
-use crate::interface::*;
+use crate::{action::*, event::*, ids::*, settings::*};
 use oorandom::Rand64;
 use std::collections::BTreeMap;
 
 #[derive(Debug, Default)]
 pub(crate) struct Server {
-    pub listed: Member,
+    pub listed: EndpointRecord,
     pub weight: Option<f64>, // The design's: smoothed reported throughput over utilisation, a second.
     pub nominal: f64,        // The greatest weight that a live list gave it.
     pub crowd: f64,          // What all gateways have there, by what may be: by live weights or backlog.
     pub capacity: Option<f64>, // The same without the floor: an idle server must not look small.
-    pub last_report: Report,
+    pub last_report: LoadReport,
     pub out: u32, // Own attempts out there, and the rate at which they were sent.
     pub sent: Rate,
     pub quiet_since: f64,            // With work out: since when nothing has been heard.
@@ -43,7 +43,7 @@
 
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Attempt {
-    pub server: ServerId,
+    pub server: EndpointId,
     pub home: (u32, u32), // Zone and cell, as a keyed repeat must stay inside its group.
     pub sent_at: f64,
     pub out: bool,
@@ -69,9 +69,9 @@
 /// The servers, which of them take work in the own zone and in the others, and which are in use.
 #[derive(Debug, Default)]
 pub(crate) struct Fleet {
-    pub servers: BTreeMap<ServerId, Server>,
-    pub rows: [Vec<ServerId>; 2], // In an order that all gateways share.
-    pub used: [Vec<ServerId>; 2],
+    pub servers: BTreeMap<EndpointId, Server>,
+    pub rows: [Vec<EndpointId>; 2], // In an order that all gateways share.
+    pub used: [Vec<EndpointId>; 2],
 }
 
 impl Fleet {
@@ -82,7 +82,7 @@
                 s.listed.readiness == Readiness::Active && (s.listed.zone != zone) == (side == 1)
             };
             let mut row: Vec<_> = self.servers.iter().filter(|(_, s)| ours(s)).collect();
-            row.sort_by_key(|(id, s)| (s.listed.place, **id));
+            row.sort_by_key(|(id, s)| (s.listed.hash, **id));
             self.rows[side] = row.into_iter().map(|(id, _)| *id).collect();
             let row = &self.rows[side];
             self.used[side].retain(|id| row.contains(id));
@@ -106,7 +106,7 @@
 
     /// The mean of a value over those of some servers that have it.
     pub fn mean_of<'a>(
-        &self, ids: impl Iterator<Item = &'a ServerId>, value: impl Fn(&Server) -> Option<f64>,
+        &self, ids: impl Iterator<Item = &'a EndpointId>, value: impl Fn(&Server) -> Option<f64>,
     ) -> Option<f64> {
         let known = ids.filter_map(|id| value(self.servers.get(id)?));
         let (sum, count) = known.fold((0.0, 0.0), |(sum, count), v| (sum + v, count + 1.0));
@@ -148,13 +148,13 @@
     /// A balancer that knows nothing yet; the settings are checked first.
     pub fn new(settings: Settings, seed: u64) -> Result<Self, SettingsError> {
         settings.check()?;
-        let latency = settings.classes.iter().map(|c| c.aim_ms / 3.0).collect();
+        let latency = settings.classes.iter().map(|c| c.latency_objective_ms / 3.0).collect();
         Ok(Balancer {
             rng: Rand64::new(u128::from(seed)),
             tenants: vec![Rate::default(); settings.tenants.len()],
             fleet: Fleet::default(),
             drawn: 0.0,
-            share: 1.0 / f64::from(settings.instances),
+            share: 1.0 / f64::from(settings.gateway_count),
             probes: RETRY_BURST,
             requests: BTreeMap::new(),
             held: Vec::new(),
@@ -162,41 +162,41 @@
             faults: vec![[0.0; 2]; settings.tenants.len() + settings.classes.len() + 1],
             retries: RETRY_BURST,
             wake_at: f64::INFINITY,
-            trust: if settings.live_weights { TRUST } else { 0.0 },
+            trust: if settings.weights_reflect_load { TRUST } else { 0.0 },
             spill: FIRST_SPILL,
             spill_at: 0.0,
             follows: false,
             watch_at: None,
             refused: [0; 4],
             logged_at: 0.0,
-            even: 1.0 / f64::from(settings.instances),
-            fraction: 1.0 / f64::from(settings.instances),
+            even: 1.0 / f64::from(settings.gateway_count),
+            fraction: 1.0 / f64::from(settings.gateway_count),
             usual: vec![(0.0, 0.0); settings.classes.len() * (settings.tenants.len() + 1)],
-            aim: settings.classes.iter().map(|c| c.aim_ms).fold(f64::INFINITY, f64::min),
-            has_safe: settings.classes.iter().any(|c| c.effect == Effect::Safe),
+            aim: settings.classes.iter().map(|c| c.latency_objective_ms).fold(f64::INFINITY, f64::min),
+            has_safe: settings.classes.iter().any(|c| c.idempotency == Idempotency::Idempotent),
             settings,
         })
     }
 
     /// Whether the balancer still remembers a server.
-    pub fn knows(&self, server: ServerId) -> bool {
+    pub fn knows(&self, server: EndpointId) -> bool {
         self.fleet.servers.contains_key(&server)
     }
 
     /// Takes one event and appends what is to be done.
     pub fn handle(&mut self, now: f64, event: Event, actions: &mut Vec<Action>) {
         match event {
-            Event::List { kind, members } => self.on_list(now, kind, members, actions),
+            Event::EndpointUpdate { kind, endpoints: members } => self.on_list(now, kind, members, actions),
             Event::Request(arrival) => self.on_request(now, arrival, actions),
-            Event::Begun { .. } => {} // The attempt is the client's now; its end comes as complete.
+            Event::ResponseStarted { .. } => {} // The attempt is the client's now; its end comes as complete.
             Event::AttemptEnd(end) => {
-                self.on_report(end.server, end.report);
+                self.on_report(end.endpoint, end.report);
                 self.on_server_news(now, &end);
                 self.on_attempt_end(now, &end, actions);
                 self.release_held(now, actions);
             }
-            Event::Gone { request } => self.on_gone(request, actions),
-            Event::Probed { server, report, .. } => self.on_report(server, report),
+            Event::ClientDisconnected { request } => self.on_gone(request, actions),
+            Event::HealthCheckEnd { endpoint: server, report, .. } => self.on_report(server, report),
             Event::Timer { .. } => self.on_wake(now, actions),
         }
         self.log(now, actions);
@@ -205,7 +205,7 @@
         let wake = wake.min(self.watch_at.unwrap_or(wake));
         if wake < self.wake_at {
             self.wake_at = wake;
-            actions.push(Action::Timer { at: wake, token: 0 });
+            actions.push(Action::Timer { at_ms: wake, token: 0 });
         }
     }
 
--- a/balancer/tests/balance.rs
+++ b/balancer/tests/balance.rs
@@ -5,7 +5,7 @@
 use ternstack_balancer::*;
 
 /// A fleet in which everything is out: limits bind.
-fn fill(bench: &mut Bench) -> Vec<(RequestId, ServerId)> {
+fn fill(bench: &mut Bench) -> Vec<(RequestId, EndpointId)> {
     let mut out = Vec::new();
     loop {
         let (id, actions) = bench.request(2, None);
@@ -69,7 +69,7 @@
 #[test]
 fn servers_are_drawn_in_proportion_to_throughput_over_utilisation() {
     let mut bench = Bench::new(settings(), 2);
-    let reports = |s: ServerId| if s.0 == 0 { report(30.0, 0.5) } else { report(10.0, 0.5) };
+    let reports = |s: EndpointId| if s.0 == 0 { report(30.0, 0.5) } else { report(10.0, 0.5) };
     let mut counts = [0u32; 2];
     for n in 0..4000 {
         bench.now += 10.0;
@@ -84,7 +84,7 @@
 #[test]
 fn a_weight_is_at_least_a_quarter_of_the_mean() {
     let mut bench = Bench::new(settings(), 2);
-    let reports = |s: ServerId| if s.0 == 0 { report(100.0, 1.0) } else { report(0.1, 1.0) };
+    let reports = |s: EndpointId| if s.0 == 0 { report(100.0, 1.0) } else { report(0.1, 1.0) };
     let mut counts = [0u32; 2];
     for n in 0..4000 {
         bench.now += 10.0;
@@ -108,12 +108,12 @@
 #[test]
 fn safe_requests_are_sent_again_elsewhere_and_unsafe_ones_only_if_they_never_ran() {
     for (class, outcome, again) in [
-        (0, Outcome::NoAnswer, true),
+        (0, Outcome::ResponseTimeout, true),
         (0, Outcome::ServerError, true),
-        (2, Outcome::NoAnswer, false),
+        (2, Outcome::ResponseTimeout, false),
         (2, Outcome::ConnectionLost, false),
-        (2, Outcome::TurnedAway, true),
-        (2, Outcome::NoConnection, true),
+        (2, Outcome::Rejected, true),
+        (2, Outcome::ConnectFailed, true),
     ] {
         let mut bench = Bench::new(settings(), 4);
         let (request, actions) = bench.request(class, None);
@@ -137,7 +137,7 @@
         assert_eq!(sent(&actions).expect("sent again").0 / 2, first.0 / 2);
     }
     let mut s = settings();
-    s.classes[1].window_ms = 50.0;
+    s.classes[1].deduplication_window_ms = 50.0;
     let mut bench = Bench::new(s, 8);
     let (request, actions) = bench.request(1, None);
     let first = sent(&actions).expect("sent");
@@ -161,7 +161,7 @@
 #[test]
 fn a_request_that_cannot_wait_for_room_gets_its_answer_at_once() {
     let mut bench = Bench::new(settings(), 0);
-    let arrival = Arrival { request: RequestId(1), class: 2, tenant: None, patience_ms: 2.0 };
+    let arrival = Arrival { request: RequestId(1), class: 2, tenant: None, client_timeout_ms: 2.0 };
     assert!(refused(&bench.take(Event::Request(arrival))).is_some());
 }
 
@@ -171,7 +171,10 @@
     let (_, mut actions) = bench.request(2, None);
     let mut answers = 0;
     for _ in 0..60 {
-        let at = actions.iter().find_map(|a| if let Action::Timer { at, .. } = a { Some(*at) } else { None });
+        let at =
+            actions
+                .iter()
+                .find_map(|a| if let Action::Timer { at_ms: at, .. } = a { Some(*at) } else { None });
         bench.now = at.unwrap_or(bench.now) - 0.0004; // The gateway counts in whole microseconds.
         actions = if at.is_some() { bench.take(Event::Timer { token: 0 }) } else { Vec::new() };
         answers += refused(&actions).iter().count();
@@ -181,14 +184,14 @@
 
 #[test]
 fn what_drains_or_is_gone_gets_nothing_new() {
-    for readiness in [Readiness::Leaving, Readiness::Left] {
+    for readiness in [Readiness::Draining, Readiness::Removed] {
         let mut bench = Bench::new(settings(), 2);
-        bench.list(ListKind::Changes, vec![Member { readiness, ..member(0) }]);
+        bench.list(UpdateKind::Delta, vec![EndpointRecord { readiness, ..member(0) }]);
         for _ in 0..50 {
             bench.now += 10.0;
-            assert_eq!(bench.serve(&|_| Report::default()), Some(ServerId(1)));
+            assert_eq!(bench.serve(&|_| LoadReport::default()), Some(EndpointId(1)));
         }
-        bench.list(ListKind::Changes, vec![Member { readiness, ..member(1) }]);
+        bench.list(UpdateKind::Delta, vec![EndpointRecord { readiness, ..member(1) }]);
         assert_eq!(sent(&bench.request(0, None).1), None);
     }
 }
@@ -196,10 +199,10 @@
 #[test]
 fn a_whole_list_replaces_the_old_one() {
     let mut bench = Bench::new(settings(), 4);
-    bench.list(ListKind::Whole, vec![member(9)]);
+    bench.list(UpdateKind::Complete, vec![member(9)]);
     for _ in 0..20 {
         bench.now += 10.0;
-        assert_eq!(bench.serve(&|_| Report::default()), Some(ServerId(9)));
+        assert_eq!(bench.serve(&|_| LoadReport::default()), Some(EndpointId(9)));
     }
 }
 
@@ -207,16 +210,16 @@
 fn a_cold_server_gets_no_more_than_its_age_can_carry() {
     let mut bench = Bench::new(settings(), 3);
     // 100 a second each, but a tenth of that at the cold one.
-    let reports = |s: ServerId| report(if s.0 == 7 { 5.0 } else { 50.0 }, 0.5);
+    let reports = |s: EndpointId| report(if s.0 == 7 { 5.0 } else { 50.0 }, 0.5);
     for _ in 0..200 {
         bench.now += 5.0;
         bench.serve(&reports);
     }
-    bench.list(ListKind::Changes, vec![Member { started_at: bench.now, ..member(7) }]);
+    bench.list(UpdateKind::Delta, vec![EndpointRecord { started_at_ms: bench.now, ..member(7) }]);
     let mut cold = 0;
     for _ in 0..1000 {
         bench.now += 1.0; // 1000 a second
-        cold += u32::from(bench.serve(&reports) == Some(ServerId(7)));
+        cold += u32::from(bench.serve(&reports) == Some(EndpointId(7)));
     }
     // By its age a tenth of 100 a second, rising by less than 5; as much again once its reports say so.
     assert!((1..=30).contains(&cold), "{cold} in the first second");
@@ -230,9 +233,10 @@
         bench.now += 10.0;
         let (request, actions) = bench.request(0, None);
         let Some(server) = sent(&actions) else { continue };
-        if server == ServerId(0) {
+        if server == EndpointId(0) {
             to_sick += 1;
-            let again = bench.end_with(request, 0, server, Outcome::NoAnswer, 300.0, Report::default());
+            let again =
+                bench.end_with(request, 0, server, Outcome::ResponseTimeout, 300.0, LoadReport::default());
             if let Some(other) = sent(&again) {
                 bench.end(request, 1, other, Outcome::Served);
             }
@@ -245,7 +249,7 @@
     let mut back = 0;
     for _ in 0..800 {
         bench.now += 10.0;
-        back += u32::from(bench.serve(&|_| Report::default()) == Some(ServerId(0)));
+        back += u32::from(bench.serve(&|_| LoadReport::default()) == Some(EndpointId(0)));
     }
     assert!(back > 50, "taken back after a good trial: {back}");
 }
@@ -257,7 +261,7 @@
         bench.now += 50.0;
         let (request, actions) = bench.request(2, None);
         let server = sent(&actions).expect("someone is always left to try");
-        bench.end_with(request, 0, server, Outcome::NoAnswer, 300.0, Report::default());
+        bench.end_with(request, 0, server, Outcome::ResponseTimeout, 300.0, LoadReport::default());
     }
 }
 
@@ -268,7 +272,7 @@
     bench.now += 250.0; // three typical latencies of a third of the aim
     for _ in 0..50 {
         bench.now += 1.0;
-        assert_ne!(bench.serve(&|_| Report::default()), Some(hung));
+        assert_ne!(bench.serve(&|_| LoadReport::default()), Some(hung));
     }
 }
 
@@ -277,10 +281,10 @@
     let mut bench = Bench::new(settings(), 2);
     let (request, actions) = bench.request(2, None);
     let full = sent(&actions).expect("sent");
-    bench.end(request, 0, full, Outcome::TurnedAway);
+    bench.end(request, 0, full, Outcome::Rejected);
     for _ in 0..15 {
         bench.now += 3.0;
-        assert_ne!(bench.serve(&|_| Report::default()), Some(full));
+        assert_ne!(bench.serve(&|_| LoadReport::default()), Some(full));
     }
 }
 
@@ -293,7 +297,7 @@
         let (request, actions) = bench.request(2, None);
         let server = sent(&actions).expect("no server is ejected");
         seen[server.0 as usize] = true;
-        bench.end_with(request, 0, server, Outcome::NoAnswer, 30.0, Report::default());
+        bench.end_with(request, 0, server, Outcome::ResponseTimeout, 30.0, LoadReport::default());
     }
     assert_eq!(seen, [true; 2]);
 }
@@ -317,7 +321,7 @@
 #[test]
 fn a_crowded_own_zone_spills_and_an_empty_one_does_not() {
     let mut bench = Bench::new(settings(), 0);
-    bench.list(ListKind::Changes, vec![member(0), Member { zone: 1, ..member(1) }]);
+    bench.list(UpdateKind::Delta, vec![member(0), EndpointRecord { zone: 1, ..member(1) }]);
     let mut order = Vec::new();
     while let Some(server) = sent(&bench.request(2, None).1) {
         order.push(server.0);
@@ -332,7 +336,7 @@
     let mut bench = Bench::new(settings(), 1);
     bench.request(2, None); // shows the usual patience
     let late = |bench: &mut Bench, id| {
-        let arrival = Arrival { request: RequestId(id), class: 2, tenant: None, patience_ms: 300.0 };
+        let arrival = Arrival { request: RequestId(id), class: 2, tenant: None, client_timeout_ms: 300.0 };
         bench.take(Event::Request(arrival))
     };
     assert!(sent(&late(&mut bench, 900)).is_some(), "there is room");
@@ -343,25 +347,31 @@
 #[test]
 fn discovery_is_subscribed_at_once_and_again_after_a_pause_when_lost() {
     let mut s = settings();
-    s.ask_discovery = true;
+    s.poll_discovery = true;
     let mut bench = Bench::new(s, 0);
-    assert!(bench.list(ListKind::WarmCopy, vec![member(0)]).contains(&Action::Watch));
+    assert!(bench.list(UpdateKind::Cached, vec![member(0)]).contains(&Action::WatchEndpoints));
     for _ in 0..40 {
-        let actions = bench.list(ListKind::Lost, Vec::new());
-        assert!(!actions.contains(&Action::Watch));
+        let actions = bench.list(UpdateKind::WatchLost, Vec::new());
+        assert!(!actions.contains(&Action::WatchEndpoints));
         let wait = bench.asked_after(actions, 4000.0);
         assert!((100.0..=210.0).contains(&wait), "{wait}");
     }
-    assert_eq!(sent(&bench.request(0, None).1), Some(ServerId(0)), "the old list stands");
+    assert_eq!(sent(&bench.request(0, None).1), Some(EndpointId(0)), "the old list stands");
 }
 
 /// When each gateway of a fleet calls discovery first, and after a failed call.
 fn calls(instances: u32, ask_within_ms: f64) -> [Vec<f64>; 2] {
     let mut calls = [Vec::new(), Vec::new()];
     for me in 0..instances {
-        let s = Settings { me, instances, ask_discovery: true, ask_within_ms, ..settings() };
+        let s = Settings {
+            gateway_index: me,
+            gateway_count: instances,
+            poll_discovery: true,
+            max_discovery_age_ms: ask_within_ms,
+            ..settings()
+        };
         let mut bench = Bench::new(s, 0);
-        for (kind, calls) in [ListKind::WarmCopy, ListKind::Lost].into_iter().zip(&mut calls) {
+        for (kind, calls) in [UpdateKind::Cached, UpdateKind::WatchLost].into_iter().zip(&mut calls) {
             let actions = bench.list(kind, Vec::new());
             calls.push(bench.asked_after(actions, 10_000.0));
         }
@@ -404,7 +414,7 @@
 #[test]
 fn of_a_part_of_a_request_many_gateways_make_none_and_a_few_a_whole_one() {
     for (instances, second) in [(2, true), (100, false)] {
-        let mut bench = Bench::new(Settings { instances, ..settings() }, 1);
+        let mut bench = Bench::new(Settings { gateway_count: instances, ..settings() }, 1);
         for _ in 0..100 {
             bench.now += 100.0;
             bench.serve(&|_| report(10.0, 0.3)).expect("there is room");
@@ -419,16 +429,16 @@
 fn a_client_that_went_away_frees_its_attempt() {
     let mut bench = Bench::new(settings(), 1);
     let (request, _) = bench.request(0, None);
-    assert_eq!(bench.take(Event::Gone { request }), [Action::Cancel { request, attempt: 0 }]);
-    assert!(bench.end(request, 0, ServerId(0), Outcome::CalledOff).is_empty());
+    assert_eq!(bench.take(Event::ClientDisconnected { request }), [Action::Cancel { request, attempt: 0 }]);
+    assert!(bench.end(request, 0, EndpointId(0), Outcome::Cancelled).is_empty());
 }
 
 #[test]
 fn news_of_unknown_requests_and_servers_do_nothing() {
     let mut bench = Bench::new(settings(), 1);
     let stranger = RequestId(77);
-    assert!(bench.end(stranger, 3, ServerId(99), Outcome::Served).is_empty());
-    assert!(bench.take(Event::Gone { request: stranger }).is_empty());
+    assert!(bench.end(stranger, 3, EndpointId(99), Outcome::Served).is_empty());
+    assert!(bench.take(Event::ClientDisconnected { request: stranger }).is_empty());
     assert!(bench.take(Event::Timer { token: 5 }).is_empty());
 }
 
@@ -440,7 +450,7 @@
         bench.now += 10.0;
         let (request, actions) = bench.request(2, None);
         let server = sent(&actions).expect("sent");
-        let slow = server == ServerId(0);
+        let slow = server == EndpointId(0);
         to_slow += u32::from(slow);
         bench.end_with(
             request,
@@ -448,7 +458,7 @@
             server,
             Outcome::Served,
             if slow { 400.0 } else { 40.0 },
-            Report::default(),
+            LoadReport::default(),
         );
     }
     assert!((3..=12).contains(&to_slow), "{to_slow} of 400");
@@ -457,7 +467,7 @@
 #[test]
 fn gateways_share_what_may_be_out_at_an_unknown_server() {
     let mut s = settings();
-    s.instances = 4;
+    s.gateway_count = 4;
     let mut bench = Bench::new(s, 1);
     let mut out = 0;
     while sent(&bench.request(2, None).1).is_some() {
@@ -469,17 +479,17 @@
 #[test]
 fn unworkable_settings_are_named() {
     let mut s = settings();
-    s.instances = 0;
+    s.gateway_count = 0;
     assert_eq!(Balancer::new(s, 1).expect_err("refused").setting, "instances");
     let mut s = settings();
     s.classes.clear();
     assert_eq!(Balancer::new(s, 1).expect_err("refused").setting, "classes");
     let mut s = settings();
-    s.classes[0].aim_ms = f64::NAN;
+    s.classes[0].latency_objective_ms = f64::NAN;
     assert!(Balancer::new(s, 1).expect_err("refused").to_string().contains("classes.aim_ms"));
     for (nines, top, setting) in [(-1.0, None, "nines"), (0.3, Some(0.0), "top_nines")] {
         let mut s = settings();
-        (s.nines, s.top_nines) = (nines, top);
+        (s.availability_weight, s.availability_target_nines) = (nines, top);
         assert_eq!(Balancer::new(s, 1).expect_err("refused").setting, setting);
     }
 }
@@ -490,15 +500,15 @@
     let lines = text.lines().filter(|line| !line.trim().is_empty()).count();
     assert!(lines <= 740, "{lines} lines");
     assert!(text.lines().all(|line| line.chars().count() <= 110), "a line is too long");
-    assert!(text.lines().take(3).any(|line| line.contains("src/interface.rs")));
+    assert!(text.lines().take(3).any(|line| line.contains("src/event.rs")));
 }
 
 /// A fleet of gateways, each with its own balancer, and the servers that each sends 120 served requests to.
-fn used_by_all(gateways: u32, servers: u32) -> std::collections::BTreeMap<ServerId, u32> {
+fn used_by_all(gateways: u32, servers: u32) -> std::collections::BTreeMap<EndpointId, u32> {
     let mut users = std::collections::BTreeMap::new();
     for me in 0..gateways {
         let mut s = settings();
-        (s.instances, s.me) = (gateways, me);
+        (s.gateway_count, s.gateway_index) = (gateways, me);
         let mut bench = Bench::new(s, servers);
         let mut used = std::collections::BTreeSet::new();
         for _ in 0..120 {
@@ -525,21 +535,21 @@
 #[test]
 fn a_server_that_holds_much_by_its_live_weight_gets_less_but_is_not_cut_off() {
     let mut s = settings();
-    s.live_weights = true;
+    s.weights_reflect_load = true;
     let mut bench = Bench::new(s, 4);
     for held in [0.0, 3.0, 3.0, 3.0, 3.0] {
         let weight = |n: u32| if n == 0 { 1.0 / (1.0 + held) } else { 1.0 };
-        let members = (0..4).map(|n| Member { weight: weight(n), ..member(n) }).collect();
-        bench.list(ListKind::Changes, members);
+        let members = (0..4).map(|n| EndpointRecord { weight: weight(n), ..member(n) }).collect();
+        bench.list(UpdateKind::Delta, members);
     }
-    let to = (0..800).filter(|_| bench.serve(&|_| report(30.0, 0.6)) == Some(ServerId(0))).count();
+    let to = (0..800).filter(|_| bench.serve(&|_| report(30.0, 0.6)) == Some(EndpointId(0))).count();
     assert!((30..110).contains(&to), "{to} of 800");
 }
 
 #[test]
 fn a_zone_busier_than_others_spills_a_part_of_its_requests() {
     let mut s = settings();
-    (s.live_weights, s.cross_price) = (true, 0.05);
+    (s.weights_reflect_load, s.cross_zone_cost_ratio) = (true, 0.05);
     let far = |own: f64, other: f64| {
         let mut bench = Bench::new(s.clone(), 0);
         let members = |held: f64, zone| (0..4).map(move |n| (n + 4 * zone, zone, 1.0 / (1.0 + held)));
@@ -549,8 +559,8 @@
             if n % 20 == 0 {
                 let held = if n == 0 { (0.0, 0.0) } else { (own, other) };
                 let all = members(held.0, 0).chain(members(held.1, 1));
-                let all = all.map(|(n, zone, weight)| Member { zone, weight, ..member(n) }).collect();
-                bench.list(ListKind::Changes, all);
+                let all = all.map(|(n, zone, weight)| EndpointRecord { zone, weight, ..member(n) }).collect();
+                bench.list(UpdateKind::Delta, all);
             }
             let to = bench.serve(&|_| report(30.0, 0.6)).expect("there is room");
             far += u32::from(n >= 1400 && to.0 >= 4);
@@ -564,7 +574,7 @@
 #[test]
 fn a_server_whose_connection_is_still_open_is_preferred() {
     let mut s = settings();
-    s.idle_ms = 1000.0;
+    s.connection_idle_timeout_ms = 1000.0;
     let mut bench = Bench::new(s, 8);
     bench.now += 5000.0;
     let mut again = 0;
@@ -585,17 +595,17 @@
         let (mut sent_by_all, mut at_once) = (0, 0);
         for me in 0..12 {
             let mut s = settings();
-            (s.instances, s.me, s.tip_multiple) = (12, me, tip);
+            (s.gateway_count, s.gateway_index, s.slow_start_overload_multiple) = (12, me, tip);
             let mut bench = Bench::new(s, 3);
             let reports = |_| report(50.0, 0.5); // 100 a second each
             for _ in 0..200 {
                 bench.now += 5.0;
                 bench.serve(&reports);
             }
-            bench.list(ListKind::Changes, vec![Member { started_at: bench.now, ..member(7) }]);
+            bench.list(UpdateKind::Delta, vec![EndpointRecord { started_at_ms: bench.now, ..member(7) }]);
             for n in 0..500 {
                 bench.now += 2.0;
-                let cold = u32::from(bench.serve(&reports) == Some(ServerId(7)));
+                let cold = u32::from(bench.serve(&reports) == Some(EndpointId(7)));
                 (sent_by_all, at_once) = (sent_by_all + cold, at_once + if n < 50 { cold } else { 0 });
             }
         }
@@ -611,7 +621,7 @@
 fn one_request_out_does_not_fill_a_fleet_but_busy_servers_do() {
     let over = |utilization: f64| {
         let mut s = settings();
-        s.instances = 200;
+        s.gateway_count = 200;
         let mut bench = Bench::new(s, 4);
         for n in 0..40 {
             bench.now += 100.0; // A two-hundredth of what two servers used drain in 80 ms is under a request.
@@ -637,7 +647,7 @@
 fn what_is_sent_runs_on_where_late_answers_earn_and_what_waits_goes_at_its_aim() {
     for late_value in [0.0, 0.2] {
         let mut s = settings();
-        s.classes[0].late_value = late_value;
+        s.classes[0].late_value_ratio = late_value;
         let mut bench = Bench::new(s, 2);
         let mut out = fill(&mut bench);
         let mut waits = Vec::new();
@@ -650,7 +660,7 @@
                 actions.extend(bench.end(id, 0, to, Outcome::Served));
             }
             for action in actions {
-                if let Action::Send { request, server, until } = action {
+                if let Action::Send { request, endpoint: server, give_up_at_ms: until } = action {
                     waits.retain(|w| *w != request);
                     out.push((request, server));
                     let (given, to_the_end) = (until - bench.now, late_value > 0.0);
@@ -663,7 +673,7 @@
         let aim = bench.now + 200.0;
         while bench.now < aim {
             for action in bench.wake(5.0) {
-                let Action::Refuse { request, .. } = action else { continue };
+                let Action::Reject { request, .. } = action else { continue };
                 waits.retain(|w| *w != request);
             }
         }
@@ -674,8 +684,8 @@
 /// One of 200 gateways has requests for a few of 100 servers, one in `every` 10 ms, for 20 s. The first of them takes
 /// `slow` ms, the others `latency`: how much it had out there on the mean of the last 10 s, and what it refused in them.
 fn thin(every: u32, utilization: f64, slow: f64, latency: f64) -> (f64, u32) {
-    let mut bench = Bench::new(Settings { instances: 200, ..settings() }, 100);
-    let (mut out, mut area, mut refusals) = (Vec::<(f64, RequestId, ServerId, f64)>::new(), 0.0, 0);
+    let mut bench = Bench::new(Settings { gateway_count: 200, ..settings() }, 100);
+    let (mut out, mut area, mut refusals) = (Vec::<(f64, RequestId, EndpointId, f64)>::new(), 0.0, 0);
     let mut first = None;
     for n in 0..2000 {
         let mut actions = bench.wake(10.0);
@@ -690,11 +700,11 @@
         }
         for action in actions {
             match action {
-                Action::Send { request, server, .. } => {
+                Action::Send { request, endpoint: server, .. } => {
                     let takes = if *first.get_or_insert(server) == server { slow } else { latency };
                     out.push((bench.now + takes, request, server, takes));
                 }
-                Action::Refuse { .. } => refusals += u32::from(n >= 1000),
+                Action::Reject { .. } => refusals += u32::from(n >= 1000),
                 _ => {}
             }
         }
@@ -725,7 +735,7 @@
 fn with_failures(servers: u32, fails: &dyn Fn(usize, u32, u64) -> bool) -> Vec<u32> {
     let mut s = settings();
     s.tenants = (0..4).map(|n| Tenant { name: n.to_string(), quota_per_s: 0.0 }).collect();
-    s.classes = vec![class(Effect::Unsafe)];
+    s.classes = vec![class(Idempotency::NonIdempotent)];
     let mut bench = Bench::new(s, servers);
     let mut to = vec![0; servers as usize];
     for n in 0..2000 {
@@ -762,40 +772,40 @@
 }
 
 /// Proven servers that the list calls gone, where removal binds or not; who of them is still used.
-fn still_used(not_binding: bool, kind: ListKind, readiness: Readiness) -> usize {
+fn still_used(not_binding: bool, kind: UpdateKind, readiness: Readiness) -> usize {
     let mut s = settings();
-    s.removal_not_binding = not_binding;
+    s.removal_is_advisory = not_binding;
     let mut bench = Bench::new(s, 4);
-    bench.list(ListKind::Changes, vec![Member { readiness: Readiness::Leaving, ..member(3) }]);
-    let gone = (0..3).map(|n| Member { readiness, ..member(n) }).collect();
-    bench.list(kind, if kind == ListKind::Whole { Vec::new() } else { gone });
+    bench.list(UpdateKind::Delta, vec![EndpointRecord { readiness: Readiness::Draining, ..member(3) }]);
+    let gone = (0..3).map(|n| EndpointRecord { readiness, ..member(n) }).collect();
+    bench.list(kind, if kind == UpdateKind::Complete { Vec::new() } else { gone });
     let mut used = std::collections::BTreeSet::new();
     for _ in 0..100 {
         bench.now += 10.0;
-        used.extend(bench.serve(&|_| Report::default()));
+        used.extend(bench.serve(&|_| LoadReport::default()));
     }
-    assert!(!used.contains(&ServerId(3)), "what drained is never used");
+    assert!(!used.contains(&EndpointId(3)), "what drained is never used");
     used.len()
 }
 
 #[test]
 fn a_list_that_calls_running_servers_gone_is_not_believed_where_only_drains_bind() {
-    assert_eq!(still_used(true, ListKind::Changes, Readiness::Left), 3);
-    assert_eq!(still_used(true, ListKind::Whole, Readiness::Left), 3);
-    assert_eq!(still_used(false, ListKind::Changes, Readiness::Left), 0);
-    assert_eq!(still_used(false, ListKind::Whole, Readiness::Left), 0);
-    assert_eq!(still_used(true, ListKind::Changes, Readiness::Leaving), 0, "drains bind");
+    assert_eq!(still_used(true, UpdateKind::Delta, Readiness::Removed), 3);
+    assert_eq!(still_used(true, UpdateKind::Complete, Readiness::Removed), 3);
+    assert_eq!(still_used(false, UpdateKind::Delta, Readiness::Removed), 0);
+    assert_eq!(still_used(false, UpdateKind::Complete, Readiness::Removed), 0);
+    assert_eq!(still_used(true, UpdateKind::Delta, Readiness::Draining), 0, "drains bind");
 }
 
 #[test]
 fn servers_that_do_not_exist_are_tried_once_and_forgotten_when_the_list_is_right_again() {
     let mut s = settings();
-    s.removal_not_binding = true;
+    s.removal_is_advisory = true;
     let mut bench = Bench::new(s, 4);
     let mut failed = 0;
     for round in 0..20 {
         let ghosts = (0..200).map(|n| member(100 + 200 * round + n));
-        bench.list(ListKind::Whole, (0..4).map(member).chain(ghosts).collect());
+        bench.list(UpdateKind::Complete, (0..4).map(member).chain(ghosts).collect());
         for _ in 0..50 {
             bench.now += 5.0;
             let (id, actions) = bench.request(0, None);
@@ -804,12 +814,12 @@
             while let Some(server) = to {
                 let ghost = server.0 >= 100;
                 failed += u32::from(ghost);
-                let outcome = if ghost { Outcome::NoConnection } else { Outcome::Served };
+                let outcome = if ghost { Outcome::ConnectFailed } else { Outcome::Served };
                 to = sent(&bench.end(id, attempt, server, outcome));
                 attempt += 1;
             }
         }
-        bench.list(ListKind::Whole, (0..4).map(member).collect());
+        bench.list(UpdateKind::Complete, (0..4).map(member).collect());
         let kept = format!("{:?}", bench.balancer).matches("listed: Member").count();
         assert!(kept <= 4, "{kept} servers are remembered");
     }
@@ -820,7 +830,7 @@
 fn a_tenant_that_stalls_everywhere_is_mostly_refused_and_let_in_again() {
     let mut s = settings();
     s.tenants = (0..4).map(|n| Tenant { name: n.to_string(), quota_per_s: 0.0 }).collect();
-    s.classes = vec![class(Effect::Unsafe)];
+    s.classes = vec![class(Idempotency::NonIdempotent)];
     let mut bench = Bench::new(s, 4);
     let (mut sent_early, mut sent_late, mut others) = (0, 0, 0);
     for n in 0..4000 {
@@ -829,8 +839,8 @@
         let (id, actions) = bench.request(0, Some(tenant));
         let Some(to) = sent(&actions) else { continue };
         let stalls = tenant == 0 && n < 2000;
-        let (outcome, ms) = if stalls { (Outcome::NoAnswer, 190.0) } else { (Outcome::Served, 20.0) };
-        bench.end_with(id, 0, to, outcome, ms, Report::default());
+        let (outcome, ms) = if stalls { (Outcome::ResponseTimeout, 190.0) } else { (Outcome::Served, 20.0) };
+        bench.end_with(id, 0, to, outcome, ms, LoadReport::default());
         sent_early += u32::from(tenant == 0 && (200..2000).contains(&n));
         sent_late += u32::from(tenant == 0 && n >= 3000);
         others += u32::from(tenant != 0);
@@ -848,7 +858,7 @@
             bench.now += 10.0; // Also shows the usual patience.
             bench.serve(&|_| report(30.0 + f64::from(n % 2), utilization));
         }
-        let arrival = Arrival { request: RequestId(900), class: 0, tenant: None, patience_ms: 300.0 };
+        let arrival = Arrival { request: RequestId(900), class: 0, tenant: None, client_timeout_ms: 300.0 };
         refused(&bench.take(Event::Request(arrival))).is_some()
     };
     assert!(refused_at(0.75) && !refused_at(0.4));
@@ -860,7 +870,8 @@
     let mut bench = Bench::new(settings(), 4);
     let ask = |bench: &mut Bench, id, patience_ms| {
         bench.now += 10.0;
-        let arrival = Arrival { request: RequestId(id), class: 0, tenant: None, patience_ms };
+        let arrival =
+            Arrival { request: RequestId(id), class: 0, tenant: None, client_timeout_ms: patience_ms };
         let actions = bench.take(Event::Request(arrival));
         let server = sent(&actions)?;
         let report = report(30.0 + id as f64 % 2.0, 0.75);
@@ -903,9 +914,9 @@
         bench.now += 10.0;
         bench.serve(&|_| report(160.0 + f64::from(n % 2), 0.8));
     }
-    bench.list(ListKind::Changes, vec![member(3)]);
-    let new = |s: ServerId| if s.0 == 3 { report(20.0, 0.05) } else { report(160.0, 0.8) };
-    while bench.serve(&new) != Some(ServerId(3)) {
+    bench.list(UpdateKind::Delta, vec![member(3)]);
+    let new = |s: EndpointId| if s.0 == 3 { report(20.0, 0.05) } else { report(160.0, 0.8) };
+    while bench.serve(&new) != Some(EndpointId(3)) {
         bench.now += 10.0;
     }
     let mut out = [0u32; 4];
@@ -916,20 +927,21 @@
 #[test]
 fn a_server_that_is_gone_is_not_remembered() {
     let mut bench = Bench::new(settings(), 2);
-    let left = Member { readiness: Readiness::Left, ..member(0) };
+    let left = EndpointRecord { readiness: Readiness::Removed, ..member(0) };
     let (request, actions) = bench.request(2, None);
     let busy = sent(&actions).expect("sent");
-    bench.list(ListKind::Changes, vec![left, Member { readiness: Readiness::Left, ..member(1) }]);
+    bench.list(UpdateKind::Delta, vec![left, EndpointRecord { readiness: Readiness::Removed, ..member(1) }]);
     assert!(bench.balancer.knows(busy), "something of ours is still out there");
     bench.end(request, 0, busy, Outcome::Served);
-    bench.list(ListKind::Changes, vec![member(2)]);
-    assert!(!bench.balancer.knows(ServerId(0)) && !bench.balancer.knows(ServerId(1)));
+    bench.list(UpdateKind::Delta, vec![member(2)]);
+    assert!(!bench.balancer.knows(EndpointId(0)) && !bench.balancer.knows(EndpointId(1)));
 }
 
 /// Whether a busy fleet sends a try of class 0, of a client of this tenant that still waits for so long.
 fn goes_on(bench: &mut Bench, id: u64, tenant: usize, patience_ms: f64) -> bool {
     bench.now += 10.0;
-    let arrival = Arrival { request: RequestId(id), class: 0, tenant: Some(tenant), patience_ms };
+    let arrival =
+        Arrival { request: RequestId(id), class: 0, tenant: Some(tenant), client_timeout_ms: patience_ms };
     let actions = bench.take(Event::Request(arrival));
     let Some(server) = sent(&actions) else { return false };
     let report = report(30.0 + id as f64 % 2.0, 0.75);
@@ -956,7 +968,8 @@
 #[test]
 fn a_full_fleet_takes_no_work_that_its_client_hardly_waits_for() {
     let ask = |bench: &mut Bench, patience_ms| {
-        let arrival = Arrival { request: RequestId(9000), class: 0, tenant: None, patience_ms };
+        let arrival =
+            Arrival { request: RequestId(9000), class: 0, tenant: None, client_timeout_ms: patience_ms };
         bench.take(Event::Request(arrival))
     };
     let mut bench = Bench::new(settings(), 2);
@@ -976,7 +989,7 @@
     let mut second = |bench: &mut Bench| -> u32 {
         let mut serve = || {
             bench.wake(100.0);
-            u32::from(bench.serve(&|_| report(20.0, 0.5)) == Some(ServerId(server)))
+            u32::from(bench.serve(&|_| report(20.0, 0.5)) == Some(EndpointId(server)))
         };
         (0..10).map(|_| serve()).sum()
     };
@@ -986,22 +999,29 @@
 #[test]
 fn the_first_servers_of_a_zone_that_is_back_are_shared_by_few() {
     // A zone was gone from the list; the first of its servers is back, and all gateways see but this one there.
-    let back = |servers: u32, started_at: f64| -> Vec<Member> {
-        (0..servers).map(|n| Member { place: u64::from(n) << 40, started_at, ..member(n) }).collect()
+    let back = |servers: u32, started_at: f64| -> Vec<EndpointRecord> {
+        (0..servers)
+            .map(|n| EndpointRecord { hash: u64::from(n) << 40, started_at_ms: started_at, ..member(n) })
+            .collect()
     };
     for gateways in [2, 60, 300] {
         let mut fleet: Vec<Bench> = (0..gateways)
             .map(|me| {
                 let mut s = settings();
-                (s.instances, s.me, s.cold_share, s.cold_ms, s.tip_multiple) =
-                    (gateways, me, 0.3, 9000.0, 3.0);
+                (
+                    s.gateway_count,
+                    s.gateway_index,
+                    s.slow_start_min_ratio,
+                    s.slow_start_ms,
+                    s.slow_start_overload_multiple,
+                ) = (gateways, me, 0.3, 9000.0, 3.0);
                 let mut bench = Bench::new(s, 0);
-                let far = (100..160).map(|n| Member { zone: 1, ..member(n) }).collect();
-                bench.list(ListKind::Whole, far);
+                let far = (100..160).map(|n| EndpointRecord { zone: 1, ..member(n) }).collect();
+                bench.list(UpdateKind::Complete, far);
                 for _ in 0..20 {
                     bench.serve(&|_| report(20.0, 0.5));
                 }
-                bench.list(ListKind::Changes, back(1, bench.now));
+                bench.list(UpdateKind::Delta, back(1, bench.now));
                 bench
             })
             .collect();
@@ -1014,22 +1034,26 @@
 
 #[test]
 fn a_start_told_backwards_or_ahead_of_the_clock_neither_warms_nor_chills() {
-    let at =
-        |started_at: f64| vec![Member { started_at, ..member(0) }, Member { place: 1 << 63, ..member(1) }];
+    let at = |started_at: f64| {
+        vec![
+            EndpointRecord { started_at_ms: started_at, ..member(0) },
+            EndpointRecord { hash: 1 << 63, ..member(1) },
+        ]
+    };
     let paced = |lists: &[f64]| -> u32 {
         let mut s = settings();
-        (s.cold_share, s.cold_ms) = (0.1, 8000.0);
+        (s.slow_start_min_ratio, s.slow_start_ms) = (0.1, 8000.0);
         let mut bench = Bench::new(s, 2);
         bench.now = 100_000.0;
         for _ in 0..40 {
             bench.serve(&|_| report(100.0, 0.5));
         }
         for started_at in lists {
-            bench.list(ListKind::Whole, at(*started_at));
+            bench.list(UpdateKind::Complete, at(*started_at));
         }
         let mut served = 0;
         for _ in 0..100 {
-            served += u32::from(bench.serve(&|_| report(100.0, 0.5)) == Some(ServerId(0)));
+            served += u32::from(bench.serve(&|_| report(100.0, 0.5)) == Some(EndpointId(0)));
             bench.wake(10.0);
         }
         served
@@ -1045,9 +1069,9 @@
     // One ahead of the clock counts as now: it is cold, and warm once its time has passed.
     assert!(paced(&[1e15]) * 3 < warm);
     let mut bench = Bench::new(settings(), 2);
-    bench.list(ListKind::Whole, at(1e15));
+    bench.list(UpdateKind::Complete, at(1e15));
     bench.now += 30_000.0;
-    let served = (0..100).filter(|_| bench.serve(&|_| report(100.0, 0.5)) == Some(ServerId(0))).count();
+    let served = (0..100).filter(|_| bench.serve(&|_| report(100.0, 0.5)) == Some(EndpointId(0))).count();
     assert!(served > 20, "{served} of 100: it is warm by now");
 }
 
@@ -1055,26 +1079,26 @@
 fn a_start_is_a_slow_one_whatever_the_wall_clocks_of_server_and_gateway_say() {
     const HOUR_MS: f64 = 3_600_000.0;
     // How many of 100 requests a server gets after its start was told; `known` before or not.
-    let sent_after = |known: bool, kind: ListKind, off_ms: f64, started: bool| -> usize {
+    let sent_after = |known: bool, kind: UpdateKind, off_ms: f64, started: bool| -> usize {
         let mut s = settings();
-        (s.cold_share, s.cold_ms) = (0.1, 8000.0);
+        (s.slow_start_min_ratio, s.slow_start_ms) = (0.1, 8000.0);
         let mut bench = Bench::new(s, if known { 2 } else { 1 });
         bench.now = 10.0 * HOUR_MS;
-        bench.list(ListKind::Changes, vec![]);
+        bench.list(UpdateKind::Delta, vec![]);
         for _ in 0..40 {
             bench.serve(&|_| report(100.0, 0.5));
         }
         let started_at = if started { bench.now + off_ms } else { 0.0 };
-        let members = vec![Member { started_at, ..member(1) }, member(0)];
+        let members = vec![EndpointRecord { started_at_ms: started_at, ..member(1) }, member(0)];
         bench.list(kind, members);
         let mut sent = 0;
         for _ in 0..100 {
-            sent += usize::from(bench.serve(&|_| report(100.0, 0.5)) == Some(ServerId(1)));
+            sent += usize::from(bench.serve(&|_| report(100.0, 0.5)) == Some(EndpointId(1)));
             bench.wake(10.0);
         }
         sent
     };
-    for kind in [ListKind::Changes, ListKind::Whole] {
+    for kind in [UpdateKind::Delta, UpdateKind::Complete] {
         let warm = sent_after(true, kind, 0.0, false);
         for known in [true, false] {
             let cold = sent_after(known, kind, 0.0, true);
@@ -1088,31 +1112,32 @@
     // Two answers of discovery that take turns are no start after the first ones.
     let mut bench = Bench::new(settings(), 2);
     bench.now = 10.0 * HOUR_MS;
-    bench.list(ListKind::Changes, vec![]);
+    bench.list(UpdateKind::Delta, vec![]);
     for started_at in [bench.now, bench.now - HOUR_MS].repeat(2) {
-        bench.list(ListKind::Changes, vec![Member { started_at, ..member(1) }]);
+        bench.list(UpdateKind::Delta, vec![EndpointRecord { started_at_ms: started_at, ..member(1) }]);
     }
     bench.now += 30_000.0;
-    bench.list(ListKind::Changes, vec![Member { started_at: 10.0 * HOUR_MS, ..member(1) }]);
-    let sent = (0..100).filter(|_| bench.serve(&|_| report(100.0, 0.5)) == Some(ServerId(1))).count();
+    bench.list(UpdateKind::Delta, vec![EndpointRecord { started_at_ms: 10.0 * HOUR_MS, ..member(1) }]);
+    let sent = (0..100).filter(|_| bench.serve(&|_| report(100.0, 0.5)) == Some(EndpointId(1))).count();
     assert!(sent > 20, "{sent} of 100: it is warm by now");
 }
 
 #[test]
 fn where_nothing_reports_a_cold_server_gets_work_by_what_the_others_are_sent() {
     let mut s = settings();
-    (s.reports, s.cold_share, s.cold_ms, s.tip_multiple) = (Reports::Off, 0.3, 8000.0, 3.0);
+    (s.load_report_delivery, s.slow_start_min_ratio, s.slow_start_ms, s.slow_start_overload_multiple) =
+        (LoadReportDelivery::Off, 0.3, 8000.0, 3.0);
     let mut bench = Bench::new(s, 4);
     let sent = |bench: &mut Bench| -> u32 {
         let mut serve = || {
             bench.wake(5.0);
-            u32::from(bench.serve(&|_| Report::default()) == Some(ServerId(0)))
+            u32::from(bench.serve(&|_| LoadReport::default()) == Some(EndpointId(0)))
         };
         (0..800).map(|_| serve()).sum()
     };
     // 200 a second over four servers; in its first 4 s a cold one is warm by 0.3 to 0.65.
     let warm = sent(&mut bench);
-    bench.list(ListKind::Changes, vec![Member { started_at: bench.now, ..member(0) }]);
+    bench.list(UpdateKind::Delta, vec![EndpointRecord { started_at_ms: bench.now, ..member(0) }]);
     let cold = sent(&mut bench);
     assert!(cold * 8 > warm && cold * 2 < warm, "{cold} while cold, {warm} while warm");
 }
--- a/balancer/tests/decision_digests/adapter.rs
+++ b/balancer/tests/decision_digests/adapter.rs
@@ -1,8 +1,9 @@
 //! The only place of this test that names the balancer's interface: plain inputs in, plain outputs out.
 
 use ternstack_balancer::{
-    Action, Arrival, AttemptEnd, Balancer, Cause, Class, Effect, Event, Group, ListKind, Member, Outcome,
-    Readiness, Report, Reports, RequestId, ServerId, Settings, Tenant,
+    Action, Arrival, AttemptEnd, Balancer, DeduplicationScope, EndpointId, EndpointRecord, Event,
+    Idempotency, LoadReport, LoadReportDelivery, Outcome, Readiness, RejectionReason, RequestClass,
+    RequestId, Settings, Tenant, UpdateKind,
 };
 
 /// A request class of a plan.
@@ -169,128 +170,140 @@
     }
 
     pub fn knows(&self, endpoint: u32) -> bool {
-        self.balancer.knows(ServerId(endpoint))
+        self.balancer.knows(EndpointId(endpoint))
     }
 }
 
 fn settings(plan: &Plan) -> Settings {
-    let class = |class: &PlanClass| Class {
+    let class = |class: &PlanClass| RequestClass {
         name: "class".into(),
-        aim_ms: class.objective_ms,
+        latency_objective_ms: class.objective_ms,
         deadline_ms: class.deadline_ms,
-        late_value: class.late_value,
-        effect: [Effect::Safe, Effect::Keyed, Effect::Unsafe][usize::from(class.idempotency)],
-        group: [Group::All, Group::Zone, Group::Cell][usize::from(class.scope)],
-        window_ms: class.window_ms,
+        late_value_ratio: class.late_value,
+        idempotency: [Idempotency::Idempotent, Idempotency::IdempotentWithKey, Idempotency::NonIdempotent]
+            [usize::from(class.idempotency)],
+        deduplication_scope: [DeduplicationScope::All, DeduplicationScope::Zone, DeduplicationScope::Cell]
+            [usize::from(class.scope)],
+        deduplication_window_ms: class.window_ms,
     };
     let tenant = |quota: &f64| Tenant { name: "tenant".into(), quota_per_s: *quota };
     Settings {
         classes: plan.classes.iter().map(class).collect(),
         tenants: plan.quotas_per_s.iter().map(tenant).collect(),
-        instances: plan.gateway_count,
-        me: plan.gateway_index,
+        gateway_count: plan.gateway_count,
+        gateway_index: plan.gateway_index,
         zone: plan.zone,
         tick_ms: plan.tick_ms,
-        live_weights: plan.live_weights,
-        cross_price: plan.cross_zone_price,
-        idle_ms: plan.idle_ms,
-        reports: [Reports::Inline, Reports::OnProbe, Reports::Off][usize::from(plan.reports)],
-        ask_discovery: plan.polls,
+        weights_reflect_load: plan.live_weights,
+        cross_zone_cost_ratio: plan.cross_zone_price,
+        connection_idle_timeout_ms: plan.idle_ms,
+        load_report_delivery: [
+            LoadReportDelivery::Inline,
+            LoadReportDelivery::OnHealthCheck,
+            LoadReportDelivery::Off,
+        ][usize::from(plan.reports)],
+        poll_discovery: plan.polls,
         max_attempts: plan.max_attempts,
-        may_probe: plan.may_probe,
-        may_cancel: plan.may_cancel,
+        health_checks_allowed: plan.may_probe,
+        cancellation_allowed: plan.may_cancel,
         max_retry_after_ms: plan.max_retry_after_ms,
-        ask_within_ms: plan.ask_within_ms,
-        cold_share: plan.cold_share,
-        cold_ms: plan.cold_ms,
-        tip_multiple: plan.tip_multiple,
-        removal_not_binding: plan.removal_not_binding,
-        nines: plan.nines,
-        top_nines: plan.top_nines,
+        max_discovery_age_ms: plan.ask_within_ms,
+        slow_start_min_ratio: plan.cold_share,
+        slow_start_ms: plan.cold_ms,
+        slow_start_overload_multiple: plan.tip_multiple,
+        removal_is_advisory: plan.removal_not_binding,
+        availability_weight: plan.nines,
+        availability_target_nines: plan.top_nines,
     }
 }
 
 fn event(input: &Input) -> Event {
     match input {
-        Input::List { kind, entries } => Event::List {
-            kind: [ListKind::Changes, ListKind::Whole, ListKind::WarmCopy, ListKind::Lost]
+        Input::List { kind, entries } => Event::EndpointUpdate {
+            kind: [UpdateKind::Delta, UpdateKind::Complete, UpdateKind::Cached, UpdateKind::WatchLost]
                 [usize::from(*kind)],
-            members: entries.iter().map(member).collect(),
+            endpoints: entries.iter().map(member).collect(),
         },
         Input::Arrival { request, class, tenant, timeout_ms } => Event::Request(Arrival {
             request: RequestId(*request),
             class: *class,
             tenant: *tenant,
-            patience_ms: *timeout_ms,
+            client_timeout_ms: *timeout_ms,
         }),
-        Input::Begun { request } => Event::Begun { request: RequestId(*request) },
+        Input::Begun { request } => Event::ResponseStarted { request: RequestId(*request) },
         Input::AttemptEnd { request, attempt, endpoint, end, latency_ms, complete, load } => {
             Event::AttemptEnd(AttemptEnd {
                 request: RequestId(*request),
                 attempt: *attempt,
-                server: ServerId(*endpoint),
+                endpoint: EndpointId(*endpoint),
                 outcome: outcome(*end),
                 latency_ms: *latency_ms,
-                complete: *complete,
+                request_complete: *complete,
                 report: report(load),
             })
         }
-        Input::Disconnected { request } => Event::Gone { request: RequestId(*request) },
-        Input::ProbeEnd { endpoint, end, load } => {
-            Event::Probed { server: ServerId(*endpoint), outcome: outcome(*end), report: report(load) }
-        }
+        Input::Disconnected { request } => Event::ClientDisconnected { request: RequestId(*request) },
+        Input::ProbeEnd { endpoint, end, load } => Event::HealthCheckEnd {
+            endpoint: EndpointId(*endpoint),
+            outcome: outcome(*end),
+            report: report(load),
+        },
         Input::Timer { token } => Event::Timer { token: *token },
     }
 }
 
-fn member(entry: &Entry) -> Member {
-    Member {
-        server: ServerId(entry.endpoint),
+fn member(entry: &Entry) -> EndpointRecord {
+    EndpointRecord {
+        endpoint: EndpointId(entry.endpoint),
         zone: entry.zone,
         cell: entry.cell,
-        place: entry.place,
+        hash: entry.place,
         weight: entry.weight,
-        readiness: [Readiness::Active, Readiness::Leaving, Readiness::Left][usize::from(entry.readiness)],
-        started_at: entry.started_at_ms,
+        readiness: [Readiness::Active, Readiness::Draining, Readiness::Removed][usize::from(entry.readiness)],
+        started_at_ms: entry.started_at_ms,
     }
 }
 
-fn report(load: &Load) -> Report {
-    Report { utilization: load.utilization, throughput: load.throughput, backlog: load.backlog }
+fn report(load: &Load) -> LoadReport {
+    LoadReport {
+        utilization: load.utilization,
+        throughput_per_s: load.throughput,
+        queue_length: load.backlog,
+    }
 }
 
 fn outcome(end: End) -> Outcome {
     match end {
         End::Served => Outcome::Served,
         End::ServerError => Outcome::ServerError,
-        End::Rejected => Outcome::TurnedAway,
-        End::NoAnswer => Outcome::NoAnswer,
-        End::NoConnection => Outcome::NoConnection,
+        End::Rejected => Outcome::Rejected,
+        End::NoAnswer => Outcome::ResponseTimeout,
+        End::NoConnection => Outcome::ConnectFailed,
         End::ConnectionLost => Outcome::ConnectionLost,
-        End::Cancelled => Outcome::CalledOff,
+        End::Cancelled => Outcome::Cancelled,
         End::NotSent => Outcome::NotSent,
     }
 }
 
 fn output(action: &Action) -> Output {
     match action {
-        Action::Send { request, server, until } => {
+        Action::Send { request, endpoint: server, give_up_at_ms: until } => {
             Output::Send { request: request.0, endpoint: server.0, until_ms: *until }
         }
         Action::Cancel { request, attempt } => Output::Cancel { request: request.0, attempt: *attempt },
-        Action::Refuse { request, cause, retry_after_ms } => {
+        Action::Reject { request, reason: cause, retry_after_ms } => {
             let reason = match cause {
-                Cause::OverLimit => 0,
-                Cause::NoRoom => 1,
-                Cause::TooLate => 2,
-                Cause::Failed => 3,
+                RejectionReason::QuotaExceeded => 0,
+                RejectionReason::NoCapacity => 1,
+                RejectionReason::TooLate => 2,
+                RejectionReason::AttemptsFailed => 3,
             };
             Output::Reject { request: request.0, reason, retry_after_ms: *retry_after_ms }
         }
         Action::Fail { request } => Output::Fail { request: request.0 },
-        Action::Timer { at, token } => Output::Timer { at_ms: *at, token: *token },
-        Action::Probe { server } => Output::Probe { endpoint: server.0 },
-        Action::Watch => Output::Watch,
+        Action::Timer { at_ms: at, token } => Output::Timer { at_ms: *at, token: *token },
+        Action::HealthCheck { endpoint: server } => Output::Probe { endpoint: server.0 },
+        Action::WatchEndpoints => Output::Watch,
         Action::Log(_) => Output::Log,
     }
 }
--- a/balancer/tests/rules.rs
+++ b/balancer/tests/rules.rs
@@ -12,12 +12,12 @@
     deadline: f64,
     answers: u32,
     /// Server, time sent, outcome once known.
-    attempts: Vec<(ServerId, f64, Option<Outcome>)>,
+    attempts: Vec<(EndpointId, f64, Option<Outcome>)>,
 }
 
 impl Seen {
-    fn first_that_may_have_run(&self) -> Option<(ServerId, f64)> {
-        let ran = |a: &&(ServerId, f64, Option<Outcome>)| a.2.is_none_or(|o| !o.never_ran());
+    fn first_that_may_have_run(&self) -> Option<(EndpointId, f64)> {
+        let ran = |a: &&(EndpointId, f64, Option<Outcome>)| a.2.is_none_or(|o| !o.never_ran());
         self.attempts.iter().find(ran).map(|a| (a.0, a.1))
     }
 }
@@ -26,7 +26,7 @@
     rng: Rand64,
     bench: Bench,
     seen: BTreeMap<RequestId, Seen>,
-    closed: BTreeMap<ServerId, bool>,
+    closed: BTreeMap<EndpointId, bool>,
     timers: Vec<f64>,
     log: String,
 }
@@ -34,9 +34,9 @@
 const OUTCOMES: [Outcome; 7] = [
     Outcome::Served,
     Outcome::ServerError,
-    Outcome::TurnedAway,
-    Outcome::NoAnswer,
-    Outcome::NoConnection,
+    Outcome::Rejected,
+    Outcome::ResponseTimeout,
+    Outcome::ConnectFailed,
     Outcome::ConnectionLost,
     Outcome::NotSent,
 ];
@@ -47,7 +47,7 @@
         for action in actions {
             self.log.push_str(&format!("{now} {action:?}\n"));
             match action {
-                Action::Send { request, server, .. } => {
+                Action::Send { request, endpoint: server, .. } => {
                     assert_eq!(self.closed.get(&server), Some(&false), "sent to a closed or unknown server");
                     let seen = self.seen.get_mut(&request).expect("known");
                     assert_eq!(seen.answers, 0, "sent after the final answer");
@@ -63,7 +63,7 @@
                     }
                     seen.attempts.push((server, now, None));
                 }
-                Action::Refuse { request, .. } => {
+                Action::Reject { request, .. } => {
                     let seen = self.seen.get_mut(&request).expect("known");
                     assert!(seen.class == 0 || seen.first_that_may_have_run().is_none(), "a false promise");
                     seen.answers += 1;
@@ -74,7 +74,7 @@
                     seen.answers += 1;
                     assert!(now <= seen.deadline + 20.0, "late");
                 }
-                Action::Timer { at, .. } => self.timers.push(at),
+                Action::Timer { at_ms: at, .. } => self.timers.push(at),
                 _ => {}
             }
         }
@@ -92,7 +92,7 @@
                     let id = RequestId(self.seen.len() as u64);
                     let patience_ms = 560.0 + 40.0 * self.rng.rand_float();
                     self.seen.insert(id, Seen { class, deadline: now + patience_ms, ..Seen::default() });
-                    let arrival = Arrival { request: id, class, tenant, patience_ms };
+                    let arrival = Arrival { request: id, class, tenant, client_timeout_ms: patience_ms };
                     self.bench.take(Event::Request(arrival))
                 };
                 self.check(actions);
@@ -100,11 +100,11 @@
             if self.rng.rand_range(0..40) == 0 {
                 let server = self.rng.rand_range(0..8) as u32;
                 let closed = self.rng.rand_range(0..2) == 0;
-                let readiness = if closed { Readiness::Leaving } else { Readiness::Active };
-                self.closed.insert(ServerId(server), closed);
+                let readiness = if closed { Readiness::Draining } else { Readiness::Active };
+                self.closed.insert(EndpointId(server), closed);
                 let started_at = if self.rng.rand_range(0..2) == 0 { now } else { 0.0 };
-                let changed = Member { readiness, started_at, ..member(server) };
-                let actions = self.bench.list(ListKind::Changes, vec![changed]);
+                let changed = EndpointRecord { readiness, started_at_ms: started_at, ..member(server) };
+                let actions = self.bench.list(UpdateKind::Delta, vec![changed]);
                 self.check(actions);
             }
         }
@@ -115,7 +115,13 @@
                     let over = now >= seen.deadline;
                     if over || self.rng.rand_range(0..10) == 0 {
                         let pick = self.rng.rand_range(0..OUTCOMES.len() as u64) as usize;
-                        ends.push((id, n, server, at, if over { Outcome::NoAnswer } else { OUTCOMES[pick] }));
+                        ends.push((
+                            id,
+                            n,
+                            server,
+                            at,
+                            if over { Outcome::ResponseTimeout } else { OUTCOMES[pick] },
+                        ));
                     }
                 }
             }
@@ -128,7 +134,15 @@
             let report = report(200.0 * self.rng.rand_float(), self.rng.rand_float());
             let attempt = n as u32;
             let latency_ms = now - at;
-            let end = AttemptEnd { request, attempt, server, outcome, latency_ms, complete, report };
+            let end = AttemptEnd {
+                request,
+                attempt,
+                endpoint: server,
+                outcome,
+                latency_ms,
+                request_complete: complete,
+                report,
+            };
             let actions = self.bench.take(Event::AttemptEnd(end));
             self.check(actions);
         }
@@ -142,7 +156,7 @@
 }
 
 fn day(seed: u64) -> String {
-    let closed = (0..8).map(|n| (ServerId(n), false)).collect();
+    let closed = (0..8).map(|n| (EndpointId(n), false)).collect();
     let (rng, bench) = (Rand64::new(u128::from(seed)), Bench::new(settings(), 8));
     let mut day = Day { rng, bench, seen: BTreeMap::new(), closed, timers: Vec::new(), log: String::new() };
     for _ in 0..600 {
--- a/fleet-simulator/benches/decision.rs
+++ b/fleet-simulator/benches/decision.rs
@@ -2,20 +2,20 @@
 //! gateway uses all hosts. `cargo bench -p ternstack-fleet-simulator` prints microseconds a message.
 use criterion::{criterion_group, criterion_main, BenchmarkId, Criterion, Throughput};
 use ternstack_balancer::{
-    Action, Arrival, AttemptEnd, Balancer, Class, Effect, Event, Group, ListKind, Member, Outcome, RequestId,
-    ServerId, Settings, Tenant,
+    Action, Arrival, AttemptEnd, Balancer, DeduplicationScope, EndpointId, EndpointRecord, Event,
+    Idempotency, Outcome, RequestClass, RequestId, Settings, Tenant, UpdateKind,
 };
 use ternstack_fleet_simulator::policy::alone;
 
 fn settings() -> Settings {
-    let class = Class {
+    let class = RequestClass {
         name: "read".into(),
-        aim_ms: 1200.0,
+        latency_objective_ms: 1200.0,
         deadline_ms: 5000.0,
-        late_value: 0.2,
-        effect: Effect::Safe,
-        group: Group::All,
-        window_ms: 0.0,
+        late_value_ratio: 0.2,
+        idempotency: Idempotency::Idempotent,
+        deduplication_scope: DeduplicationScope::All,
+        deduplication_window_ms: 0.0,
     };
     let tenant = Tenant { name: "one".into(), quota_per_s: 0.0 };
     Settings { max_attempts: 3, ..alone(vec![class], vec![tenant]) }
@@ -33,10 +33,14 @@
     fn new(hosts: u32) -> Self {
         let balancer = Balancer::new(settings(), 7).expect("sound settings");
         let mut warm = Warm { balancer, now: 1000.0, next: 0, actions: Vec::new() };
-        let member =
-            |n| Member { server: ServerId(n), weight: 1.0, place: u64::from(n), ..Member::default() };
+        let member = |n| EndpointRecord {
+            endpoint: EndpointId(n),
+            weight: 1.0,
+            hash: u64::from(n),
+            ..EndpointRecord::default()
+        };
         let members = (0..hosts).map(member).collect();
-        warm.hand(Event::List { kind: ListKind::WarmCopy, members });
+        warm.hand(Event::EndpointUpdate { kind: UpdateKind::Cached, endpoints: members });
         (0..2 * hosts).for_each(|_| warm.message(hosts));
         warm
     }
@@ -51,25 +55,25 @@
         self.now += 50.0 / f64::from(hosts);
         self.next += 1;
         let request = RequestId(self.next);
-        self.hand(Event::Request(Arrival { request, class: 0, tenant: Some(0), patience_ms: 2500.0 }));
+        self.hand(Event::Request(Arrival { request, class: 0, tenant: Some(0), client_timeout_ms: 2500.0 }));
         let sent = self.actions.iter().find_map(|a| match a {
-            Action::Send { server, .. } => Some(*server),
+            Action::Send { endpoint: server, .. } => Some(*server),
             _ => None,
         });
         let Some(server) = sent else { return };
         // Figures that change from report to report, as real ones do.
-        let report = ternstack_balancer::Report {
+        let report = ternstack_balancer::LoadReport {
             utilization: Some(0.4 + 0.001 * (self.next % 97) as f64),
-            throughput: Some(18.0 + 0.01 * (self.next % 89) as f64),
-            backlog: None,
+            throughput_per_s: Some(18.0 + 0.01 * (self.next % 89) as f64),
+            queue_length: None,
         };
         self.hand(Event::AttemptEnd(AttemptEnd {
             request,
             attempt: 0,
-            server,
+            endpoint: server,
             outcome: Outcome::Served,
             latency_ms: 150.0,
-            complete: true,
+            request_complete: true,
             report,
         }));
     }
--- a/fleet-simulator/src/capacity/decision.rs
+++ b/fleet-simulator/src/capacity/decision.rs
@@ -1,8 +1,8 @@
 //! One module before the hosts of one list, for what a decision costs.
 use crate::policy::alone;
 use ternstack_balancer::{
-    Action, Arrival, AttemptEnd, Balancer, Class, Effect, Event, Group, ListKind, Member, Outcome, Report,
-    RequestId, ServerId, Settings, Tenant,
+    Action, Arrival, AttemptEnd, Balancer, DeduplicationScope, EndpointId, EndpointRecord, Event,
+    Idempotency, LoadReport, Outcome, RequestClass, RequestId, Settings, Tenant, UpdateKind,
 };
 
 /// A module that has heard from each of its hosts, and a clock, as in the bench of decisions.
@@ -21,24 +21,29 @@
 impl Warm {
     /// One of so many gateways before so many hosts, with so long between two requests. It has had two for each host.
     pub fn new(hosts: u32, instances: u32, gap_ms: f64) -> Result<Self, String> {
-        let class = Class {
+        let class = RequestClass {
             name: "read".into(),
-            aim_ms: 1200.0,
+            latency_objective_ms: 1200.0,
             deadline_ms: 5000.0,
-            late_value: 0.2,
-            effect: Effect::Safe,
-            group: Group::All,
-            window_ms: 0.0,
+            late_value_ratio: 0.2,
+            idempotency: Idempotency::Idempotent,
+            deduplication_scope: DeduplicationScope::All,
+            deduplication_window_ms: 0.0,
         };
         let tenant = Tenant { name: "one".into(), quota_per_s: 0.0 };
-        let settings = Settings { max_attempts: 3, instances, ..alone(vec![class], vec![tenant]) };
+        let settings =
+            Settings { max_attempts: 3, gateway_count: instances, ..alone(vec![class], vec![tenant]) };
         let balancer = Balancer::new(settings, 7).map_err(|e| e.to_string())?;
         let mut warm =
             Warm { balancer, now: 1000.0, next: 0, gap_ms, actions: Vec::new(), timers: Vec::new(), sent: 0 };
-        let member =
-            |n| Member { server: ServerId(n), weight: 1.0, place: u64::from(n), ..Member::default() };
+        let member = |n| EndpointRecord {
+            endpoint: EndpointId(n),
+            weight: 1.0,
+            hash: u64::from(n),
+            ..EndpointRecord::default()
+        };
         let members = (0..hosts).map(member).collect();
-        warm.hand(Event::List { kind: ListKind::WarmCopy, members });
+        warm.hand(Event::EndpointUpdate { kind: UpdateKind::Cached, endpoints: members });
         (0..2 * hosts).for_each(|_| warm.message());
         Ok(warm)
     }
@@ -47,7 +52,7 @@
         self.actions.clear();
         self.balancer.handle(self.now, event, &mut self.actions);
         let timers = self.actions.iter().filter_map(|a| match a {
-            Action::Timer { at, token } => Some((*at, *token)),
+            Action::Timer { at_ms: at, token } => Some((*at, *token)),
             _ => None,
         });
         self.timers.extend(timers);
@@ -66,26 +71,26 @@
         self.now = until;
         self.next += 1;
         let request = RequestId(self.next);
-        self.hand(Event::Request(Arrival { request, class: 0, tenant: Some(0), patience_ms: 2500.0 }));
+        self.hand(Event::Request(Arrival { request, class: 0, tenant: Some(0), client_timeout_ms: 2500.0 }));
         let sent = self.actions.iter().find_map(|a| match a {
-            Action::Send { server, .. } => Some(*server),
+            Action::Send { endpoint: server, .. } => Some(*server),
             _ => None,
         });
         let Some(server) = sent else { return };
         self.sent += 1;
         // Figures that change from report to report, as real ones do.
-        let report = Report {
+        let report = LoadReport {
             utilization: Some(0.4 + 0.001 * (self.next % 97) as f64),
-            throughput: Some(18.0 + 0.01 * (self.next % 89) as f64),
-            backlog: None,
+            throughput_per_s: Some(18.0 + 0.01 * (self.next % 89) as f64),
+            queue_length: None,
         };
         self.hand(Event::AttemptEnd(AttemptEnd {
             request,
             attempt: 0,
-            server,
+            endpoint: server,
             outcome: Outcome::Served,
             latency_ms: 150.0,
-            complete: true,
+            request_complete: true,
             report,
         }));
     }
--- a/fleet-simulator/src/drive.rs
+++ b/fleet-simulator/src/drive.rs
@@ -19,8 +19,8 @@
 use std::cmp::Reverse;
 use std::collections::{BinaryHeap, VecDeque};
 use ternstack_balancer::{
-    Action, Arrival, AttemptEnd, Event as Heard, Group, ListKind, Member, Outcome, Readiness, Report,
-    Reports, RequestId, ServerId, Settings, Tenant,
+    Action, Arrival, AttemptEnd, DeduplicationScope, EndpointId, EndpointRecord, Event as Heard, LoadReport,
+    LoadReportDelivery, Outcome, Readiness, RequestId, Settings, Tenant, UpdateKind,
 };
 
 /// A gateway's clock shows this at the start, in ms: its times are never near 0.
@@ -280,18 +280,18 @@
 }
 
 fn settings(world: &World, quotas: &[f64]) -> Settings {
-    let class = |c: &crate::world::spec::Class| ternstack_balancer::Class {
+    let class = |c: &crate::world::spec::Class| ternstack_balancer::RequestClass {
         name: c.name.clone(),
-        aim_ms: c.aim_ms,
+        latency_objective_ms: c.aim_ms,
         deadline_ms: c.deadline_ms,
-        late_value: c.late_worth,
-        effect: match c.effect {
-            Effect::Safe => ternstack_balancer::Effect::Safe,
-            Effect::Keyed => ternstack_balancer::Effect::Keyed,
-            Effect::Unsafe => ternstack_balancer::Effect::Unsafe,
+        late_value_ratio: c.late_worth,
+        idempotency: match c.effect {
+            Effect::Safe => ternstack_balancer::Idempotency::Idempotent,
+            Effect::Keyed => ternstack_balancer::Idempotency::IdempotentWithKey,
+            Effect::Unsafe => ternstack_balancer::Idempotency::NonIdempotent,
         },
-        group: Group::All,
-        window_ms: c.window_ms,
+        deduplication_scope: DeduplicationScope::All,
+        deduplication_window_ms: c.window_ms,
     };
     let name = |n: usize| world.tenants.get(n).map_or_else(|| format!("tenant-{n}"), |t| t.name.clone());
     let tenants = quotas.iter().enumerate().map(|(n, q)| Tenant { name: name(n), quota_per_s: *q });
@@ -300,26 +300,30 @@
     Settings {
         classes: world.classes.iter().map(class).collect(),
         tenants: tenants.collect(),
-        instances: world.gateways,
-        me: 0,
+        gateway_count: world.gateways,
+        gateway_index: 0,
         zone: 0,
         tick_ms: world.gateway.tick_ms,
-        live_weights: false,
-        cross_price: 0.01,
-        idle_ms: idle,
-        reports: if world.kinds.iter().any(|k| k.report.on) { Reports::Inline } else { Reports::Off },
-        ask_discovery: world.discovery.ask,
+        weights_reflect_load: false,
+        cross_zone_cost_ratio: 0.01,
+        connection_idle_timeout_ms: idle,
+        load_report_delivery: if world.kinds.iter().any(|k| k.report.on) {
+            LoadReportDelivery::Inline
+        } else {
+            LoadReportDelivery::Off
+        },
+        poll_discovery: world.discovery.ask,
         max_attempts: world.gateway.max_attempts,
-        may_probe: false,
-        may_cancel: world.gateway.may_cancel,
+        health_checks_allowed: false,
+        cancellation_allowed: world.gateway.may_cancel,
         max_retry_after_ms: world.clients.heed_most_ms,
-        ask_within_ms: world.gateway.ask_within_ms,
-        cold_share: world.kinds.iter().map(|k| k.cold.share.bounds().0).fold(1.0, f64::min),
-        cold_ms: world.kinds.iter().map(|k| k.cold.warm_ms.bounds().1).fold(0.0, f64::max),
-        tip_multiple: falls.fold(f64::INFINITY, f64::min).min(1000.0),
-        removal_not_binding: false,
-        nines: 0.0,
-        top_nines: None,
+        max_discovery_age_ms: world.gateway.ask_within_ms,
+        slow_start_min_ratio: world.kinds.iter().map(|k| k.cold.share.bounds().0).fold(1.0, f64::min),
+        slow_start_ms: world.kinds.iter().map(|k| k.cold.warm_ms.bounds().1).fold(0.0, f64::max),
+        slow_start_overload_multiple: falls.fold(f64::INFINITY, f64::min).min(1000.0),
+        removal_is_advisory: false,
+        availability_weight: 0.0,
+        availability_target_nines: None,
     }
 }
 
@@ -615,11 +619,11 @@
         let part = u64::from(gateway) << 16 | u64::from(incarnation & 0xffff);
         let seed: u64 = stream(self.setup.seed, Purpose::Gateway, part).random();
         let zone = self.seats[gateway as usize].zone;
-        let settings = Settings { me: gateway, zone, ..self.settings.clone() };
+        let settings = Settings { gateway_index: gateway, zone, ..self.settings.clone() };
         self.seats[gateway as usize].policy = Some((self.setup.make)(settings, seed)?);
         self.front.notice(gateway as usize, true);
         let entries = self.discovery.warm_copy(self.now, gateway as usize);
-        self.list(gateway, ListKind::WarmCopy, &entries);
+        self.list(gateway, UpdateKind::Cached, &entries);
         Ok(())
     }
 
@@ -678,7 +682,7 @@
     fn carry_out(&mut self, gateway: u32, action: Action, events: &mut VecDeque<Heard>) {
         let incarnation = self.seats[gateway as usize].incarnation;
         match action {
-            Action::Send { request, server, until } => {
+            Action::Send { request, endpoint: server, give_up_at_ms: until } => {
                 let until = self.time(until);
                 if let Some(end) = self.send(gateway, request, server, until) {
                     events.push_back(end);
@@ -688,23 +692,23 @@
                 let key = TryKey::from(KeyData::from_ffi(request.0));
                 let attempt = self.tries.get(key).and_then(|t| t.attempts.get(attempt as usize).copied());
                 if let Some(attempt) = attempt.filter(|_| self.world.gateway.may_cancel) {
-                    self.plan(self.now, Event::Outcome(attempt, Outcome::CalledOff, None));
+                    self.plan(self.now, Event::Outcome(attempt, Outcome::Cancelled, None));
                 }
             }
-            Action::Refuse { request, cause, retry_after_ms } => {
+            Action::Reject { request, reason: cause, retry_after_ms } => {
                 let retry_after = us(retry_after_ms);
                 self.final_answer(gateway, request, TryEnd::Refused { retry_after }, Some(cause));
             }
             Action::Fail { request } => self.final_answer(gateway, request, TryEnd::Failed, None),
-            Action::Timer { at, token } => {
+            Action::Timer { at_ms: at, token } => {
                 let at = self.time(at).max(self.now + 1);
                 self.plan(at, Event::Timer(gateway, incarnation, token));
             }
-            Action::Watch => {
+            Action::WatchEndpoints => {
                 let delivery = self.discovery.call(self.now, gateway as usize);
                 self.deliver(vec![delivery]);
             }
-            Action::Probe { .. } => {}
+            Action::HealthCheck { .. } => {}
             Action::Log(line) => tracing::debug!(gateway, at_ms = ms(self.now), "{line}"),
         }
     }
@@ -722,14 +726,15 @@
             request: Self::request(key),
             class: asked.message.class,
             tenant: Some(asked.message.tenant),
-            patience_ms: ms(patience),
+            client_timeout_ms: ms(patience),
         };
         self.feed(gateway, Heard::Request(arrival));
     }
 
     /// A gateway refuses or fails a try.
     fn final_answer(
-        &mut self, gateway: u32, request: RequestId, end: TryEnd, cause: Option<ternstack_balancer::Cause>,
+        &mut self, gateway: u32, request: RequestId, end: TryEnd,
+        cause: Option<ternstack_balancer::RejectionReason>,
     ) {
         let key = TryKey::from(KeyData::from_ffi(request.0));
         let Some(t) = self.tries.get(key).filter(|t| t.gateway == gateway) else {
@@ -773,24 +778,24 @@
                 let number = self.messages.get(message).map_or(0, |m| m.message.number);
                 self.judge.unanswered(self.now, gateway, number);
             }
-            self.feed(gateway, Heard::Gone { request: Self::request(key) });
+            self.feed(gateway, Heard::ClientDisconnected { request: Self::request(key) });
         }
         self.forget_try(key);
     }
 
     /// Sends an attempt; what is known of its end at once.
-    fn send(&mut self, gateway: u32, request: RequestId, server: ServerId, until: Us) -> Option<Heard> {
+    fn send(&mut self, gateway: u32, request: RequestId, server: EndpointId, until: Us) -> Option<Heard> {
         let key = TryKey::from(KeyData::from_ffi(request.0));
         let host = server.0;
         let not_sent = |attempt| {
             Some(Heard::AttemptEnd(AttemptEnd {
                 request,
                 attempt,
-                server,
+                endpoint: server,
                 outcome: Outcome::NotSent,
                 latency_ms: 0.0,
-                complete: true,
-                report: Report::default(),
+                request_complete: true,
+                report: LoadReport::default(),
             }))
         };
         let Some(t) = self.tries.get(key).filter(|t| t.gateway == gateway) else { return not_sent(0) };
@@ -841,7 +846,7 @@
             self.plan(self.now, Event::Outcome(attempt, Outcome::NotSent, None));
             self.gone_from_host(attempt);
         } else {
-            self.plan(until, Event::Outcome(attempt, Outcome::NoAnswer, None));
+            self.plan(until, Event::Outcome(attempt, Outcome::ResponseTimeout, None));
             self.travel(attempt);
         }
         None
@@ -868,7 +873,7 @@
         };
         match failed_at {
             Some(at) => {
-                self.plan(at, Event::Outcome(key, Outcome::NoConnection, None));
+                self.plan(at, Event::Outcome(key, Outcome::ConnectFailed, None));
                 self.gone_from_host(key);
             }
             None => {
@@ -917,7 +922,8 @@
             return;
         }
         let (of, gateway, host, number, sent_at) = (a.of, a.gateway, a.host, a.number, a.sent_at);
-        let (message, given_up) = (a.message, matches!(outcome, Outcome::NoAnswer | Outcome::CalledOff));
+        let (message, given_up) =
+            (a.message, matches!(outcome, Outcome::ResponseTimeout | Outcome::Cancelled));
         let served = outcome == Outcome::Served;
         let mut complete = true;
         if let Some(t) = self.tries.get_mut(of) {
@@ -949,10 +955,10 @@
             self.gone_from_host(key);
         }
         let reusable = !given_up && !matches!(outcome, Outcome::ConnectionLost | Outcome::NotSent);
-        let report = load.map_or_else(Report::default, |l| Report {
+        let report = load.map_or_else(LoadReport::default, |l| LoadReport {
             utilization: Some(l.utilization),
-            throughput: Some(l.throughput),
-            backlog: l.backlog,
+            throughput_per_s: Some(l.throughput),
+            queue_length: l.backlog,
         });
         // The attempt goes first: the policy may end the try, and send others, in the same instant.
         self.leave_attempt(key, reusable);
@@ -961,10 +967,10 @@
             Heard::AttemptEnd(AttemptEnd {
                 request: Self::request(of),
                 attempt: number,
-                server: ServerId(host),
+                endpoint: EndpointId(host),
                 outcome,
                 latency_ms,
-                complete,
+                request_complete: complete,
                 report,
             }),
         );
@@ -1041,7 +1047,7 @@
                 let at_hand = self.hosts[host as usize].at_hand();
                 self.note_both(message, host, || format!("host {host} takes it, {at_hand} at hand"));
             }
-            Offer::TurnedAway => self.reply(key, Outcome::TurnedAway, true),
+            Offer::TurnedAway => self.reply(key, Outcome::Rejected, true),
             Offer::Refused => self.reply(key, Outcome::ConnectionLost, false),
             Offer::Silent => self.gone_from_host(key),
             Offer::PushedOver { sent, lost } => {
@@ -1150,7 +1156,7 @@
             return;
         }
         if delivery.lost {
-            self.feed(gateway, Heard::List { kind: ListKind::Lost, members: Vec::new() });
+            self.feed(gateway, Heard::EndpointUpdate { kind: UpdateKind::WatchLost, endpoints: Vec::new() });
             return;
         }
         let list = self.discovery.take(delivery);
@@ -1160,31 +1166,31 @@
                 self.judge.told(self.now, gateway, host, true, 0);
             }
         }
-        let kind = if list.whole { ListKind::Whole } else { ListKind::Changes };
+        let kind = if list.whole { UpdateKind::Complete } else { UpdateKind::Delta };
         self.list(gateway, kind, &list.entries);
     }
 
-    fn list(&mut self, gateway: u32, kind: ListKind, entries: &[Entry]) {
+    fn list(&mut self, gateway: u32, kind: UpdateKind, entries: &[Entry]) {
         let mut members = Vec::with_capacity(entries.len());
         for e in entries {
             self.judge.told(self.now, gateway, e.host, e.state != State::Serving, e.started);
             self.note(Focus::Host(e.host), || format!("gateway {gateway} is told: {:?}", e.state));
-            members.push(Member {
-                server: ServerId(e.host),
+            members.push(EndpointRecord {
+                endpoint: EndpointId(e.host),
                 zone: e.zone,
                 cell: e.cell,
                 // The same at every gateway, and spread evenly: the golden ratio's multiples.
-                place: u64::from(e.host).wrapping_mul(0x9e37_79b9_7f4a_7c15),
+                hash: u64::from(e.host).wrapping_mul(0x9e37_79b9_7f4a_7c15),
                 weight: e.size,
                 readiness: match e.state {
                     State::Serving => Readiness::Active,
-                    State::Draining => Readiness::Leaving,
-                    State::Gone => Readiness::Left,
+                    State::Draining => Readiness::Draining,
+                    State::Gone => Readiness::Removed,
                 },
-                started_at: if e.started == 0 { 0.0 } else { Self::clock(e.started) },
+                started_at_ms: if e.started == 0 { 0.0 } else { Self::clock(e.started) },
             });
         }
-        self.feed(gateway, Heard::List { kind, members });
+        self.feed(gateway, Heard::EndpointUpdate { kind, endpoints: members });
     }
 
     // ---- what goes wrong ----
--- a/fleet-simulator/src/judge.rs
+++ b/fleet-simulator/src/judge.rs
@@ -7,7 +7,7 @@
 use hdrhistogram::Histogram;
 use serde::{Deserialize, Serialize};
 use std::collections::HashMap;
-use ternstack_balancer::{Cause, Outcome};
+use ternstack_balancer::{Outcome, RejectionReason};
 
 /// Length of a bin of the time series.
 pub const BIN: Us = 500_000;
@@ -304,7 +304,7 @@
     }
 
     /// A gateway has refused.
-    pub fn refused(&mut self, now: Us, cause: Cause) {
+    pub fn refused(&mut self, now: Us, cause: RejectionReason) {
         self.bin(now).refused[cause as usize] += 1;
     }
 
--- a/fleet-simulator/src/policy/mod.rs
+++ b/fleet-simulator/src/policy/mod.rs
@@ -21,30 +21,32 @@
 
 /// Settings of a gateway that is alone before warm hosts in one zone and has no retry to spare: for measuring one
 /// decision, and the limiter by itself.
-pub fn alone(classes: Vec<ternstack_balancer::Class>, tenants: Vec<ternstack_balancer::Tenant>) -> Settings {
+pub fn alone(
+    classes: Vec<ternstack_balancer::RequestClass>, tenants: Vec<ternstack_balancer::Tenant>,
+) -> Settings {
     Settings {
         classes,
         tenants,
-        instances: 1,
-        me: 0,
+        gateway_count: 1,
+        gateway_index: 0,
         zone: 0,
         tick_ms: 1.0,
-        live_weights: false,
-        cross_price: 0.0,
-        idle_ms: 1e6,
-        reports: ternstack_balancer::Reports::Inline,
-        ask_discovery: false,
+        weights_reflect_load: false,
+        cross_zone_cost_ratio: 0.0,
+        connection_idle_timeout_ms: 1e6,
+        load_report_delivery: ternstack_balancer::LoadReportDelivery::Inline,
+        poll_discovery: false,
         max_attempts: 1,
-        may_probe: false,
-        may_cancel: false,
+        health_checks_allowed: false,
+        cancellation_allowed: false,
         max_retry_after_ms: 1e9,
-        ask_within_ms: 1e6,
-        cold_share: 1.0,
-        cold_ms: 0.0,
-        tip_multiple: 3.0,
-        removal_not_binding: false,
-        nines: 0.0,
-        top_nines: None,
+        max_discovery_age_ms: 1e6,
+        slow_start_min_ratio: 1.0,
+        slow_start_ms: 0.0,
+        slow_start_overload_multiple: 3.0,
+        removal_is_advisory: false,
+        availability_weight: 0.0,
+        availability_target_nines: None,
     }
 }
 
--- a/fleet-simulator/src/policy/rivals.rs
+++ b/fleet-simulator/src/policy/rivals.rs
@@ -7,7 +7,8 @@
 use rand_pcg::Pcg64Mcg;
 use std::collections::{BTreeMap, HashMap};
 use ternstack_balancer::{
-    Action, AttemptEnd, Cause, Effect, Event, ListKind, Outcome, Readiness, RequestId, ServerId, Settings,
+    Action, AttemptEnd, EndpointId, Event, Idempotency, Outcome, Readiness, RejectionReason, RequestId,
+    Settings, UpdateKind,
 };
 
 /// Peak-EWMA forgets a latency to 1/e within this.
@@ -46,7 +47,7 @@
 struct Open {
     class: usize,
     end: f64,
-    sent: Vec<(ServerId, f64, bool)>, // Where, when, and whether it may have run.
+    sent: Vec<(EndpointId, f64, bool)>, // Where, when, and whether it may have run.
     out: u32,
 }
 
@@ -58,9 +59,9 @@
     rng: Pcg64Mcg,
     budget: Option<f64>,
     repeats: f64,
-    listed: BTreeMap<ServerId, Readiness>,
-    active: Vec<ServerId>,
-    hosts: HashMap<ServerId, Host>,
+    listed: BTreeMap<EndpointId, Readiness>,
+    active: Vec<EndpointId>,
+    hosts: HashMap<EndpointId, Host>,
     open: HashMap<RequestId, Open>,
     turn: usize,
     ask_at: Option<f64>,
@@ -85,7 +86,7 @@
         }
     }
 
-    fn load(&self, now: f64, id: ServerId) -> f64 {
+    fn load(&self, now: f64, id: EndpointId) -> f64 {
         let host = self.hosts.get(&id).copied().unwrap_or_default();
         if self.which == Which::PeakEwma {
             host.load(now)
@@ -95,7 +96,7 @@
     }
 
     /// A host for a message, away from those it has tried while there are others.
-    fn pick(&mut self, now: f64, tried: &[(ServerId, f64, bool)]) -> Option<ServerId> {
+    fn pick(&mut self, now: f64, tried: &[(EndpointId, f64, bool)]) -> Option<EndpointId> {
         let count = self.active.len();
         if count == 0 {
             return None;
@@ -112,7 +113,7 @@
                         self.active.iter().map(|id| self.load(now, *id)).fold(f64::INFINITY, f64::min);
                     let from = self.rng.random_range(0..count);
                     let all = (0..count).map(|n| self.active[(from + n) % count]);
-                    let fresh = |id: &ServerId| !tried.iter().any(|t| t.0 == *id);
+                    let fresh = |id: &EndpointId| !tried.iter().any(|t| t.0 == *id);
                     let mut best = all.filter(|id| self.load(now, *id) <= least);
                     let first = best.next();
                     first.filter(fresh).or_else(|| best.find(fresh)).or(first).unwrap_or(picked)
@@ -142,39 +143,39 @@
         // A try that may be repeated is given up at the aim: a silent host is worth another one then.
         let class = &self.settings.classes[open.class];
         let last = open.sent.len() as u32 + 1 >= self.settings.max_attempts;
-        let safe = class.effect == Effect::Safe && !last;
-        let until = if safe { open.end.min(now + class.aim_ms) } else { open.end };
+        let safe = class.idempotency == Idempotency::Idempotent && !last;
+        let until = if safe { open.end.min(now + class.latency_objective_ms) } else { open.end };
         open.sent.push((server, now, true));
         open.out += 1;
         self.hosts.entry(server).or_default().out += 1;
-        actions.push(Action::Send { request: id, server, until });
+        actions.push(Action::Send { request: id, endpoint: server, give_up_at_ms: until });
         true
     }
 
     fn may_repeat(&self, now: f64, open: &Open) -> bool {
         let class = &self.settings.classes[open.class];
-        match (class.effect, open.sent.iter().find(|s| s.2)) {
-            (Effect::Safe, _) | (_, None) => true,
+        match (class.idempotency, open.sent.iter().find(|s| s.2)) {
+            (Idempotency::Idempotent, _) | (_, None) => true,
             // All groups are the whole fleet in the laboratory.
-            (Effect::Keyed, Some(first)) => now < first.1 + class.window_ms,
-            (Effect::Unsafe, Some(_)) => false,
+            (Idempotency::IdempotentWithKey, Some(first)) => now < first.1 + class.deduplication_window_ms,
+            (Idempotency::NonIdempotent, Some(_)) => false,
         }
     }
 
-    fn end(&mut self, id: RequestId, cause: Cause, actions: &mut Vec<Action>) {
+    fn end(&mut self, id: RequestId, cause: RejectionReason, actions: &mut Vec<Action>) {
         let Some(open) = self.open.remove(&id) else { return };
         let ran = open.sent.iter().any(|s| s.2);
-        actions.push(if self.settings.classes[open.class].may_refuse(ran) {
-            Action::Refuse { request: id, cause, retry_after_ms: 0.0 }
+        actions.push(if self.settings.classes[open.class].may_reject(ran) {
+            Action::Reject { request: id, reason: cause, retry_after_ms: 0.0 }
         } else {
             Action::Fail { request: id }
         });
     }
 
     fn on_end(&mut self, now: f64, end: &AttemptEnd, actions: &mut Vec<Action>) {
-        let host = self.hosts.entry(end.server).or_default();
+        let host = self.hosts.entry(end.endpoint).or_default();
         host.out = host.out.saturating_sub(1);
-        if !matches!(end.outcome, Outcome::CalledOff | Outcome::NotSent) {
+        if !matches!(end.outcome, Outcome::Cancelled | Outcome::NotSent) {
             // A failure counts as a latency of at least a second, lest the fastest to fail looks the best.
             let failed = if end.outcome == Outcome::Served { 0.0 } else { UNMEASURED_MS };
             host.observe(now, end.latency_ms.max(failed));
@@ -184,7 +185,7 @@
         if let Some(sent) = open.sent.get_mut(end.attempt as usize) {
             sent.2 = !end.outcome.never_ran();
         }
-        if end.complete {
+        if end.request_complete {
             self.open.remove(&end.request);
             return;
         }
@@ -200,32 +201,32 @@
                 return;
             }
         }
-        self.end(end.request, Cause::Failed, actions);
+        self.end(end.request, RejectionReason::AttemptsFailed, actions);
     }
 
     fn on_list(
-        &mut self, now: f64, kind: ListKind, members: Vec<ternstack_balancer::Member>,
+        &mut self, now: f64, kind: UpdateKind, members: Vec<ternstack_balancer::EndpointRecord>,
         actions: &mut Vec<Action>,
     ) {
         match kind {
-            ListKind::Lost => {
+            UpdateKind::WatchLost => {
                 let at = now + ASK_AGAIN_MS * (1.0 + self.rng.random::<f64>());
                 self.ask_at = Some(at);
-                actions.push(Action::Timer { at, token: 0 });
+                actions.push(Action::Timer { at_ms: at, token: 0 });
                 return;
             }
-            ListKind::WarmCopy if self.settings.ask_discovery => actions.push(Action::Watch),
+            UpdateKind::Cached if self.settings.poll_discovery => actions.push(Action::WatchEndpoints),
             _ => {}
         }
-        if kind != ListKind::Changes {
+        if kind != UpdateKind::Delta {
             self.listed.clear();
         }
         for member in members {
-            if member.readiness == Readiness::Left {
-                self.listed.remove(&member.server);
-                self.hosts.remove(&member.server);
+            if member.readiness == Readiness::Removed {
+                self.listed.remove(&member.endpoint);
+                self.hosts.remove(&member.endpoint);
             } else {
-                self.listed.insert(member.server, member.readiness);
+                self.listed.insert(member.endpoint, member.readiness);
             }
         }
         let active = self.listed.iter().filter(|l| *l.1 == Readiness::Active);
@@ -236,26 +237,26 @@
 impl Policy for Rival {
     fn handle(&mut self, now: f64, event: Event, actions: &mut Vec<Action>) {
         match event {
-            Event::List { kind, members } => self.on_list(now, kind, members, actions),
+            Event::EndpointUpdate { kind, endpoints: members } => self.on_list(now, kind, members, actions),
             Event::Request(arrival) => {
-                let end = now + arrival.patience_ms - 1.5 * self.settings.tick_ms;
+                let end = now + arrival.client_timeout_ms - 1.5 * self.settings.tick_ms;
                 let open = Open { class: arrival.class, end, sent: Vec::new(), out: 0 };
                 self.open.insert(arrival.request, open);
                 self.repeats = (self.repeats + self.budget.unwrap_or(0.0)).min(10.0 * BUDGET_BURST);
                 if !self.send(now, arrival.request, actions) {
-                    self.end(arrival.request, Cause::NoRoom, actions);
+                    self.end(arrival.request, RejectionReason::NoCapacity, actions);
                 }
             }
             Event::AttemptEnd(end) => self.on_end(now, &end, actions),
-            Event::Gone { request } => {
+            Event::ClientDisconnected { request } => {
                 self.open.remove(&request);
             }
             Event::Timer { .. } => {
                 if self.ask_at.take_if(|at| *at <= now + 1.0).is_some() {
-                    actions.push(Action::Watch);
+                    actions.push(Action::WatchEndpoints);
                 }
             }
-            Event::Begun { .. } | Event::Probed { .. } => {}
+            Event::ResponseStarted { .. } | Event::HealthCheckEnd { .. } => {}
         }
     }
 }
--- a/fleet-simulator/tests/judge.rs
+++ b/fleet-simulator/tests/judge.rs
@@ -1,7 +1,7 @@
 //! Planted offenders: a policy that breaks a rule is caught, by that rule; one that keeps them is not.
 use std::collections::BTreeMap;
 use ternstack_balancer::{
-    Action, AttemptEnd, Balancer, Event, Member, Outcome, RequestId, ServerId, Settings,
+    Action, AttemptEnd, Balancer, EndpointId, EndpointRecord, Event, Outcome, RequestId, Settings,
 };
 use ternstack_fleet_simulator::drive::{play, Played, Setup};
 use ternstack_fleet_simulator::experiment::Experiment;
@@ -31,7 +31,7 @@
 /// Sends each message to one host in turn, with one fault.
 struct Offender {
     bad: Bad,
-    hosts: BTreeMap<ServerId, Member>,
+    hosts: BTreeMap<EndpointId, EndpointRecord>,
     classes: usize,
     count: u64,
     class_of: BTreeMap<RequestId, (usize, f64)>,
@@ -43,28 +43,29 @@
         Offender { bad, hosts: BTreeMap::new(), classes, count: 0, class_of: BTreeMap::new() }
     }
 
-    fn host(&self) -> Option<ServerId> {
-        let fits =
-            |m: &&Member| self.bad == Bad::Forgets || m.readiness == ternstack_balancer::Readiness::Active;
-        let fit: Vec<&Member> = self.hosts.values().filter(fits).collect();
+    fn host(&self) -> Option<EndpointId> {
+        let fits = |m: &&EndpointRecord| {
+            self.bad == Bad::Forgets || m.readiness == ternstack_balancer::Readiness::Active
+        };
+        let fit: Vec<&EndpointRecord> = self.hosts.values().filter(fits).collect();
         if self.bad == Bad::Crowds {
-            let last = fit.iter().max_by(|a, b| a.started_at.total_cmp(&b.started_at));
-            return last.map(|m| m.server);
+            let last = fit.iter().max_by(|a, b| a.started_at_ms.total_cmp(&b.started_at_ms));
+            return last.map(|m| m.endpoint);
         }
-        fit.get(self.count as usize % fit.len().max(1)).map(|m| m.server)
+        fit.get(self.count as usize % fit.len().max(1)).map(|m| m.endpoint)
     }
 
     fn send(&mut self, request: RequestId, until: f64, actions: &mut Vec<Action>) {
         self.count += 1;
         match self.host() {
-            Some(server) => actions.push(Action::Send { request, server, until }),
+            Some(server) => actions.push(Action::Send { request, endpoint: server, give_up_at_ms: until }),
             None => actions.push(Action::Fail { request }),
         }
     }
 
     fn on_end(&mut self, now: f64, end: &AttemptEnd, actions: &mut Vec<Action>) {
         let request = end.request;
-        if end.complete {
+        if end.request_complete {
             self.class_of.remove(&request);
             return;
         }
@@ -75,8 +76,8 @@
                 self.send(request, until, actions);
             }
             Bad::Refuses if unsafe_class && !end.outcome.never_ran() => {
-                let cause = ternstack_balancer::Cause::Failed;
-                actions.push(Action::Refuse { request, cause, retry_after_ms: 0.0 });
+                let cause = ternstack_balancer::RejectionReason::AttemptsFailed;
+                actions.push(Action::Reject { request, reason: cause, retry_after_ms: 0.0 });
             }
             _ => actions.push(Action::Fail { request }),
         }
@@ -89,16 +90,16 @@
 impl Policy for Offender {
     fn handle(&mut self, now: f64, event: Event, actions: &mut Vec<Action>) {
         match event {
-            Event::List { kind, members } => {
-                if kind == ternstack_balancer::ListKind::WarmCopy {
-                    actions.push(Action::Watch);
+            Event::EndpointUpdate { kind, endpoints: members } => {
+                if kind == ternstack_balancer::UpdateKind::Cached {
+                    actions.push(Action::WatchEndpoints);
                 }
                 for member in members {
-                    self.hosts.insert(member.server, member);
+                    self.hosts.insert(member.endpoint, member);
                 }
             }
             Event::Request(arrival) => {
-                let until = now + arrival.patience_ms - 10.0;
+                let until = now + arrival.client_timeout_ms - 10.0;
                 self.class_of.insert(arrival.request, (arrival.class, until));
                 if self.bad == Bad::Silent && arrival.request.0 % 10 == 0 {
                     return;
@@ -106,10 +107,10 @@
                 self.send(arrival.request, until, actions);
             }
             Event::AttemptEnd(end) => {
-                assert!(end.outcome != Outcome::NotSent || end.complete);
+                assert!(end.outcome != Outcome::NotSent || end.request_complete);
                 self.on_end(now, &end, actions);
             }
-            Event::Gone { request } => {
+            Event::ClientDisconnected { request } => {
                 self.class_of.remove(&request);
             }
             _ => {}
--- a/fleet-simulator/tests/theory.rs
+++ b/fleet-simulator/tests/theory.rs
@@ -5,8 +5,8 @@
 use rand_distr::{Distribution, Exp1};
 use statrs::distribution::{ChiSquared, ContinuousCDF};
 use ternstack_balancer::{
-    Action, Arrival, Balancer, Cause, Class, Effect, Event, Group, ListKind, Member, RequestId, ServerId,
-    Tenant,
+    Action, Arrival, Balancer, DeduplicationScope, EndpointId, EndpointRecord, Event, Idempotency,
+    RejectionReason, RequestClass, RequestId, Tenant, UpdateKind,
 };
 use ternstack_fleet_simulator::policy::alone;
 use ternstack_fleet_simulator::world::clients::Arrivals;
@@ -169,35 +169,41 @@
 fn the_modules_rate_estimate_converges_as_the_paper_says() {
     const LAMBDA: f64 = std::f64::consts::LN_2 / 2000.0; // The module's half-life is 2 s.
     const QUOTA: f64 = 20.0;
-    let class = Class {
+    let class = RequestClass {
         name: "read".into(),
-        aim_ms: 1e6,
+        latency_objective_ms: 1e6,
         deadline_ms: 1e6,
-        late_value: 0.0,
-        effect: Effect::Unsafe,
-        group: Group::All,
-        window_ms: 0.0,
+        late_value_ratio: 0.0,
+        idempotency: Idempotency::NonIdempotent,
+        deduplication_scope: DeduplicationScope::All,
+        deduplication_window_ms: 0.0,
     };
     let settings = alone(vec![class], vec![Tenant { name: "one".into(), quota_per_s: QUOTA }]);
     for gap_ms in [5.0, 20.0] {
         let mut balancer = Balancer::new(settings.clone(), 5).expect("sound settings");
         let (mut now, mut actions) = (1000.0, Vec::new());
-        let member = Member { server: ServerId(0), weight: 1.0, ..Member::default() };
-        balancer.handle(now, Event::List { kind: ListKind::WarmCopy, members: vec![member] }, &mut actions);
+        let member = EndpointRecord { endpoint: EndpointId(0), weight: 1.0, ..EndpointRecord::default() };
+        balancer.handle(
+            now,
+            Event::EndpointUpdate { kind: UpdateKind::Cached, endpoints: vec![member] },
+            &mut actions,
+        );
         // Nothing is ever answered, so the fleet is full and the limit binds. Advice is the time that the estimate
         // takes to fall to the limit, times 1 to 1.5: the least of much advice tells the estimate.
         let (mut advice, mut refused, mut counted) = (f64::INFINITY, 0, 0);
         for n in 0..20_000u64 {
             now += gap_ms;
             actions.clear();
-            let arrival = Arrival { request: RequestId(n), class: 0, tenant: Some(0), patience_ms: 1e6 };
+            let arrival =
+                Arrival { request: RequestId(n), class: 0, tenant: Some(0), client_timeout_ms: 1e6 };
             balancer.handle(now, Event::Request(arrival), &mut actions);
             if n < 10_000 {
                 continue; // A hundred half-lives and more at 20 ms; 25 at 5 ms.
             }
             counted += 1;
             for action in &actions {
-                if let Action::Refuse { cause: Cause::OverLimit, retry_after_ms, .. } = action {
+                if let Action::Reject { reason: RejectionReason::QuotaExceeded, retry_after_ms, .. } = action
+                {
                     refused += 1;
                     advice = advice.min(*retry_after_ms);
                 }
--- a/gateway/src/decide.rs
+++ b/gateway/src/decide.rs
@@ -12,8 +12,8 @@
 use std::sync::Arc;
 use std::time::Duration;
 use ternstack_balancer::{
-    Action, Arrival, AttemptEnd, Balancer, Class, Effect, Event, ListKind, Member, Outcome, Readiness,
-    Report, RequestId, ServerId,
+    Action, Arrival, AttemptEnd, Balancer, EndpointId, EndpointRecord, Event, Idempotency, LoadReport,
+    Outcome, Readiness, RequestClass, RequestId, UpdateKind,
 };
 use ternstack_settings::{spread, Names, Site};
 use tokio::sync::{mpsc, oneshot};
@@ -31,7 +31,7 @@
 }
 
 struct Sent {
-    server: ServerId,
+    server: EndpointId,
     at: f64,
     earlier: Earlier, // As the request's next attempts see it.
     stop: Option<oneshot::Sender<Stop>>,
@@ -64,7 +64,7 @@
     names: Names,
     max_attempts: usize,
     max_open: usize,
-    classes: Vec<Class>,
+    classes: Vec<RequestClass>,
     violations: Violations,
     lag: LoopLag,
     refusal_ms: f64,
@@ -74,11 +74,11 @@
     unanswered: usize,
     due: BTreeMap<(Instant, u64), Due>,
     last_due: u64,
-    numbers: HashMap<String, ServerId>,
-    servers: BTreeMap<ServerId, Listed>,
+    numbers: HashMap<String, EndpointId>,
+    servers: BTreeMap<EndpointId, Listed>,
     last_server: u32,
     upstream: Upstream,
-    probes: BTreeMap<ServerId, oneshot::Sender<Stop>>, // Those out; a dropped sender calls its probe off.
+    probes: BTreeMap<EndpointId, oneshot::Sender<Stop>>, // Those out; a dropped sender calls its probe off.
     probe_for: Duration,
     watch: mpsc::Sender<()>,
     events: VecDeque<Event>,
@@ -92,7 +92,8 @@
     ) -> Result<Self, String> {
         let clock = Clock::start();
         // A report that is older than what the most hurried request takes is worth nothing.
-        let aim_ms = site.balancer.classes.iter().map(|c| c.aim_ms).fold(f64::INFINITY, f64::min);
+        let aim_ms =
+            site.balancer.classes.iter().map(|c| c.latency_objective_ms).fold(f64::INFINITY, f64::min);
         let mut decider = Decider {
             max_attempts: site.balancer.max_attempts as usize,
             max_open: site.max_open,
@@ -117,7 +118,7 @@
             watch,
             events: VecDeque::new(),
         };
-        decider.list(ListKind::WarmCopy, known);
+        decider.list(UpdateKind::Cached, known);
         Ok(decider)
     }
 
@@ -151,13 +152,13 @@
             Input::Probed { server, outcome, report } => {
                 debug!(server = server.0, ?outcome, ?report, "probed");
                 self.probes.remove(&server);
-                self.feed(Event::Probed { server, outcome, report });
+                self.feed(Event::HealthCheckEnd { endpoint: server, outcome, report });
             }
             Input::Discovery(News::Lost) => {
-                self.feed(Event::List { kind: ListKind::Lost, members: Vec::new() });
+                self.feed(Event::EndpointUpdate { kind: UpdateKind::WatchLost, endpoints: Vec::new() });
             }
             Input::Discovery(News::Listed(endpoints)) => {
-                let kind = if endpoints.all { ListKind::Whole } else { ListKind::Changes };
+                let kind = if endpoints.all { UpdateKind::Complete } else { UpdateKind::Delta };
                 self.list(kind, endpoints);
             }
         }
@@ -182,7 +183,9 @@
 
     fn act(&mut self, action: Action) {
         match action {
-            Action::Send { request, server, until } => self.send(request, server, until),
+            Action::Send { request, endpoint: server, give_up_at_ms: until } => {
+                self.send(request, server, until)
+            }
             Action::Cancel { request, attempt } => {
                 let sent =
                     self.open.get_mut(&request).and_then(|open| open.attempts.get_mut(attempt as usize));
@@ -191,7 +194,7 @@
                     let _ = stop.send(Stop::All);
                 }
             }
-            Action::Refuse { request, cause, retry_after_ms } => {
+            Action::Reject { request, reason: cause, retry_after_ms } => {
                 debug!(id = request.0, ?cause, "refused");
                 self.answer(request, Answer::Refused { retry_after_ms });
             }
@@ -199,10 +202,10 @@
                 debug!(id = request.0, "failed");
                 self.answer(request, Answer::Failed);
             }
-            Action::Timer { at, token } => self.set(self.clock.instant(at), Due::Timer(token)),
-            Action::Probe { server } => self.probe(server),
+            Action::Timer { at_ms: at, token } => self.set(self.clock.instant(at), Due::Timer(token)),
+            Action::HealthCheck { endpoint: server } => self.probe(server),
             // A full channel means that a watch is already wanted.
-            Action::Watch => drop(self.watch.try_send(())),
+            Action::WatchEndpoints => drop(self.watch.try_send(())),
             Action::Log(line) => info!("{line}"),
         }
     }
@@ -237,11 +240,11 @@
         self.set(deadline + TIMER_GRAIN, Due::Deadline(id));
         let left = deadline.saturating_duration_since(Instant::now());
         let patience_ms = left.as_secs_f64() * 1000.0;
-        self.feed(Event::Request(Arrival { request: id, class, tenant, patience_ms }));
+        self.feed(Event::Request(Arrival { request: id, class, tenant, client_timeout_ms: patience_ms }));
     }
 
     /// Sends a request's next attempt, unless it may not begin: then it has ended, never sent.
-    fn send(&mut self, id: RequestId, server: ServerId, until: f64) {
+    fn send(&mut self, id: RequestId, server: EndpointId, until: f64) {
         let until = self.clock.instant(until);
         let Some(open) = self.open.get_mut(&id) else {
             let detail = format_args!("an attempt of a request that is not open");
@@ -265,8 +268,8 @@
         let send_by = first.and_then(|first| first.window_ends);
         let number = open.attempts.len() as u32;
         let home = next.home.unwrap_or(Home { zone: 0, cell: 0 });
-        let window_ends =
-            (class.effect == Effect::Keyed).then(|| self.clock.instant(self.now + class.window_ms));
+        let window_ends = (class.idempotency == Idempotency::IdempotentWithKey)
+            .then(|| self.clock.instant(self.now + class.deduplication_window_ms));
         let (stop, stopped) = oneshot::channel();
         let this = Earlier { home, window_ends, may_have_run: true, out: true };
         open.attempts.push(Sent { server, at: self.now, earlier: this, stop: Some(stop) });
@@ -284,14 +287,14 @@
                     let detail = format_args!("attempt {number} at server {}: {denial:?}", server.0);
                     self.violations.record(invariant, id.0, detail);
                 }
-                self.end(id, number, Outcome::NotSent, 0.0, Report::default());
+                self.end(id, number, Outcome::NotSent, 0.0, LoadReport::default());
             }
         }
     }
 
     /// Asks a server for its load report, over a connection like any other attempt's. Guards against a server that is
     /// asked again while it does not answer.
-    fn probe(&mut self, server: ServerId) {
+    fn probe(&mut self, server: EndpointId) {
         let address = self.servers.get(&server).and_then(|s| Some((s.endpoint?, Arc::downgrade(&s.life))));
         let Some((address, life)) = address.filter(|_| !self.probes.contains_key(&server)) else { return };
         let (stop, stopped) = oneshot::channel();
@@ -320,7 +323,7 @@
         };
         let latency_ms = (self.clock.at(at) - sent.at).max(0.0);
         if let Some(listed) = self.servers.get(&sent.server) {
-            let (busy, per_s) = (report.utilization, report.throughput);
+            let (busy, per_s) = (report.utilization, report.throughput_per_s);
             let age_ms = if listed.boot_ms > 0.0 { Some(self.now - listed.boot_ms) } else { None };
             debug!(
                 id = id.0,
@@ -343,7 +346,7 @@
     }
 
     /// Notes the end of an attempt for the module, and forgets the request once nothing of it is left.
-    fn end(&mut self, id: RequestId, number: u32, outcome: Outcome, latency_ms: f64, report: Report) {
+    fn end(&mut self, id: RequestId, number: u32, outcome: Outcome, latency_ms: f64, report: LoadReport) {
         let Some(open) = self.open.get_mut(&id) else { return };
         let Some(sent) = open.attempts.get_mut(number as usize) else { return };
         sent.earlier.may_have_run = !outcome.never_ran();
@@ -354,10 +357,10 @@
         self.events.push_back(Event::AttemptEnd(AttemptEnd {
             request,
             attempt,
-            server,
+            endpoint: server,
             outcome,
             latency_ms,
-            complete,
+            request_complete: complete,
             report,
         }));
         self.forget(id);
@@ -383,7 +386,7 @@
         let Some(open) = self.open.get(&id).filter(|open| open.answer_to.is_some()) else { return };
         let ran = open.attempts.iter().any(|sent| sent.earlier.may_have_run);
         let answer = match self.classes.get(open.class) {
-            Some(class) if class.may_refuse(ran) => Answer::Refused { retry_after_ms: self.refusal_ms },
+            Some(class) if class.may_reject(ran) => Answer::Refused { retry_after_ms: self.refusal_ms },
             _ => Answer::Failed,
         };
         debug!(id = id.0, "its client has left");
@@ -412,7 +415,7 @@
     /// module sends none, those it may not call off are stopped while they are not sent whole.
     fn finish(&mut self, id: RequestId, answer: Answer) {
         self.answer(id, answer);
-        self.feed(Event::Gone { request: id });
+        self.feed(Event::ClientDisconnected { request: id });
         let stops = self.open.get_mut(&id).into_iter().flat_map(|open| &mut open.attempts);
         for stop in stops.filter_map(|sent| sent.stop.take()) {
             // One that has ended takes no notice.
@@ -420,11 +423,11 @@
         }
     }
 
-    fn number(&mut self, uid: &str) -> ServerId {
+    fn number(&mut self, uid: &str) -> EndpointId {
         if let Some(id) = self.numbers.get(uid) {
             return *id;
         }
-        let id = ServerId(self.last_server);
+        let id = EndpointId(self.last_server);
         self.last_server += 1;
         self.numbers.insert(uid.to_string(), id);
         let home = Home { zone: 0, cell: 0 };
@@ -434,7 +437,7 @@
     }
 
     /// Follows the endpoint list. Servers go by their uid; connections go with the address and the start.
-    fn list(&mut self, kind: ListKind, endpoints: EndpointList) {
+    fn list(&mut self, kind: UpdateKind, endpoints: EndpointList) {
         let mut members = Vec::with_capacity(endpoints.targets.len());
         for entry in endpoints.targets {
             let server = self.number(&entry.uid);
@@ -446,22 +449,22 @@
             }
             (listed.endpoint, listed.boot_ms) = (entry.endpoint.or(listed.endpoint), entry.boot_ms);
             listed.home = Home { zone: self.names.zone(&entry.az), cell: entry.pod_group };
-            members.push(Member {
-                server,
+            members.push(EndpointRecord {
+                endpoint: server,
                 zone: listed.home.zone,
                 cell: listed.home.cell,
-                place: spread(&entry.uid),
+                hash: spread(&entry.uid),
                 weight: entry.capacity_hint,
                 readiness: match entry.state {
                     State::Serving => Readiness::Active,
-                    State::Draining => Readiness::Leaving,
-                    State::Deleted => Readiness::Left,
+                    State::Draining => Readiness::Draining,
+                    State::Deleted => Readiness::Removed,
                 },
-                started_at: entry.boot_ms,
+                started_at_ms: entry.boot_ms,
             });
         }
-        if kind == ListKind::Whole {
-            let named: HashSet<ServerId> = members.iter().map(|member| member.server).collect();
+        if kind == UpdateKind::Complete {
+            let named: HashSet<EndpointId> = members.iter().map(|member| member.endpoint).collect();
             for (server, listed) in self.servers.iter_mut() {
                 if !named.contains(server) {
                     listed.life = Arc::new(());
@@ -469,10 +472,10 @@
                 }
             }
         }
-        if members.is_empty() && kind != ListKind::Changes {
+        if members.is_empty() && kind != UpdateKind::Delta {
             warn!("the list of servers is empty");
         }
-        self.feed(Event::List { kind, members });
+        self.feed(Event::EndpointUpdate { kind, endpoints: members });
         // Guards against a table that grows with each server that ever was: what the module has forgotten goes.
         let balancer = &self.balancer;
         self.servers.retain(|server, _| balancer.knows(*server));
--- a/gateway/src/lib.rs
+++ b/gateway/src/lib.rs
@@ -81,15 +81,20 @@
     let longest = site.balancer.classes.iter().map(|c| c.deadline_ms).fold(0.0, f64::max);
     let descriptors = Descriptors::new(sockets.saturating_sub(OWN_SOCKETS + SPARE));
     let (violations, lag) = (Violations::default(), LoopLag::default());
-    let upstream = Upstream::new(queue.clone(), descriptors.clone(), site.balancer.idle_ms, dial_timeout)
-        .counting(violations.clone());
+    let upstream = Upstream::new(
+        queue.clone(),
+        descriptors.clone(),
+        site.balancer.connection_idle_timeout_ms,
+        dial_timeout,
+    )
+    .counting(violations.clone());
     let (rev, servers) = (known.rev, known.targets.len());
     // A known list of any revision, 0 too, saves discovery the whole one.
     let held = (servers > 0).then_some(rev);
     // Where lists are pushed each gateway has its own to call, and waits for nobody.
-    let others = if site.balancer.ask_discovery { site.balancer.instances } else { 1 };
-    let turn = discovery::turn(site.balancer.me.min(others - 1), others);
-    if !site.balancer.ask_discovery {
+    let others = if site.balancer.poll_discovery { site.balancer.gateway_count } else { 1 };
+    let turn = discovery::turn(site.balancer.gateway_index.min(others - 1), others);
+    if !site.balancer.poll_discovery {
         // Guards against pushed lists that nobody reads: on sockets a watch is what they come on.
         watch_wanted.try_send(()).map_err(|e| format!("discovery: {e}"))?;
     }
--- a/gateway/src/listener.rs
+++ b/gateway/src/listener.rs
@@ -15,7 +15,7 @@
 use std::sync::atomic::{AtomicU64, AtomicUsize, Ordering};
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
-use ternstack_balancer::{Effect, RequestId};
+use ternstack_balancer::{Idempotency, RequestId};
 use ternstack_settings::Site;
 use tokio::io::AsyncWriteExt;
 use tokio::net::{TcpListener, TcpStream};
@@ -436,7 +436,8 @@
         let class = class.ok_or("X-Service-Class is missing or not in the settings")?;
         let rules = &self.site.balancer.classes[class];
         // Without its key, no server could drop a repeat.
-        if rules.effect == Effect::Keyed && fields.get(KEY).is_none_or(<[u8]>::is_empty) {
+        if rules.idempotency == Idempotency::IdempotentWithKey && fields.get(KEY).is_none_or(<[u8]>::is_empty)
+        {
             return Err("Idempotency-Key is missing");
         }
         let left_ms = match fields.get(TIME_LEFT) {
--- a/gateway/src/permit.rs
+++ b/gateway/src/permit.rs
@@ -1,7 +1,7 @@
 //! The one place that decides whether an attempt may begin: first as it is asked for, and once more in the moment before
 //! its first byte, since what held then may have changed. No I/O and no clock.
 use crate::invariants::Invariant;
-use ternstack_balancer::{Class, Effect, Group};
+use ternstack_balancer::{DeduplicationScope, Idempotency, RequestClass};
 use tokio::time::Instant;
 
 /// Where a server stands, as far as repeats of keyed requests are concerned.
@@ -64,7 +64,7 @@
 #[derive(Debug)]
 pub struct NextAttempt<'a> {
     /// The request's class.
-    pub class: &'a Class,
+    pub class: &'a RequestClass,
     /// Its attempts so far.
     pub earlier: &'a [Earlier],
     /// The most attempts.
@@ -93,18 +93,18 @@
         if self.earlier.iter().any(|attempt| attempt.out) {
             return Err(Denial::AnotherOut);
         }
-        match (self.class.effect, self.earlier.iter().find(|attempt| attempt.may_have_run)) {
-            (Effect::Safe, _) | (_, None) => Ok(()),
-            (Effect::Unsafe, Some(_)) => Err(Denial::MayHaveRun),
-            (Effect::Keyed, Some(first)) => self.check_repeat(first, home, now),
+        match (self.class.idempotency, self.earlier.iter().find(|attempt| attempt.may_have_run)) {
+            (Idempotency::Idempotent, _) | (_, None) => Ok(()),
+            (Idempotency::NonIdempotent, Some(_)) => Err(Denial::MayHaveRun),
+            (Idempotency::IdempotentWithKey, Some(first)) => self.check_repeat(first, home, now),
         }
     }
 
     fn check_repeat(&self, first: &Earlier, home: Home, now: Instant) -> Result<(), Denial> {
-        let same_group = match self.class.group {
-            Group::All => true,
-            Group::Zone => first.home.zone == home.zone,
-            Group::Cell => first.home.cell == home.cell,
+        let same_group = match self.class.deduplication_scope {
+            DeduplicationScope::All => true,
+            DeduplicationScope::Zone => first.home.zone == home.zone,
+            DeduplicationScope::Cell => first.home.cell == home.cell,
         };
         if !same_group {
             return Err(Denial::OtherGroup);
--- a/gateway/src/requests.rs
+++ b/gateway/src/requests.rs
@@ -5,7 +5,7 @@
 use serde::Deserialize;
 use serde_json::Value;
 use std::net::SocketAddr;
-use ternstack_balancer::{Outcome, Report, RequestId, ServerId};
+use ternstack_balancer::{EndpointId, LoadReport, Outcome, RequestId};
 use tokio::sync::{mpsc, oneshot};
 use tokio::time::Instant;
 
@@ -30,11 +30,11 @@
     /// A probe has ended.
     Probed {
         /// The server that was asked.
-        server: ServerId,
+        server: EndpointId,
         /// How it ended.
         outcome: Outcome,
         /// What the server told of its load.
-        report: Report,
+        report: LoadReport,
     },
     /// Discovery has been heard, or lost.
     Discovery(News),
@@ -96,7 +96,7 @@
     /// When.
     pub at: Instant,
     /// The load report that came along.
-    pub report: Report,
+    pub report: LoadReport,
     /// The server's answer, if it is what the client wants.
     pub answer: Option<Whole<Status>>,
 }
--- a/gateway/src/upstream.rs
+++ b/gateway/src/upstream.rs
@@ -15,7 +15,7 @@
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError, Weak};
 use std::time::Duration;
-use ternstack_balancer::{Outcome, Report, RequestId, ServerId};
+use ternstack_balancer::{EndpointId, LoadReport, Outcome, RequestId};
 use tokio::net::TcpStream;
 use tokio::sync::oneshot;
 use tokio::sync::oneshot::error::TryRecvError;
@@ -68,7 +68,7 @@
     /// What it is for.
     pub errand: Errand,
     /// The server it goes to.
-    pub server: ServerId,
+    pub server: EndpointId,
     /// The server's present life: it ends with its address, its start or its service.
     pub life: Weak<()>,
     /// Where the server listens.
@@ -89,7 +89,7 @@
         if self.is_late() {
             Outcome::NotSent
         } else {
-            Outcome::NoConnection
+            Outcome::ConnectFailed
         }
     }
 
@@ -108,7 +108,7 @@
 
 #[derive(Debug, Default)]
 struct Pool {
-    idle: BTreeMap<ServerId, Vec<Idle>>,
+    idle: BTreeMap<EndpointId, Vec<Idle>>,
     last: u64,
 }
 
@@ -163,7 +163,7 @@
     }
 
     /// Closes the idle connections to a server.
-    pub fn forget(&self, server: ServerId) {
+    pub fn forget(&self, server: EndpointId) {
         self.pool().idle.remove(&server);
     }
 
@@ -188,7 +188,7 @@
     }
 
     /// Offers an idle connection; what it is to carry next comes out of the receiver.
-    fn offer(&self, server: ServerId) -> (u64, oneshot::Receiver<Attempt>) {
+    fn offer(&self, server: EndpointId) -> (u64, oneshot::Receiver<Attempt>) {
         let (next, attempt) = oneshot::channel();
         let mut pool = self.pool();
         pool.last += 1;
@@ -197,7 +197,7 @@
         (number, attempt)
     }
 
-    fn withdraw(&self, server: ServerId, number: u64) {
+    fn withdraw(&self, server: EndpointId, number: u64) {
         let mut pool = self.pool();
         if let Some(row) = pool.idle.get_mut(&server) {
             row.retain(|idle| idle.number != number);
@@ -316,7 +316,7 @@
         // Guards against blaming the server for this machine's lack of descriptors or ports.
         Ok(Err(e)) if is_local(&e) => Err(Outcome::NotSent),
         Err(_) if attempt.is_late() => Err(Outcome::NotSent),
-        _ => Err(Outcome::NoConnection),
+        _ => Err(Outcome::ConnectFailed),
     }
 }
 
@@ -336,9 +336,9 @@
     }
     tokio::select! {
         biased;
-        () = called_off(&mut attempt.stopped) => (Outcome::CalledOff, None),
+        () = called_off(&mut attempt.stopped) => (Outcome::Cancelled, None),
         end = receive(stream, reader) => end,
-        _ = sleep_until(attempt.until) => (Outcome::NoAnswer, None),
+        _ = sleep_until(attempt.until) => (Outcome::ResponseTimeout, None),
     }
 }
 
@@ -415,7 +415,7 @@
 fn outcome(answer: &Whole<Status>) -> Outcome {
     match answer.start.0 {
         200 => Outcome::Served,
-        503 | 504 if answer.fields.get(NOT_RUN) == Some(b"1") => Outcome::TurnedAway,
+        503 | 504 if answer.fields.get(NOT_RUN) == Some(b"1") => Outcome::Rejected,
         _ => Outcome::ServerError,
     }
 }
@@ -423,14 +423,14 @@
 /// Reads a load report: `util=0.5,qps=20`, or the same as a JSON object, as a probe's answer may hold it.
 /// Guards against a module that hears nothing: servers write a value by the settings' name (`utilization`) or by
 /// the operators' (`util`). What cannot be read, or is no number from 0 up, is left out: a report is advice.
-pub fn read_report(text: &str) -> Report {
-    let mut report = Report::default();
+pub fn read_report(text: &str) -> LoadReport {
+    let mut report = LoadReport::default();
     let mut take = |name: &str, value: Option<f64>| {
         let value = value.filter(|v| v.is_finite() && *v >= 0.0);
         match name {
             "utilization" | "util" => report.utilization = value,
-            "throughput" | "qps" => report.throughput = value,
-            "backlog" | "queue" => report.backlog = value,
+            "throughput" | "qps" => report.throughput_per_s = value,
+            "backlog" | "queue" => report.queue_length = value,
             _ => {}
         }
     };
--- a/gateway/tests/ends.rs
+++ b/gateway/tests/ends.rs
@@ -7,7 +7,7 @@
 use serde_json::{json, Value};
 use std::sync::Arc;
 use std::time::Duration;
-use ternstack_balancer::{Outcome, RequestId, ServerId};
+use ternstack_balancer::{EndpointId, Outcome, RequestId};
 use ternstack_gateway::descriptors::Descriptors;
 use ternstack_gateway::http1::{Reader, Status, MAX_BODY};
 use ternstack_gateway::requests::{Input, RawRequest};
@@ -445,7 +445,7 @@
             after: Bytes::from(format!("\r\nContent-Length: {body}\r\n\r\n")),
             body: Bytes::from(vec![b'x'; body]),
         };
-        let (server, life) = (ServerId(u32::from(address.port())), Arc::downgrade(&self.life));
+        let (server, life) = (EndpointId(u32::from(address.port())), Arc::downgrade(&self.life));
         let errand = Errand::Request { id: RequestId(7), number: 0 };
         self.upstream.start(Attempt { errand, server, life, address, raw, until, send_by, stopped });
         stop
@@ -488,8 +488,8 @@
     let soon = Duration::from_millis(100);
     for (ends_in, window, outcome) in [
         (soon, true, Outcome::NotSent),
-        (soon, false, Outcome::NoConnection),
-        (Duration::from_millis(151), false, Outcome::NoConnection),
+        (soon, false, Outcome::ConnectFailed),
+        (Duration::from_millis(151), false, Outcome::ConnectFailed),
     ] {
         let end = if ends_in == soon { Instant::now() + soon } else { far() };
         let (send_by, until) = if window { (Some(end), far()) } else { (None, end) };
@@ -505,7 +505,7 @@
     let mut wire = server.accept().await;
     wire.stream.read_exact(&mut head).await.expect("it has begun");
     wire.reset();
-    assert_eq!(way.outcome().await, Outcome::NoConnection);
+    assert_eq!(way.outcome().await, Outcome::ConnectFailed);
 }
 
 #[tokio::test]
@@ -528,7 +528,7 @@
     let stop = way.send(server.at, 4, None, far());
     wire.request().await.expect("the same connection");
     stop.send(Stop::All).expect("it is out");
-    assert_eq!(way.outcome().await, Outcome::CalledOff);
+    assert_eq!(way.outcome().await, Outcome::Cancelled);
     assert!(wire.ends().await);
     // Neither is one sent whose client left while it waited for a connection at rest.
     let _stop = way.send(server.at, 4, None, far());
--- a/gateway/tests/parts.rs
+++ b/gateway/tests/parts.rs
@@ -8,7 +8,7 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::Arc;
 use std::time::Duration;
-use ternstack_balancer::{Outcome, Report, RequestId, ServerId};
+use ternstack_balancer::{EndpointId, LoadReport, Outcome, RequestId};
 use ternstack_gateway::clock::Clock;
 use ternstack_gateway::config::Config;
 use ternstack_gateway::descriptors::Descriptors;
@@ -50,7 +50,7 @@
         let errand = Errand::Request { id: RequestId(7), number: self.number };
         let until = Instant::now() + patience;
         self.number += 1;
-        let (server, life) = (ServerId(u32::from(address.port())), std::sync::Arc::downgrade(&self.life));
+        let (server, life) = (EndpointId(u32::from(address.port())), std::sync::Arc::downgrade(&self.life));
         let send_by = self.send_by;
         self.side.start(Attempt { errand, server, life, address, raw, until, send_by, stopped });
         call_off
@@ -63,7 +63,7 @@
         }
     }
 
-    async fn outcome(&mut self, address: std::net::SocketAddr, patience: Duration) -> (Outcome, Report) {
+    async fn outcome(&mut self, address: std::net::SocketAddr, patience: Duration) -> (Outcome, LoadReport) {
         let _call_off = self.start(address, patience);
         let end = self.end().await;
         assert_eq!(end.number + 1, self.number);
@@ -74,11 +74,11 @@
 
 #[tokio::test]
 async fn every_way_an_attempt_can_end_has_its_outcome_and_its_report() {
-    let report = |u, t| Report { utilization: u, throughput: t, backlog: None };
-    let none = Report::default();
+    let report = |u, t| LoadReport { utilization: u, throughput_per_s: t, queue_length: None };
+    let none = LoadReport::default();
     for (does, outcome, told) in [
         (SERVED, Outcome::Served, report(Some(0.5), Some(20.0))),
-        (TURNED_AWAY, Outcome::TurnedAway, none),
+        (TURNED_AWAY, Outcome::Rejected, none),
         (
             Does::Answer("HTTP/1.1 504 No\r\nX-Unprocessed: 1\r\nX-Backend-Load: util=1, qps=x\r\n\r\n"),
             Outcome::ServerError, // A body up to the end of a connection that stays open.
@@ -88,7 +88,7 @@
             Does::AnswerAndClose(
                 "HTTP/1.1 504 No\r\nX-Unprocessed: 1\r\nX-Backend-Load: util=1, qps=x\r\n\r\n",
             ),
-            Outcome::TurnedAway,
+            Outcome::Rejected,
             report(Some(1.0), None),
         ),
         (
@@ -114,15 +114,15 @@
             none,
         ),
         (Does::Close, Outcome::ConnectionLost, none),
-        (Does::Nothing, Outcome::NoAnswer, none),
+        (Does::Nothing, Outcome::ResponseTimeout, none),
     ] {
         let server = Server::start(does).await;
-        let patience = if outcome == Outcome::NoAnswer { Duration::from_secs(1) } else { LONG };
+        let patience = if outcome == Outcome::ResponseTimeout { Duration::from_secs(1) } else { LONG };
         let (seen, report) = Upstreams::new(4, 30_000.0).outcome(server.at, patience).await;
         assert_eq!((seen, report), (outcome, told));
     }
     let free = TcpListener::bind("127.0.0.1:0").await.expect("a port").local_addr().expect("it");
-    assert_eq!(Upstreams::new(4, 30_000.0).outcome(free, LONG).await.0, Outcome::NoConnection);
+    assert_eq!(Upstreams::new(4, 30_000.0).outcome(free, LONG).await.0, Outcome::ConnectFailed);
 
     // A repeat whose time is over when its connection is up is not sent.
     let mut server = Server::start(SERVED).await;
@@ -136,7 +136,7 @@
     let call_off = upstream.start(server.at, LONG);
     while !matches!(server.next().await, Seen::Request(_)) {}
     call_off.send(Stop::All).expect("it is out");
-    assert_eq!(upstream.end().await.outcome, Outcome::CalledOff);
+    assert_eq!(upstream.end().await.outcome, Outcome::Cancelled);
     // An answer may still be due on that connection: it is closed.
     while !matches!(server.next().await, Seen::Ended) {}
 }
@@ -521,7 +521,7 @@
 
 #[test]
 fn a_report_is_read_in_either_form_and_what_is_absurd_is_left_out() {
-    let whole = Report { utilization: Some(0.61), throughput: Some(12.0), backlog: Some(2.0) };
+    let whole = LoadReport { utilization: Some(0.61), throughput_per_s: Some(12.0), queue_length: Some(2.0) };
     for text in [
         "util=0.61,qps=12,queue=2",
         " utilization = 0.61 , throughput=12.0, backlog=2,inflight=7",
@@ -533,7 +533,7 @@
         let pairs = format!("util={value},qps={value},queue={value}");
         let json = format!(r#"{{"util":{value:?},"qps":{value:?},"queue":{value:?}}}"#);
         for text in [pairs, json, value.to_string()] {
-            assert_eq!(read_report(&text), Report::default(), "{text}");
+            assert_eq!(read_report(&text), LoadReport::default(), "{text}");
         }
     }
 }
--- a/settings/src/lib.rs
+++ b/settings/src/lib.rs
@@ -6,7 +6,9 @@
 #![warn(missing_docs)]
 
 use serde_json::Value;
-use ternstack_balancer::{Class, Effect, Group, Reports, Settings, Tenant};
+use ternstack_balancer::{
+    DeduplicationScope, Idempotency, LoadReportDelivery, RequestClass, Settings, Tenant,
+};
 
 /// All that the settings tell: what the balancer needs, the names, and what only sockets need.
 #[derive(Clone, Debug)]
@@ -108,28 +110,28 @@
     }
 }
 
-fn read_class(part: &Part) -> Result<Class, String> {
+fn read_class(part: &Part) -> Result<RequestClass, String> {
     let effect = match part.text("effect", "unsafe")?.as_str() {
-        "safe" => Effect::Safe,
-        "keyed" => Effect::Keyed,
-        "unsafe" => Effect::Unsafe,
+        "safe" => Idempotency::Idempotent,
+        "keyed" => Idempotency::IdempotentWithKey,
+        "unsafe" => Idempotency::NonIdempotent,
         other => return Err(format!("classes[].effect={other} is not known")),
     };
     let group = match part.text("group", "cell")?.as_str() {
-        "all" => Group::All,
-        "zone" => Group::Zone,
-        "cell" => Group::Cell,
+        "all" => DeduplicationScope::All,
+        "zone" => DeduplicationScope::Zone,
+        "cell" => DeduplicationScope::Cell,
         other => return Err(format!("classes[].group={other} is not known")),
     };
     let deadline_ms = part.required("deadline_ms")?;
-    Ok(Class {
+    Ok(RequestClass {
         name: part.text("name", "")?,
-        aim_ms: part.number("aim_ms", deadline_ms)?,
+        latency_objective_ms: part.number("aim_ms", deadline_ms)?,
         deadline_ms,
-        late_value: part.number("late_value", 0.0)?,
-        effect,
-        group,
-        window_ms: part.number("window_ms", 0.0)?,
+        late_value_ratio: part.number("late_value", 0.0)?,
+        idempotency: effect,
+        deduplication_scope: group,
+        deduplication_window_ms: part.number("window_ms", 0.0)?,
     })
 }
 
@@ -161,9 +163,9 @@
         zones: root.names("zones")?,
     };
     let reports = match report.text("how", "off")?.as_str() {
-        "inline" => Reports::Inline,
-        "on_probe" => Reports::OnProbe,
-        "off" => Reports::Off,
+        "inline" => LoadReportDelivery::Inline,
+        "on_probe" => LoadReportDelivery::OnHealthCheck,
+        "off" => LoadReportDelivery::Off,
         _ => return Err(report.bad("how", "inline, on_probe or off")),
     };
     let ask_discovery = match root.text("discovery", "push")?.as_str() {
@@ -175,29 +177,29 @@
     let settings = Settings {
         classes,
         tenants,
-        instances: root.number("instances", 1.0)? as u32,
-        me: root.number("me", 0.0)? as u32,
+        gateway_count: root.number("instances", 1.0)? as u32,
+        gateway_index: root.number("me", 0.0)? as u32,
         zone: names.zone(&root.text("zone", "")?),
         tick_ms: root.number("tick_ms", 5.0)?,
-        live_weights: root.text("weights", "off")? == "live",
-        cross_price: deductions.number("cross_zone", 0.0)?,
-        idle_ms: limits.number("conn_idle_ms", 60_000.0)?,
-        reports,
-        ask_discovery,
+        weights_reflect_load: root.text("weights", "off")? == "live",
+        cross_zone_cost_ratio: deductions.number("cross_zone", 0.0)?,
+        connection_idle_timeout_ms: limits.number("conn_idle_ms", 60_000.0)?,
+        load_report_delivery: reports,
+        poll_discovery: ask_discovery,
         max_attempts: limits.number("max_attempts", 1.0)? as u32,
-        may_probe: limits.flag("may_probe", false)?,
-        may_cancel: limits.flag("cancel", false)?,
+        health_checks_allowed: limits.flag("may_probe", false)?,
+        cancellation_allowed: limits.flag("cancel", false)?,
         max_retry_after_ms: if takes_advice { limits.number("max_retry_after_ms", 1000.0)? } else { 0.0 },
-        ask_within_ms: safety.number("ask_within_ms", 10_000.0)?,
-        cold_share: safety.number("cold_share", 0.1)?,
-        cold_ms: safety.number("cold_ms", 20_000.0)?,
-        tip_multiple: safety.number("tip_multiple", 3.0)?,
-        removal_not_binding: safety.flag("removal_not_binding", false)?,
-        nines: mix.number("nines", 0.0)?,
-        top_nines: mix.get("top_nines").map(|_| mix.required("top_nines")).transpose()?,
+        max_discovery_age_ms: safety.number("ask_within_ms", 10_000.0)?,
+        slow_start_min_ratio: safety.number("cold_share", 0.1)?,
+        slow_start_ms: safety.number("cold_ms", 20_000.0)?,
+        slow_start_overload_multiple: safety.number("tip_multiple", 3.0)?,
+        removal_is_advisory: safety.flag("removal_not_binding", false)?,
+        availability_weight: mix.number("nines", 0.0)?,
+        availability_target_nines: mix.get("top_nines").map(|_| mix.required("top_nines")).transpose()?,
     };
     settings.check().map_err(|e| e.to_string())?;
-    if settings.me >= settings.instances {
+    if settings.gateway_index >= settings.gateway_count {
         return Err("me must be below instances".into());
     }
     let dial_timeout_ms = limits.number("dial_timeout_ms", 250.0)?;
--- a/settings/tests/keys.rs
+++ b/settings/tests/keys.rs
@@ -2,7 +2,7 @@
 
 use serde_json::Value;
 use std::fmt::Write as _;
-use ternstack_balancer::{Effect, Group, Reports};
+use ternstack_balancer::{DeduplicationScope, Idempotency, LoadReportDelivery};
 use ternstack_settings::{read, spread, Site};
 
 const ALL_KEYS: &str = include_str!("fixtures/all-keys.json");
@@ -22,19 +22,19 @@
     let settings = &site.balancer;
     let mut lines: Vec<String> = Vec::new();
     for class in &settings.classes {
-        let idempotency = match class.effect {
-            Effect::Safe => 0,
-            Effect::Keyed => 1,
-            Effect::Unsafe => 2,
+        let idempotency = match class.idempotency {
+            Idempotency::Idempotent => 0,
+            Idempotency::IdempotentWithKey => 1,
+            Idempotency::NonIdempotent => 2,
         };
-        let scope = match class.group {
-            Group::All => 0,
-            Group::Zone => 1,
-            Group::Cell => 2,
+        let scope = match class.deduplication_scope {
+            DeduplicationScope::All => 0,
+            DeduplicationScope::Zone => 1,
+            DeduplicationScope::Cell => 2,
         };
         lines.push(format!("class {}", class.name));
-        lines.push(format!(" objective {} deadline {}", class.aim_ms, class.deadline_ms));
-        lines.push(format!(" late {} window {}", class.late_value, class.window_ms));
+        lines.push(format!(" objective {} deadline {}", class.latency_objective_ms, class.deadline_ms));
+        lines.push(format!(" late {} window {}", class.late_value_ratio, class.deduplication_window_ms));
         lines.push(format!(" idempotency {idempotency} scope {scope}"));
         lines.push(format!(" number {:?}", site.names.class(&class.name)));
     }
@@ -42,23 +42,33 @@
         let number = site.names.tenant(&tenant.name);
         lines.push(format!("tenant {} quota {} number {number:?}", tenant.name, tenant.quota_per_s));
     }
-    lines.push(format!("gateways {} index {} zone {}", settings.instances, settings.me, settings.zone));
-    lines.push(format!("tick {} live weights {}", settings.tick_ms, settings.live_weights));
-    lines.push(format!("cross zone {} idle {}", settings.cross_price, settings.idle_ms));
-    let reports = match settings.reports {
-        Reports::Inline => 0,
-        Reports::OnProbe => 1,
-        Reports::Off => 2,
+    lines.push(format!(
+        "gateways {} index {} zone {}",
+        settings.gateway_count, settings.gateway_index, settings.zone
+    ));
+    lines.push(format!("tick {} live weights {}", settings.tick_ms, settings.weights_reflect_load));
+    lines.push(format!(
+        "cross zone {} idle {}",
+        settings.cross_zone_cost_ratio, settings.connection_idle_timeout_ms
+    ));
+    let reports = match settings.load_report_delivery {
+        LoadReportDelivery::Inline => 0,
+        LoadReportDelivery::OnHealthCheck => 1,
+        LoadReportDelivery::Off => 2,
     };
-    lines.push(format!("reports {reports} polls {}", settings.ask_discovery));
+    lines.push(format!("reports {reports} polls {}", settings.poll_discovery));
     lines.push(format!("attempts {}", settings.max_attempts));
-    lines.push(format!("may probe {} may cancel {}", settings.may_probe, settings.may_cancel));
+    lines.push(format!(
+        "may probe {} may cancel {}",
+        settings.health_checks_allowed, settings.cancellation_allowed
+    ));
     lines.push(format!("retry after {}", settings.max_retry_after_ms));
-    lines.push(format!("ask within {}", settings.ask_within_ms));
-    lines.push(format!("cold share {} time {}", settings.cold_share, settings.cold_ms));
-    lines.push(format!("tips at {}", settings.tip_multiple));
-    lines.push(format!("removal not binding {}", settings.removal_not_binding));
-    lines.push(format!("nines {} top {:?}", settings.nines, settings.top_nines));
+    lines.push(format!("ask within {}", settings.max_discovery_age_ms));
+    lines.push(format!("cold share {} time {}", settings.slow_start_min_ratio, settings.slow_start_ms));
+    lines.push(format!("tips at {}", settings.slow_start_overload_multiple));
+    lines.push(format!("removal not binding {}", settings.removal_is_advisory));
+    lines
+        .push(format!("nines {} top {:?}", settings.availability_weight, settings.availability_target_nines));
     lines.push(format!("dial {} open {}", site.dial_timeout_ms, site.max_open));
     let mut names = site.names.clone();
     for zone in ["east", "west", "north", "new", "east", "newer"] {
--- a/simulator-adapter/src/lib.rs
+++ b/simulator-adapter/src/lib.rs
@@ -9,8 +9,8 @@
 use std::fmt::Write as _;
 use std::io::{BufRead, Write};
 use ternstack_balancer::{
-    Action, Arrival, AttemptEnd, Balancer, Event, ListKind, Member, Outcome, Readiness, Report, RequestId,
-    ServerId,
+    Action, Arrival, AttemptEnd, Balancer, EndpointId, EndpointRecord, Event, LoadReport, Outcome, Readiness,
+    RequestId, UpdateKind,
 };
 use ternstack_settings::{spread, Names, Site};
 
@@ -26,14 +26,14 @@
 }
 
 impl Instance {
-    fn server(&mut self, name: &str) -> ServerId {
+    fn server(&mut self, name: &str) -> EndpointId {
         if let Some(&id) = self.servers.get(name) {
-            return ServerId(id);
+            return EndpointId(id);
         }
         let id = self.server_names.len() as u32;
         self.servers.insert(name.to_string(), id);
         self.server_names.push(name.to_string());
-        ServerId(id)
+        EndpointId(id)
     }
 
     fn request(&mut self, name: &str) -> RequestId {
@@ -50,9 +50,9 @@
 
 /// An event whose list entries are still to come.
 struct PendingList {
-    kind: ListKind,
+    kind: UpdateKind,
     left: usize,
-    members: Vec<Member>,
+    members: Vec<EndpointRecord>,
 }
 
 /// Reads batches until the end of input and answers each; the error names the line and what is wrong with it.
@@ -169,10 +169,10 @@
         let event = match name {
             "TOPOLOGY" => {
                 let kind = match fields.text("mode")? {
-                    "incr" => ListKind::Changes,
-                    "total" => ListKind::Whole,
-                    "warm_copy" => ListKind::WarmCopy,
-                    "lost" => ListKind::Lost,
+                    "incr" => UpdateKind::Delta,
+                    "total" => UpdateKind::Complete,
+                    "warm_copy" => UpdateKind::Cached,
+                    "lost" => UpdateKind::WatchLost,
                     other => return Err(format!("TOPOLOGY: mode={other} is not known")),
                 };
                 let left: usize = if fields.has("hosts") { fields.parsed("hosts")? } else { 0 };
@@ -180,7 +180,7 @@
                     self.pending = Some(PendingList { kind, left, members: Vec::new() });
                     return Ok(());
                 }
-                Event::List { kind, members: Vec::new() }
+                Event::EndpointUpdate { kind, endpoints: Vec::new() }
             }
             "M" => {
                 let member = read_member(instance, &fields).map_err(|e| format!("M: {e}"))?;
@@ -191,7 +191,7 @@
                     return Ok(());
                 }
                 let list = self.pending.take().ok_or("M outside a list")?;
-                Event::List { kind: list.kind, members: list.members }
+                Event::EndpointUpdate { kind: list.kind, endpoints: list.members }
             }
             _ => read_event(instance, name, &fields).map_err(|e| format!("{name}: {e}"))?,
         };
@@ -208,23 +208,23 @@
     }
 }
 
-fn read_member(instance: &mut Instance, fields: &Fields) -> Result<Member, String> {
+fn read_member(instance: &mut Instance, fields: &Fields) -> Result<EndpointRecord, String> {
     let readiness = match fields.text("readiness")? {
         "active" => Readiness::Active,
-        "leaving" => Readiness::Leaving,
-        "left" => Readiness::Left,
+        "leaving" => Readiness::Draining,
+        "left" => Readiness::Removed,
         other => return Err(format!("readiness={other} is not known")),
     };
     let host = fields.text("host")?;
     let server = instance.server(host);
-    Ok(Member {
-        server,
-        place: spread(host),
+    Ok(EndpointRecord {
+        endpoint: server,
+        hash: spread(host),
         weight: fields.number_or("heft", 1.0)?,
         zone: instance.names.zone(fields.text_or("area", "")),
         cell: if fields.has("bay") { fields.parsed("bay")? } else { 0 },
         readiness,
-        started_at: fields.number_or("last_start_ms", 0.0)?,
+        started_at_ms: fields.number_or("last_start_ms", 0.0)?,
     })
 }
 
@@ -237,23 +237,23 @@
             Event::Request(Arrival {
                 class,
                 tenant: instance.names.tenant(fields.text_or("project", "")),
-                patience_ms: fields.number("patience_left_ms")?,
+                client_timeout_ms: fields.number("patience_left_ms")?,
                 request: instance.request(fields.text("id")?),
             })
         }
-        "BEGUN" => Event::Begun { request: instance.request(fields.text("id")?) },
+        "BEGUN" => Event::ResponseStarted { request: instance.request(fields.text("id")?) },
         "ATTEMPT_END" => Event::AttemptEnd(AttemptEnd {
             attempt: fields.parsed("try")?,
-            server: instance.server(fields.text("host")?),
+            endpoint: instance.server(fields.text("host")?),
             outcome: read_outcome(fields.text("state_code")?)?,
             latency_ms: fields.number("latency_ms")?,
-            complete: fields.flag("complete")?,
+            request_complete: fields.flag("complete")?,
             report: read_report(fields.text_or("telemetry", ""))?,
             request: instance.request(fields.text("id")?),
         }),
-        "CANCELLED_BY_CLIENT" => Event::Gone { request: instance.request(fields.text("id")?) },
-        "HEALTH_RESULT" => Event::Probed {
-            server: instance.server(fields.text("host")?),
+        "CANCELLED_BY_CLIENT" => Event::ClientDisconnected { request: instance.request(fields.text("id")?) },
+        "HEALTH_RESULT" => Event::HealthCheckEnd {
+            endpoint: instance.server(fields.text("host")?),
             outcome: read_outcome(fields.text("state_code")?)?,
             report: read_report(fields.text_or("telemetry", ""))?,
         },
@@ -265,25 +265,25 @@
     Ok(match code {
         "served" => Outcome::Served,
         "server_error" => Outcome::ServerError,
-        "turned_away" => Outcome::TurnedAway,
-        "no_answer" => Outcome::NoAnswer,
-        "no_connection" => Outcome::NoConnection,
+        "turned_away" => Outcome::Rejected,
+        "no_answer" => Outcome::ResponseTimeout,
+        "no_connection" => Outcome::ConnectFailed,
         "connection_lost" => Outcome::ConnectionLost,
-        "called_off" => Outcome::CalledOff,
+        "called_off" => Outcome::Cancelled,
         "not_sent" => Outcome::NotSent,
         other => return Err(format!("state_code={other} is not known")),
     })
 }
 
-fn read_report(text: &str) -> Result<Report, String> {
-    let mut report = Report::default();
+fn read_report(text: &str) -> Result<LoadReport, String> {
+    let mut report = LoadReport::default();
     for pair in text.split(',').filter(|pair| !pair.is_empty() && *pair != "-") {
         let (name, value) =
             pair.split_once(':').ok_or_else(|| format!("telemetry: {pair} is no name:value pair"))?;
         let slot = match name {
             "utilization" => &mut report.utilization,
-            "backlog" => &mut report.backlog,
-            "throughput" => &mut report.throughput,
+            "backlog" => &mut report.queue_length,
+            "throughput" => &mut report.throughput_per_s,
             _ => continue,
         };
         *slot = Some(value.parse().map_err(|_| format!("telemetry: {pair} is no number"))?);
@@ -293,19 +293,19 @@
 
 fn write_action(instance: &Instance, action: &Action, out: &mut String) {
     let request = |id: &RequestId| instance.request_names.get(&id.0).map_or("", String::as_str);
-    let server = |id: &ServerId| instance.server_names[id.0 as usize].as_str();
+    let server = |id: &EndpointId| instance.server_names[id.0 as usize].as_str();
     let _ = match action {
-        Action::Send { request: id, server: to, until } => {
+        Action::Send { request: id, endpoint: to, give_up_at_ms: until } => {
             writeln!(out, "RELAY id={} host={} try_until_ms={until:.3}", request(id), server(to))
         }
         Action::Cancel { request: id, attempt } => writeln!(out, "REVOKE id={} try={attempt}", request(id)),
-        Action::Refuse { request: id, retry_after_ms, .. } => {
+        Action::Reject { request: id, retry_after_ms, .. } => {
             writeln!(out, "OVERLOAD_REPLY id={} stay_away_ms={retry_after_ms:.3}", request(id))
         }
         Action::Fail { request: id } => writeln!(out, "DROP_REQUEST id={}", request(id)),
-        Action::Timer { at, token } => writeln!(out, "SET_TIMER time_ms={at:.3} ref={token}"),
-        Action::Probe { server: to } => writeln!(out, "HEALTH_CHECK host={}", server(to)),
-        Action::Watch => writeln!(out, "TAIL want=1"),
+        Action::Timer { at_ms: at, token } => writeln!(out, "SET_TIMER time_ms={at:.3} ref={token}"),
+        Action::HealthCheck { endpoint: to } => writeln!(out, "HEALTH_CHECK host={}", server(to)),
+        Action::WatchEndpoints => writeln!(out, "TAIL want=1"),
         Action::Log(words) => writeln!(out, "PRINT words={}", words.replace(['\n', '\r'], " ")),
     };
 }
