--- a/tests/decision_digests/plan.rs
+++ b/tests/decision_digests/plan.rs
@@ -29,8 +29,22 @@
     pub event_count: usize,
 }
 
+/// Streams from this one on are slow: their events cover minutes, for what takes that long.
+pub const FIRST_SLOW_STREAM: u64 = 300;
+
 /// Draws the scenario of a stream.
 pub fn draw(stream: u64, random: &mut Random) -> Scenario {
+    let mut scenario = draw_usual(stream, random);
+    if stream >= FIRST_SLOW_STREAM {
+        scenario.capacity_per_s = random.range(0.5, 3.0);
+        scenario.fault_every_ms = random.range(4000.0, 9000.0);
+        scenario.phase_ms = random.range(15_000.0, 60_000.0);
+        scenario.plan.removal_not_binding = stream % 4 > 0;
+    }
+    scenario
+}
+
+fn draw_usual(stream: u64, random: &mut Random) -> Scenario {
     let zone_count = random.choose(&[1, 2, 2, 3]);
     // Every tenth stream plays one gateway of a large fleet.
     let (gateway_count, endpoint_count) = match stream % 10 {
