--- a/tests/decision_digests/plan.rs
+++ b/tests/decision_digests/plan.rs
@@ -39,7 +39,7 @@
         scenario.capacity_per_s = random.range(0.5, 3.0);
         scenario.fault_every_ms = random.range(4000.0, 9000.0);
         scenario.phase_ms = random.range(15_000.0, 60_000.0);
-        scenario.plan.removal_not_binding = stream % 4 > 0;
+        scenario.plan.removal_not_binding = !stream.is_multiple_of(4);
     }
     scenario
 }
