--- a/balancer/tests/common/mod.rs
+++ b/balancer/tests/common/mod.rs
@@ -1,5 +1,5 @@
-//! A small deployment and short ways to speak to a balancer.
-#![allow(dead_code)]
+//! A small deployment, and one gateway of it whose endpoints do as the test says.
+#![allow(dead_code, reason = "each test file uses only some of these")]
 
 use ternstack_balancer::*;
 
@@ -15,7 +15,8 @@
     }
 }
 
-/// Classes 0, 1, 2 are safe, keyed by cell, and unsafe; one tenant with 20 requests a second.
+/// Classes 0, 1, 2 are idempotent, idempotent with a key within a cell, and not idempotent; one tenant with a
+/// quota of 20 requests a second.
 pub fn settings() -> Settings {
     Settings {
         classes: vec![
@@ -47,7 +48,7 @@
     }
 }
 
-pub fn member(n: u32) -> EndpointRecord {
+pub fn record(n: u32) -> EndpointRecord {
     EndpointRecord { endpoint: EndpointId(n), cell: n / 2, ..EndpointRecord::default() }
 }
 
@@ -55,92 +56,90 @@
     LoadReport { throughput_per_s: Some(throughput), utilization: Some(utilization), queue_length: None }
 }
 
-/// A balancer with its clock.
-pub struct Bench {
+/// A gateway: a balancer with its clock.
+pub struct TestGateway {
     pub balancer: Balancer,
-    pub now: f64,
+    pub now_ms: f64,
     next: u64,
 }
 
-impl Bench {
-    pub fn new(settings: Settings, servers: u32) -> Self {
+impl TestGateway {
+    pub fn new(settings: Settings, endpoints: u32) -> Self {
         let seed = 7 + u64::from(settings.gateway_index);
         let balancer = Balancer::new(settings, seed).expect("the settings are sound");
-        let mut bench = Bench { balancer, now: 1000.0, next: 0 };
-        bench.list(UpdateKind::Cached, (0..servers).map(member).collect());
-        bench
+        let mut gateway = TestGateway { balancer, now_ms: 1000.0, next: 0 };
+        gateway.update(UpdateKind::Cached, (0..endpoints).map(record).collect());
+        gateway
     }
 
-    pub fn take(&mut self, event: Event) -> Vec<Action> {
+    pub fn handle(&mut self, event: Event) -> Vec<Action> {
         let mut actions = Vec::new();
-        self.balancer.handle(self.now, event, &mut actions);
+        self.balancer.handle(self.now_ms, event, &mut actions);
         actions
     }
 
-    pub fn list(&mut self, kind: UpdateKind, members: Vec<EndpointRecord>) -> Vec<Action> {
-        self.take(Event::EndpointUpdate { kind, endpoints: members })
+    pub fn update(&mut self, kind: UpdateKind, records: Vec<EndpointRecord>) -> Vec<Action> {
+        self.handle(Event::EndpointUpdate { kind, endpoints: records })
     }
 
     pub fn request(&mut self, class: usize, tenant: Option<usize>) -> (RequestId, Vec<Action>) {
         let request = RequestId(self.next);
         self.next += 1;
         let arrival = Arrival { request, class, tenant, client_timeout_ms: 600.0 };
-        (request, self.take(Event::Request(arrival)))
+        (request, self.handle(Event::Request(arrival)))
     }
 
-    pub fn end(
-        &mut self, request: RequestId, attempt: u32, server: EndpointId, outcome: Outcome,
+    pub fn end_attempt(
+        &mut self, request: RequestId, attempt: u32, endpoint: EndpointId, outcome: Outcome,
     ) -> Vec<Action> {
-        self.end_with(request, attempt, server, outcome, 20.0, LoadReport::default())
+        self.end_attempt_with(request, attempt, endpoint, outcome, 20.0, LoadReport::default())
     }
 
-    pub fn end_with(
-        &mut self, request: RequestId, attempt: u32, server: EndpointId, outcome: Outcome, latency_ms: f64,
+    pub fn end_attempt_with(
+        &mut self, request: RequestId, attempt: u32, endpoint: EndpointId, outcome: Outcome, latency_ms: f64,
         report: LoadReport,
     ) -> Vec<Action> {
-        let complete = outcome == Outcome::Served;
-        self.take(Event::AttemptEnd(AttemptEnd {
+        let request_complete = outcome == Outcome::Served;
+        self.handle(Event::AttemptEnd(AttemptEnd {
             request,
             attempt,
-            endpoint: server,
+            endpoint,
             outcome,
             latency_ms,
-            request_complete: complete,
+            request_complete,
             report,
         }))
     }
 
-    /// A request served at once wherever it goes, with a report for its server.
+    /// A request served at once wherever it goes, with a load report of its endpoint.
     pub fn serve(&mut self, reports: &dyn Fn(EndpointId) -> LoadReport) -> Option<EndpointId> {
         let (request, actions) = self.request(0, None);
-        let server = sent(&actions)?;
-        self.end_with(request, 0, server, Outcome::Served, 20.0, reports(server));
-        Some(server)
+        let endpoint = sent_to(&actions)?;
+        self.end_attempt_with(request, 0, endpoint, Outcome::Served, 20.0, reports(endpoint));
+        Some(endpoint)
     }
 
-    /// How long it takes, from what was just done, until discovery is asked; that must be within `most_ms`.
-    pub fn asked_after(&mut self, mut actions: Vec<Action>, most_ms: f64) -> f64 {
-        let from = self.now;
+    /// How long it takes, from the last actions, until discovery is called; that must be within `most_ms`.
+    pub fn time_until_watch(&mut self, mut actions: Vec<Action>, most_ms: f64) -> f64 {
+        let from = self.now_ms;
         while !actions.contains(&Action::WatchEndpoints) {
-            assert!(self.now - from < most_ms, "asked well within the time allowed");
-            actions = self.wake(10.0);
+            assert!(self.now_ms - from < most_ms, "asked well within the time allowed");
+            actions = self.fire_timer_after(10.0);
         }
-        self.now - from
+        self.now_ms - from
     }
 
-    pub fn wake(&mut self, after_ms: f64) -> Vec<Action> {
-        self.now += after_ms;
-        self.take(Event::Timer { token: 0 })
+    pub fn fire_timer_after(&mut self, after_ms: f64) -> Vec<Action> {
+        self.now_ms += after_ms;
+        self.handle(Event::Timer { token: 0 })
     }
 }
 
-pub fn sent(actions: &[Action]) -> Option<EndpointId> {
-    actions
-        .iter()
-        .find_map(|a| if let Action::Send { endpoint: server, .. } = a { Some(*server) } else { None })
+pub fn sent_to(actions: &[Action]) -> Option<EndpointId> {
+    actions.iter().find_map(|a| if let Action::Send { endpoint, .. } = a { Some(*endpoint) } else { None })
 }
 
-pub fn refused(actions: &[Action]) -> Option<f64> {
+pub fn rejected(actions: &[Action]) -> Option<f64> {
     actions.iter().find_map(|a| {
         if let Action::Reject { retry_after_ms, .. } = a {
             Some(*retry_after_ms)
@@ -153,3 +152,13 @@
 pub fn failed(actions: &[Action]) -> bool {
     actions.iter().any(|a| matches!(a, Action::Fail { .. }))
 }
+
+/// Sends requests until every endpoint is at its concurrency limit.
+pub fn saturate(gateway: &mut TestGateway) -> Vec<(RequestId, EndpointId)> {
+    let mut out = Vec::new();
+    loop {
+        let (id, actions) = gateway.request(2, None);
+        let Some(to) = sent_to(&actions) else { return out };
+        out.push((id, to));
+    }
+}
