--- a/balancer/src/admission.rs
+++ b/balancer/src/admission.rs
@@ -14,14 +14,18 @@
 /// From this saturation on the fleet is full, and tenant limits bind.
 const FULL_SATURATION_RATIO: f64 = 0.85;
 
-/// From this saturation on requests are rejected that can earn nothing.
-const TOO_LATE_SATURATION_RATIO: f64 = 0.65;
+/// From this saturation on the fleet is busy, and requests are rejected that arrive too late.
+const BUSY_SATURATION_RATIO: f64 = 0.65;
 
-/// At most so much of what stalls everywhere is rejected: the rest shows whether it still does.
+/// At most this part of a tenant's or class's requests is rejected because they stall everywhere: the rest
+/// shows whether they still do.
 const MAX_STALL_SHED_RATIO: f64 = 0.95;
 
-/// Slope and offset of the part that is rejected, by the part of a tenant's or class's attempts that stall.
+/// Slope of the part that is rejected because requests stall, by how far their tenant or class accounts for
+/// it.
 const STALL_SHED_SLOPE: f64 = 2.2;
+
+/// Offset of the same part: below it nothing is rejected.
 const STALL_SHED_OFFSET_RATIO: f64 = 1.0;
 
 /// The least part of the concurrency that AIMD is taken to keep.
@@ -33,8 +37,8 @@
 /// Latencies count as this part of the class's objective at most when a request's chances are judged.
 const MAX_LATENCY_OBJECTIVE_RATIO: f64 = 0.5;
 
-/// An attempt is given up so many ticks before its client's timeout. What is given up goes on at its endpoint
-/// while its client comes again.
+/// An attempt is given up this many ticks before its client's timeout: an endpoint may go on working on it
+/// while the client already retries.
 const GIVE_UP_LEAD_TICKS: f64 = 1.5;
 
 /// Whether the fleet is so full that tenant limits bind.
@@ -42,20 +46,20 @@
     saturation_ratio >= FULL_SATURATION_RATIO
 }
 
-/// Whether the fleet is too busy for requests that can earn nothing.
-pub(crate) fn rejects_too_late(saturation_ratio: f64) -> bool {
-    saturation_ratio >= TOO_LATE_SATURATION_RATIO
+/// Whether the fleet is too busy for requests that arrive too late.
+pub(crate) fn is_busy(saturation_ratio: f64) -> bool {
+    saturation_ratio >= BUSY_SATURATION_RATIO
 }
 
-/// Until when a response to a request is worth something.
+/// Until when a response to a request has value.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct ResponseDeadlines {
     /// A response can no longer meet the latency objective, counted from the client's first attempt.
     pub is_late: bool,
-    /// When a response stops being worth the full value.
+    /// When a response no longer has the full value.
     pub useful_until_ms: f64,
-    /// When an attempt is given up: where late responses earn nothing, as soon as it stops being useful. A
-    /// cancellation may free an endpoint of what waits there.
+    /// When an attempt is given up: where late responses have no value, as soon as it is no longer useful.
+    /// Cancelling it may remove it from the endpoint's queue.
     pub give_up_at_ms: f64,
 }
 
@@ -75,9 +79,9 @@
     }
 }
 
-/// Whether a request can earn nothing: it is late, drawn by what a late response is worth, or in a full
-/// fleet its client waits too short a time.
-pub(crate) fn is_worthless(
+/// Whether a request arrives too late for a response of any value: its response will be late, drawn by the
+/// value of late responses, or the fleet is full and its client's timeout short.
+pub(crate) fn arrives_too_late(
     class: &RequestClass, is_late: bool, typical_ms: f64, client_timeout_ms: f64, is_full: bool,
     rng: &mut Rand64,
 ) -> bool {
--- a/balancer/src/attempt_outcome.rs
+++ b/balancer/src/attempt_outcome.rs
@@ -1,18 +1,18 @@
-//! What an attempt's end tells of its endpoint.
+//! What an attempt's end says about its endpoint.
 //!
 //! Rule: an attempt has stalled if it got no response in a time in which it should have had one, or one far
 //! later than the other classes' responses and the latency objective. An attempt that was sent too late to
-//! be answered tells nothing.
+//! be answered says nothing.
 
 use crate::event::{AttemptEnd, Outcome};
 
-/// A response later than so many typical latencies of the slowest class is far too late.
+/// A response is far too late after this many typical latencies of the slowest class.
 const LATE_LATENCIES: f64 = 2.0;
 
 /// An attempt that was given this part of its latency objective and got no response has stalled.
 const STALL_OBJECTIVE_RATIO: f64 = 0.5;
 
-/// What an attempt's end tells of its endpoint.
+/// What an attempt's end says about its endpoint.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct AttemptOutcome {
     /// It failed in any way, a stall included.
@@ -21,7 +21,7 @@
     pub stalled: bool,
     /// It was served, but far too late.
     pub served_late: bool,
-    /// It tells something at all.
+    /// It says something about the endpoint at all.
     pub is_informative: bool,
 }
 
--- a/balancer/src/balancer/endpoints.rs
+++ b/balancer/src/balancer/endpoints.rs
@@ -6,18 +6,20 @@
 use crate::endpoint_updates::EndpointUpdate;
 use crate::event::{AttemptEnd, EndpointRecord, Outcome, Readiness, UpdateKind};
 use crate::failure_ratios::FaultKind;
-use crate::ids::EndpointId;
 use crate::turn_taking;
 
 /// An endpoint that rejected an attempt is left alone for this many shortest latency objectives: a full
 /// endpoint responds fastest and looks the emptiest.
 const REJECTED_PAUSE_OBJECTIVES: f64 = 0.25;
 
-/// What the failure of an attempt means for its endpoint.
-struct EndpointFailure {
-    outcome: Outcome,
-    served_late: bool,
-    /// How far the request's tenant or class accounts for it.
+/// What is known of an attempt that has ended, and of its request.
+struct EndedAttempt<'a> {
+    end: &'a AttemptEnd,
+    outcome: AttemptOutcome,
+    /// Class and tenant, if the request is still open.
+    class: Option<usize>,
+    tenant: Option<usize>,
+    /// How far the tenant or the class accounts for a failure.
     excuse_ratio: f64,
     mean_failure_ratio: f64,
 }
@@ -51,8 +53,9 @@
 
     /// Counts an attempt's outcome for its tenant, its class and its endpoint.
     pub(super) fn record_outcome(&mut self, now_ms: f64, end: &AttemptEnd) {
-        let class = self.requests.get(&end.request).map(|request| request.class);
-        let tenant = self.requests.get(&end.request).and_then(|request| request.tenant);
+        let request = self.requests.get(&end.request);
+        let class = request.map(|request| request.class);
+        let tenant = request.and_then(|request| request.tenant);
         let outcome = AttemptOutcome::of(
             end,
             class.map(|class| self.settings.classes[class].latency_objective_ms),
@@ -61,55 +64,64 @@
         );
         let excuse_ratio = self.count_failure(tenant, class, outcome);
         let mean_failure_ratio = self.fleet.endpoints.mean_failure_ratio();
-        let paused_until_ms = now_ms + self.turn_pause_ms(now_ms, end, class);
+        let attempt = EndedAttempt { end, outcome, class, tenant, excuse_ratio, mean_failure_ratio };
+        self.update_endpoint(now_ms, &attempt);
+        self.record_endpoint_outcome(now_ms, &attempt);
+    }
+
+    /// Counts an outcome for tenant, class and overall; how far these excused the endpoint before.
+    fn count_failure(&mut self, tenant: Option<usize>, class: Option<usize>, outcome: AttemptOutcome) -> f64 {
+        let Some(class) = class.filter(|_| outcome.is_informative) else { return 0.0 };
+        let excuse_ratio = self.failure_ratios.excuse_ratio(tenant, class, FaultKind::Failure);
+        self.failure_ratios.record(tenant, class, outcome.failed, outcome.stalled);
+        excuse_ratio
+    }
+
+    /// Updates what every ended attempt changes at its endpoint: turns, decay of failures, errors by class.
+    fn update_endpoint(&mut self, now_ms: f64, attempt: &EndedAttempt) {
+        let end = attempt.end;
+        let paused_until_ms = now_ms + self.turn_pause_ms(now_ms, end, attempt.class);
         let Some(endpoint) = self.fleet.endpoints.get_mut(end.endpoint) else { return };
         endpoint.defer_sends_until(paused_until_ms);
-        if outcome.is_informative {
-            self.outlier_ejection.decay(now_ms, &mut endpoint.health, mean_failure_ratio);
+        if attempt.outcome.is_informative {
+            self.outlier_ejection.decay(now_ms, &mut endpoint.health, attempt.mean_failure_ratio);
         }
         let has_responded = matches!(end.outcome, Outcome::ServerError | Outcome::Served);
-        if let Some(class) = class.filter(|_| has_responded) {
+        if let Some(class) = attempt.class.filter(|_| has_responded) {
             let is_error = end.outcome == Outcome::ServerError;
-            let tenant_excuse_ratio = self.failure_ratios.tenant_excess_ratio(tenant).max(0.0);
+            let tenant_excuse_ratio = self.failure_ratios.tenant_excess_ratio(attempt.tenant).max(0.0);
             let class_count = self.settings.classes.len();
             endpoint.class_errors.record(now_ms, class, class_count, is_error, tenant_excuse_ratio);
         }
         endpoint.mark_ended();
-        match end.outcome {
-            Outcome::Served if !outcome.served_late => endpoint.record_success(now_ms),
+    }
+
+    /// Counts a success or a failure for the endpoint.
+    fn record_endpoint_outcome(&mut self, now_ms: f64, attempt: &EndedAttempt) {
+        let AttemptOutcome { stalled, served_late, .. } = attempt.outcome;
+        let objective_ms = self.fleet.objective_ms();
+        let Some(endpoint) = self.fleet.endpoints.get_mut(attempt.end.endpoint) else { return };
+        match attempt.end.outcome {
+            Outcome::Served if !served_late => endpoint.record_success(now_ms),
             Outcome::Rejected => {
                 endpoint.record_success(now_ms);
-                let pause_ms = REJECTED_PAUSE_OBJECTIVES * self.fleet.objective_ms();
-                self.pause(now_ms + pause_ms, end.endpoint);
+                let pause_ms = REJECTED_PAUSE_OBJECTIVES * objective_ms;
+                endpoint.next_send_at_ms = now_ms + pause_ms;
             }
             Outcome::Cancelled | Outcome::NotSent => {}
             // It was sent too late to be answered.
-            Outcome::ResponseTimeout if !outcome.stalled => {}
+            Outcome::ResponseTimeout if !stalled => {}
             // It responded, so it is not ejected; the class may be excluded there.
             Outcome::ServerError => {
                 endpoint.mark_responsive(now_ms);
                 endpoint.health.readmit();
             }
             Outcome::Served | Outcome::ResponseTimeout | Outcome::ConnectFailed | Outcome::ConnectionLost => {
-                let failure = EndpointFailure {
-                    outcome: end.outcome,
-                    served_late: outcome.served_late,
-                    excuse_ratio,
-                    mean_failure_ratio,
-                };
-                self.record_endpoint_failure(now_ms, end.endpoint, &failure);
+                self.record_endpoint_failure(now_ms, attempt);
             }
         }
     }
 
-    /// Counts an outcome for tenant, class and overall; how far these excused the endpoint before.
-    fn count_failure(&mut self, tenant: Option<usize>, class: Option<usize>, outcome: AttemptOutcome) -> f64 {
-        let Some(class) = class.filter(|_| outcome.is_informative) else { return 0.0 };
-        let excuse_ratio = self.failure_ratios.excuse_ratio(tenant, class, FaultKind::Failure);
-        self.failure_ratios.record(tenant, class, outcome.failed, outcome.stalled);
-        excuse_ratio
-    }
-
     /// How long this gateway lets others have their turns at a busy endpoint, in ms.
     fn turn_pause_ms(&self, now_ms: f64, end: &AttemptEnd, class: Option<usize>) -> f64 {
         let endpoint = self.fleet.endpoints.get(end.endpoint);
@@ -119,23 +131,17 @@
         pause_ms.min(self.outlier_ejection.max_interval_ms())
     }
 
-    fn pause(&mut self, until_ms: f64, id: EndpointId) {
-        if let Some(endpoint) = self.fleet.endpoints.get_mut(id) {
-            endpoint.next_send_at_ms = until_ms;
-        }
-    }
-
     /// Counts a failure against an endpoint, and ejects it if it has become an outlier.
-    fn record_endpoint_failure(&mut self, now_ms: f64, id: EndpointId, failure: &EndpointFailure) {
-        let Some(endpoint) = self.fleet.endpoints.get_mut(id) else { return };
-        if failure.served_late {
+    fn record_endpoint_failure(&mut self, now_ms: f64, attempt: &EndedAttempt) {
+        let Some(endpoint) = self.fleet.endpoints.get_mut(attempt.end.endpoint) else { return };
+        if attempt.outcome.served_late {
             endpoint.mark_responsive(now_ms);
         }
-        endpoint.health.record_failure(failure.excuse_ratio);
+        endpoint.health.record_failure(attempt.excuse_ratio);
         // Without the list's word, or a response ever, the first failed connection is enough.
         let is_confirmed = endpoint.proven && endpoint.unlisted_since_ms.is_none();
-        let is_dead = !is_confirmed && failure.outcome == Outcome::ConnectFailed;
-        if !is_dead && !self.outlier_ejection.must_eject(&endpoint.health, failure.mean_failure_ratio) {
+        let is_dead = !is_confirmed && attempt.end.outcome == Outcome::ConnectFailed;
+        if !is_dead && !self.outlier_ejection.must_eject(&endpoint.health, attempt.mean_failure_ratio) {
             return;
         }
         let interval_ms = self.outlier_ejection.eject(now_ms, &mut endpoint.health);
--- a/balancer/src/balancer/requests.rs
+++ b/balancer/src/balancer/requests.rs
@@ -14,7 +14,7 @@
 use crate::retry;
 use crate::wakeup::WAKE_INTERVAL_MS;
 
-/// A request becomes pending only if it stays useful for so many wake-ups.
+/// A request becomes pending only if it stays useful for at least this many wake-ups.
 const MIN_PENDING_WAKE_UPS: f64 = 2.0;
 
 /// A rejection on arrival.
@@ -62,7 +62,7 @@
     ) -> Option<Rejection> {
         let Arrival { class, tenant, client_timeout_ms, .. } = *arrival;
         let is_full = admission::is_full(saturation_ratio);
-        let is_worthless = admission::is_worthless(
+        let is_too_late = admission::arrives_too_late(
             &self.settings.classes[class],
             is_late,
             self.latencies.typical_ms(class),
@@ -78,7 +78,7 @@
         let latest = |reason| Some(Rejection { reason, retry_after_ms: f64::INFINITY });
         if self.rng.rand_float() < shed_ratio {
             latest(RejectionReason::NoCapacity)
-        } else if is_worthless && admission::rejects_too_late(saturation_ratio) {
+        } else if is_too_late && admission::is_busy(saturation_ratio) {
             latest(RejectionReason::TooLate)
         } else {
             None
@@ -235,7 +235,7 @@
         let Some(request) = self.requests.remove(&id) else { return };
         let may_have_run = request.first_possible_run().is_some();
         if self.settings.classes[request.class].may_reject(may_have_run) {
-            // A response to it is worth nothing any more: its client should not come back soon.
+            // A response would have no value any more: its client should not retry soon.
             self.reject(id, reason, self.settings.max_retry_after_ms, actions);
         } else {
             actions.push(Action::Fail { request: id });
--- a/balancer/src/class_errors.rs
+++ b/balancer/src/class_errors.rs
@@ -1,15 +1,15 @@
 //! Error responses of an endpoint by request class, and the exclusion of a class there.
 //!
 //! Rule: an endpoint that fails much more of a class than the best endpoint in use gets no more requests of
-//! that class but one trial from time to time. It goes on with the classes that it serves: it responded, so
-//! it is not ejected as a whole, and neither are the endpoints that would then do its work.
+//! that class but one trial from time to time. It keeps the classes that it serves: ejecting it as a whole
+//! would move its load to other endpoints, which may then be ejected for the same class.
 
 use crate::failure_ratios::FAILURE_GAIN_RATIO;
 
 /// Part of a served response that enters the error ratio; more than of an error, as trust returns faster.
 const SERVED_GAIN_RATIO: f64 = 0.5;
 
-/// A class is excluded at an endpoint whose error ratio lies so much above the best endpoint's.
+/// A class is excluded at an endpoint whose error ratio exceeds the best endpoint's by more than this.
 const EXCLUSION_MARGIN_RATIO: f64 = 0.6;
 
 /// An excluded class gets a trial this often, in shortest latency objectives.
@@ -82,7 +82,7 @@
         }
     }
 
-    /// Whether the endpoint fails so much of some class that it has capacity to spare for the others.
+    /// Whether the endpoint fails most of some class, so that it has spare capacity for the others.
     pub fn fails_some_class(&self) -> bool {
         self.by_class.iter().any(|errors| errors.error_ratio > EXCLUSION_MARGIN_RATIO)
     }
--- a/balancer/src/client_timeouts.rs
+++ b/balancer/src/client_timeouts.rs
@@ -1,8 +1,8 @@
-//! How long a client has been trying, told from its timeout.
+//! How long a client has been trying, inferred from its timeout.
 //!
 //! Rule: a client waits the same time in each of its attempts, except in the last one, which waits for what
-//! is left of the deadline, be it more or less. A timeout that is not the typical one thus tells the age of
-//! the client's first attempt; a typical timeout most often is a first attempt. Each tenant and class has
+//! is left of the deadline, more or less. A timeout that is not the typical one thus shows how long ago
+//! the client's first attempt was; a typical timeout most often is a first attempt. Each tenant and class has
 //! its own typical timeout: many impatient clients of one must not make all others' attempts late.
 
 use crate::settings::Settings;
@@ -10,10 +10,10 @@
 /// A timeout further than this part of the deadline from the typical one is not typical.
 const TYPICAL_MARGIN_RATIO: f64 = 0.05;
 
-/// A client has so many typical timeouts behind it at most before its last attempt.
+/// The most typical timeouts that a client can have waited for before its last attempt.
 const MAX_PRECEDING_TIMEOUTS: f64 = 3.0;
 
-/// The typical timeout is replaced once others outnumber it by so many.
+/// The typical timeout is replaced once others outnumber it by this many.
 const MAX_VOTES_COUNT: f64 = 50.0;
 
 /// The typical timeout of a tenant's clients in a class, by majority vote.
@@ -60,8 +60,7 @@
         let tenant_row = tenant.map_or(0, |tenant| tenant + 1);
         let typical = &mut self.typical[tenant_row * self.class_count + class];
         typical.record(timeout_ms, deadline_ms);
-        // Clients less patient than this are no last attempts: they must not become late once they are
-        // typical.
+        // Where impatient clients are typical, a longer timeout is not one of their last attempts.
         let age_ms = (deadline_ms - timeout_ms).max(0.0);
         let is_last_attempt = !typical.is_typical(timeout_ms, deadline_ms)
             && age_ms <= MAX_PRECEDING_TIMEOUTS * typical.timeout_ms;
--- a/balancer/src/discovery.rs
+++ b/balancer/src/discovery.rs
@@ -10,7 +10,7 @@
 /// The shortest pause before watching anew, jittered.
 const MIN_RETRY_PAUSE_MS: f64 = 200.0;
 
-/// The gateways' polls are so far apart on average.
+/// Mean time between the polls of two gateways.
 const POLL_SPACING_MS: f64 = 50.0;
 
 /// All gateways' polls fall within this time.
--- a/balancer/src/endpoint.rs
+++ b/balancer/src/endpoint.rs
@@ -25,7 +25,7 @@
     pub class_errors: ClassErrorRatios,
     /// AIMD factor of its concurrency limit.
     pub concurrency: ConcurrencyFactor,
-    /// Process starts as told by discovery.
+    /// Process starts as reported by discovery.
     pub starts: StartHistory,
     /// Since when it is in slow start; it may be over by now.
     pub slow_start_since_ms: Option<f64>,
@@ -33,7 +33,7 @@
     pub in_flight_count: u32,
     /// The rate at which this gateway sends it attempts.
     pub send_rate: DecayingRate,
-    /// With attempts in flight: since when nothing has been heard.
+    /// With attempts in flight: since when there was no response.
     pub unresponsive_since_ms: f64,
     /// When an attempt was last answered.
     pub last_response_at_ms: f64,
--- a/balancer/src/endpoint_set.rs
+++ b/balancer/src/endpoint_set.rs
@@ -152,9 +152,9 @@
 fn mean(values: impl Iterator<Item = f64>) -> Option<f64> {
     let mut sum = 0.0;
     let mut count = 0.0;
-    for value in values {
+    values.for_each(|value| {
         sum += value;
         count += 1.0;
-    }
+    });
     (count > 0.0).then(|| sum / count)
 }
--- a/balancer/src/endpoint_updates.rs
+++ b/balancer/src/endpoint_updates.rs
@@ -1,6 +1,6 @@
 //! Applies updates of the endpoint list to the fleet.
 //!
-//! Rule: an entry that is new, or tells of a new process start, puts its endpoint into slow start. An
+//! Rule: an entry that is new, or reports a new process start, puts its endpoint into slow start. An
 //! endpoint that is no longer listed leaves once this gateway has nothing in flight there; where removals
 //! are advisory, one that is proven stays until it fails or has long been silent.
 
@@ -83,10 +83,10 @@
         is_changed
     }
 
-    /// Since when the endpoint's process is in slow start, if the told start is new.
+    /// Since when the endpoint's process is in slow start, if the reported start is new.
     ///
-    /// The endpoint's wall clock and this machine's may have been stepped: a start that is told while this
-    /// gateway follows discovery is as new as the update.
+    /// The endpoint's wall clock and this machine's may have been stepped: a start that is reported while
+    /// this gateway follows discovery is as new as the update.
     fn new_start_ms(&self, endpoint: &mut Endpoint, started_at_ms: f64, is_first_list: bool) -> Option<f64> {
         if !endpoint.starts.learn(started_at_ms) {
             return None;
--- a/balancer/src/failure_ratios.rs
+++ b/balancer/src/failure_ratios.rs
@@ -12,7 +12,7 @@
 /// The served part counts as this at least when an excess is related to it.
 const MIN_SERVED_RATIO: f64 = 0.2;
 
-/// The kinds of trouble that are counted.
+/// The kinds of faults that are counted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum FaultKind {
     /// The attempt failed in any way, a stall included.
--- a/balancer/src/fleet.rs
+++ b/balancer/src/fleet.rs
@@ -11,7 +11,7 @@
 use crate::zone::ZoneSide;
 use oorandom::Rand64;
 
-/// What other gateways have in flight counts as so many own requests, once anything tells of it.
+/// Weight of other gateways' requests in flight relative to own ones, once they are known.
 const KNOWN_FLEET_LOAD_WEIGHT: f64 = 1.0;
 
 /// The endpoints, the subset in use, slow start and this gateway's part of the traffic.
@@ -21,7 +21,7 @@
     pub subset: Subset,
     pub slow_start: SlowStart,
     pub traffic_share: TrafficShare,
-    /// How much the fleet load of endpoints counts: 0 until anything tells of it.
+    /// How much the fleet load of endpoints counts: 0 until it is known.
     fleet_load_weight: f64,
     weights_reflect_load: bool,
     own_zone: u32,
--- a/balancer/src/health_checks.rs
+++ b/balancer/src/health_checks.rs
@@ -13,7 +13,7 @@
 /// Health checks may be this part of the requests, so that many gateways' checks don't load endpoints.
 const HEALTH_CHECK_RATIO: f64 = 0.15;
 
-/// So many health checks may follow one another at once.
+/// The most health checks that may be sent at once.
 const HEALTH_CHECK_BURST_COUNT: f64 = 10.0;
 
 /// The health checks and their budget.
--- a/balancer/src/load.rs
+++ b/balancer/src/load.rs
@@ -9,7 +9,7 @@
 /// A reported utilization counts as this at least in the balancing weight.
 const MIN_WEIGHT_UTILIZATION_RATIO: f64 = 0.2;
 
-/// The least utilization that tells a capacity apart from noise.
+/// Lower bound of a reported utilization in the capacity: below it a report is mostly noise.
 const MIN_CAPACITY_UTILIZATION_RATIO: f64 = 0.03;
 
 /// From this utilization on a report is trusted in full as to the capacity.
@@ -24,7 +24,7 @@
 /// A sample of the fleet load counts as this at most.
 const MAX_FLEET_LOAD_RATIO: f64 = 9.0;
 
-/// An endpoint with so many requests in flight a core is full.
+/// Number of requests in flight a core at which an endpoint is full.
 pub(crate) const FULL_IN_FLIGHT_PER_CORE_COUNT: f64 = 4.0;
 
 /// The part of the shortest latency objective in which what is in flight at an endpoint may drain.
--- a/balancer/src/locality.rs
+++ b/balancer/src/locality.rs
@@ -1,8 +1,8 @@
 //! Cross-zone spillover: which part of the requests goes to other zones.
 //!
 //! Rule: requests stay in the own zone while an endpoint there has capacity, but for a part that is learnt
-//! from how much busier the own zone is than the others. A zone with more traffic than its endpoints carry
-//! so sends the excess elsewhere.
+//! from how much busier the own zone is than the others. A zone with more traffic than its endpoints can
+//! serve thus sends the excess to other zones.
 
 use crate::endpoint_set::EndpointSet;
 use crate::fleet::Fleet;
@@ -15,11 +15,11 @@
 /// At most this part spills.
 const MAX_SPILLOVER_RATIO: f64 = 0.9;
 
-/// An own zone busier by 1 than its target spills everything after so many shortest latency objectives.
+/// An own zone busier by 1 than its target spills everything after this many shortest latency objectives.
 const LEARNING_TIME_OBJECTIVES: f64 = 3.75;
 
-/// The own zone is preferred while an endpoint there is filled less than this; other zones count as so busy
-/// until they have told.
+/// The own zone is preferred while an endpoint there is filled less than this; other zones count as this busy
+/// until their load is known.
 pub(crate) const LOCAL_SATURATION_LIMIT_RATIO: f64 = 0.6;
 
 /// The part of the requests that goes to other zones.
--- a/balancer/src/outlier_ejection.rs
+++ b/balancer/src/outlier_ejection.rs
@@ -7,7 +7,8 @@
 use crate::decaying::DecayingRatio;
 use crate::failure_ratios::FAILURE_GAIN_RATIO;
 
-/// An endpoint is ejected that fails so much more than the mean; three failures in a row reach it.
+/// An endpoint is ejected if its failure ratio exceeds the mean by more than this; three failures in a row
+/// do.
 const EJECTION_MARGIN_RATIO: f64 = 0.45;
 
 /// The mean served part counts as this at least when an excess is related to it.
@@ -22,8 +23,8 @@
 /// Factor of the interval after a failed trial.
 const INTERVAL_GROWTH_FACTOR: f64 = 2.0;
 
-/// A failure ratio approaches the mean halfway in so many shortest latency objectives without outcomes, so
-/// that an endpoint with bad luck gets requests again.
+/// Half-life of a failure ratio's distance to the mean, in shortest latency objectives without outcomes: an
+/// endpoint that failed by chance gets requests again.
 const FAILURE_HALF_LIFE_OBJECTIVES: f64 = 5.0;
 
 /// An ejection in force.
--- a/balancer/src/pending_queue.rs
+++ b/balancer/src/pending_queue.rs
@@ -1,13 +1,13 @@
 //! Requests that wait for an endpoint with capacity.
 //!
 //! Rule: a request waits while it could still be in time. The one that stays useful longest goes first:
-//! what is nearly late would take capacity and may still come too late.
+//! one that is nearly late would take capacity and may still be late.
 
 use crate::ids::RequestId;
 use crate::request::Request;
 use std::collections::BTreeMap;
 
-/// After so many requests found no endpoint, the others stay pending untried.
+/// Once this many requests have found no endpoint, the others stay pending untried.
 pub(crate) const MAX_MISSES_COUNT: u32 = 4;
 
 /// The pending requests.
--- a/balancer/src/pick.rs
+++ b/balancer/src/pick.rs
@@ -21,14 +21,15 @@
 use crate::zone::{BySide, ZoneSide};
 use oorandom::Rand64;
 
-/// An endpoint with attempts in flight is unresponsive after so many typical latencies without a sign of it.
+/// An endpoint with attempts in flight is unresponsive after this many typical latencies of the slowest class
+/// without a response.
 const UNRESPONSIVE_LATENCIES: f64 = 3.0;
 
 /// The weight of an endpoint whose idle connections have closed counts this part: each request there would
 /// need a handshake.
 const CLOSED_CONNECTIONS_RATIO: f64 = 0.25;
 
-/// The weight of an endpoint that fails another class counts so many times for the classes that it serves,
+/// The weight of an endpoint that fails another class is multiplied by this for the classes that it serves,
 /// so that the endpoints that serve all classes keep capacity for that one.
 const FAILS_OTHER_CLASS_FACTOR: f64 = 4.0;
 
@@ -57,7 +58,7 @@
     least_error_ratio: f64,
 }
 
-/// What an endpoint is for a request.
+/// Whether an endpoint can take a request.
 enum Candidate {
     /// It may not or cannot take the request.
     Unusable,
@@ -98,7 +99,7 @@
             }
         }
         let spills = rng.rand_float() < spillover_ratio;
-        // Crossing zones costs less than a crowded own zone.
+        // A remote endpoint costs less than a busy local one.
         let stays_local = local_has_capacity && !spills && !usable.local.is_empty();
         let side = if usable.remote.is_empty() || stays_local { ZoneSide::Local } else { ZoneSide::Remote };
         draw(usable.get(side), rng)
--- a/balancer/src/request.rs
+++ b/balancer/src/request.rs
@@ -22,7 +22,7 @@
     pub class: usize,
     /// Index of its tenant in the settings.
     pub tenant: Option<usize>,
-    /// When a response stops being worth the full value.
+    /// When a response no longer has the full value.
     pub useful_until_ms: f64,
     /// When attempts are given up.
     pub give_up_at_ms: f64,
--- a/balancer/src/retry.rs
+++ b/balancer/src/retry.rs
@@ -12,7 +12,7 @@
 /// Retries may be this part of the requests, plus a burst.
 const RETRY_RATIO: f64 = 0.15;
 
-/// So many retries may follow one another at once.
+/// The most retries that may be sent at once.
 const RETRY_BURST_COUNT: f64 = 10.0;
 
 /// A request is retried only if this part of its class's typical latency fits before it loses its value.
--- a/balancer/src/saturation.rs
+++ b/balancer/src/saturation.rs
@@ -1,7 +1,7 @@
 //! How full the fleet is.
 //!
 //! Rule: what is in flight at the endpoints in use of the own zone, over what may be; at least 1 while
-//! requests are pending. Where nothing tells what other gateways have in flight, the reported utilization
+//! requests are pending. Where the load of other gateways is unknown, the reported utilization
 //! counts too: a small part of the traffic doesn't show it. A busy fleet that keeps its latencies may so be
 //! taken for full.
 
--- a/balancer/src/slow_start.rs
+++ b/balancer/src/slow_start.rs
@@ -2,8 +2,9 @@
 //!
 //! Rule: an endpoint's capacity grows linearly from the deployment's minimum ratio to 1 over the slow start
 //! time. Meanwhile all gateways' sends together stay within a part of what it can do at that moment. Only
-//! some gateways, next to the endpoint on a ring that all know, share it; the others leave it alone until
-//! it is warm. A share by the mean number of users would fail when a whole zone comes back.
+//! some gateways, next to the endpoint on a ring that all know, share it; the others send it nothing until
+//! it is warm. The mean number of gateways that use an endpoint would not do as a divisor: it grows when a
+//! whole zone restarts.
 
 use crate::endpoint::Endpoint;
 use crate::endpoint_set::EndpointSet;
@@ -14,16 +15,17 @@
 /// for a slower kind of endpoint, handshakes and chance.
 const OVERLOAD_MARGIN_RATIO: f64 = 0.25;
 
-/// So many times the gateways that share a warm endpoint share one in slow start.
+/// Gateways that share an endpoint in slow start, as a multiple of those that share a warm one.
 const SHARING_GATEWAYS_FACTOR: f64 = 3.0;
 
-/// So many times the gateways that small subsets need share an endpoint in slow start.
+/// The same in a fleet so small that subsets have their minimum size, as a multiple of the gateways that an
+/// endpoint then has.
 const SMALL_FLEET_FACTOR: f64 = 2.0;
 
 /// Multiplier that spreads ring distances (Fibonacci hashing).
 const RING_MULTIPLIER: u64 = 0x9e37_79b9_7f4a_7c15;
 
-/// An endpoint carries so much at least when the time between sends is worked out, in requests a second.
+/// Lower bound of an endpoint's budget, in requests a second: the send interval must stay finite.
 const MIN_BUDGET_PER_S: f64 = 1e-3;
 
 /// The rule's settings.
@@ -48,7 +50,7 @@
         }
     }
 
-    /// How long slow start takes, in ms.
+    /// The duration of slow start, in ms.
     pub fn duration_ms(&self) -> f64 {
         self.duration_ms
     }
@@ -100,7 +102,7 @@
         let Some(share_ratio) = self.share_ratio(now_ms, endpoint, endpoints.eligible_count()) else {
             return 0.0;
         };
-        // Where nothing reports, an endpoint carries what the mean one is sent.
+        // Without load reports, the mean rate that endpoints are sent stands in for their capacity.
         let mean_sent_per_s = endpoints
             .mean(|endpoint| Some(endpoint.send_rate.per_s(now_ms) / endpoint_share_ratio))
             .unwrap_or(0.0);
--- a/balancer/src/start_history.rs
+++ b/balancer/src/start_history.rs
@@ -1,9 +1,9 @@
-//! The process starts that discovery has told of an endpoint.
+//! The process starts of an endpoint as reported by discovery.
 //!
-//! Rule: a start is new if it is neither of the last two. Clocks that are stepped may tell a later start by
-//! an earlier time, and discovery servers that disagree may take turns in their responses.
+//! Rule: a start is new if it is neither of the last two. Clocks that are stepped may give a later start an
+//! earlier time, and discovery servers that disagree may alternate in their responses.
 
-/// The last two starts told, in ms; 0 for long ago.
+/// The last two reported starts, in ms; 0 for long ago.
 #[derive(Debug, Default)]
 pub(crate) struct StartHistory {
     last_ms: f64,
@@ -11,12 +11,12 @@
 }
 
 impl StartHistory {
-    /// The last start told.
+    /// The last reported start.
     pub fn last_ms(&self) -> f64 {
         self.last_ms
     }
 
-    /// Takes in a start as told; true if it is new.
+    /// Records a reported start; true if it is new.
     pub fn learn(&mut self, started_at_ms: f64) -> bool {
         let is_new =
             started_at_ms > 0.0 && started_at_ms != self.last_ms && started_at_ms != self.previous_ms;
--- a/balancer/src/traffic_share.rs
+++ b/balancer/src/traffic_share.rs
@@ -4,11 +4,11 @@
 //! part on. It is learnt only while no quota binds: rejections lower the own rate, and with it the next
 //! limit, and so on.
 
-/// So many gateways share an endpoint: with more, each knows many endpoints badly, and an endpoint is full
-/// with one request in flight from each.
+/// Number of gateways that share an endpoint. With more, each gateway learns little of each endpoint, and one
+/// request in flight from each gateway already fills it.
 pub(crate) const GATEWAYS_PER_ENDPOINT_COUNT: f64 = 4.0;
 
-/// Each gateway uses so many endpoints at least.
+/// The least number of endpoints that a gateway uses on each side of the zone boundary.
 pub(crate) const MIN_SUBSET_COUNT: f64 = 2.0;
 
 /// Part of a new sample that enters the smoothed part of the traffic.
--- a/balancer/src/turn_taking.rs
+++ b/balancer/src/turn_taking.rs
@@ -1,8 +1,8 @@
 //! Turns at a busy endpoint that more gateways share than it can serve at once.
 //!
 //! Rule: where this gateway's limit at a busy endpoint is below one request, a response later than usual
-//! makes it pause for a multiple of the excess, so that the other gateways have their turns. Else a crowd
-//! of one request from each of many gateways would stay.
+//! makes it pause for a multiple of the excess, so that the other gateways have their turns. Otherwise a
+//! queue of one request from each of many gateways would stay.
 
 use crate::concurrency_limit::ConcurrencyLimits;
 use crate::endpoint::Endpoint;
--- a/balancer/src/wakeup.rs
+++ b/balancer/src/wakeup.rs
@@ -4,10 +4,10 @@
 //! less often; and when discovery is due. An earlier wake-up than the one already asked for is asked for in
 //! addition.
 
-/// Pending requests are looked after this often.
+/// Pending requests are tried this often.
 pub(crate) const WAKE_INTERVAL_MS: f64 = 10.0;
 
-/// Without pending requests, health checks are looked after once in so many intervals.
+/// Without pending requests, health checks are sent once in this many intervals.
 const IDLE_INTERVALS_COUNT: f64 = 20.0;
 
 /// When the balancer wakes next.
@@ -31,7 +31,8 @@
         WakeUp { tick_ms, next_at_ms: f64::INFINITY }
     }
 
-    /// A timer has come. One that came a rounding early counts as due: it would be waited for ever after.
+    /// A timer has fired. One that fires a rounding error early counts as due: no other timer would follow
+    /// it.
     pub fn on_timer(&mut self, now_ms: f64) {
         if self.next_at_ms <= now_ms + self.tick_ms {
             self.next_at_ms = f64::INFINITY;
