--- a/balancer/src/balancer/requests.rs
+++ b/balancer/src/balancer/requests.rs
@@ -20,7 +20,7 @@
 /// A rejection on arrival.
 struct Rejection {
     reason: RejectionReason,
-    /// When the client should retry, in ms; infinite for as late as it heeds.
+    /// Retry-After in ms, before it is limited to the longest that clients heed.
     retry_after_ms: f64,
 }
 
@@ -35,14 +35,17 @@
         let timeout_ms = arrival.client_timeout_ms;
         let age_ms =
             self.client_timeouts.record(arrival.tenant, arrival.class, timeout_ms, class.deadline_ms);
+
         let typical_ms = self.latencies.typical_ms(arrival.class);
         let deadlines =
             ResponseDeadlines::new(now_ms, class, typical_ms, age_ms, timeout_ms, self.settings.tick_ms);
+
         self.retry_budget.deposit();
         self.health_checks.deposit();
         if let Some(rejection) = self.check_admission(now_ms, arrival, saturation_ratio, deadlines.is_late) {
             return self.reject(arrival.request, rejection.reason, rejection.retry_after_ms, actions);
         }
+
         let request = Request {
             class: arrival.class,
             tenant: arrival.tenant,
@@ -75,11 +78,11 @@
         if let RateLimit::Exceeded { retry_after_ms } = self.check_rate_limit(now_ms, tenant, is_full) {
             return Some(Rejection { reason: RejectionReason::QuotaExceeded, retry_after_ms });
         }
-        let latest = |reason| Some(Rejection { reason, retry_after_ms: f64::INFINITY });
+        let reject = |reason| Some(Rejection { reason, retry_after_ms: f64::INFINITY });
         if self.rng.rand_float() < shed_ratio {
-            latest(RejectionReason::NoCapacity)
+            reject(RejectionReason::NoCapacity)
         } else if is_too_late && admission::is_busy(saturation_ratio) {
-            latest(RejectionReason::TooLate)
+            reject(RejectionReason::TooLate)
         } else {
             None
         }
--- a/balancer/src/endpoint_updates.rs
+++ b/balancer/src/endpoint_updates.rs
@@ -59,30 +59,41 @@
         let known = self.fleet.endpoints.remove(id);
         let mut is_changed =
             known.as_ref().is_none_or(|endpoint| endpoint.record.readiness != record.readiness);
-        let mut endpoint = known.unwrap_or_else(|| {
-            let first_check_at_ms = self.now_ms + HEALTH_CHECK_INTERVAL_MS * self.rng.rand_float();
-            Endpoint::new(self.now_ms, first_check_at_ms)
-        });
+        let mut endpoint = known.unwrap_or_else(|| self.new_endpoint());
         endpoint.unlisted_since_ms = None;
         endpoint.proven |= self.kind == UpdateKind::Cached;
         if self.fleet.weights_reflect_load() {
             endpoint.load.apply_listed_weight(record.weight);
         }
-        let slow_start_since_ms = self.new_start_ms(&mut endpoint, record.started_at_ms, is_first_list);
-        let was_warming_up = endpoint.slow_start_since_ms.is_some_and(|since_ms| since_ms > 0.0)
-            && self.fleet.slow_start.is_warming_up(self.now_ms, &endpoint);
-        endpoint.record = EndpointRecord { started_at_ms: endpoint.starts.last_ms(), ..record };
-        if let Some(since_ms) = slow_start_since_ms {
-            endpoint.slow_start_since_ms = Some(since_ms);
-            is_changed = true;
-            if !was_warming_up {
-                self.begin_slow_start(&mut endpoint);
-            }
-        }
+        endpoint.record = record;
+        is_changed |= self.apply_start(&mut endpoint, is_first_list);
         self.fleet.endpoints.insert(id, endpoint);
         is_changed
     }
 
+    /// The first health checks of endpoints that are listed together are spread over the interval.
+    fn new_endpoint(&mut self) -> Endpoint {
+        let first_check_at_ms = self.now_ms + HEALTH_CHECK_INTERVAL_MS * self.rng.rand_float();
+        Endpoint::new(self.now_ms, first_check_at_ms)
+    }
+
+    /// Puts the endpoint into slow start if its entry reports a new process start; true if it does.
+    fn apply_start(&mut self, endpoint: &mut Endpoint, is_first_list: bool) -> bool {
+        let started_at_ms = endpoint.record.started_at_ms;
+        let slow_start_since_ms = self.new_start_ms(endpoint, started_at_ms, is_first_list);
+        endpoint.record.started_at_ms = endpoint.starts.last_ms();
+        let was_warming_up = endpoint.slow_start_since_ms.is_some_and(|since_ms| since_ms > 0.0)
+            && self.fleet.slow_start.is_warming_up(self.now_ms, endpoint);
+        if slow_start_since_ms.is_none() {
+            return false;
+        }
+        endpoint.slow_start_since_ms = slow_start_since_ms;
+        if !was_warming_up {
+            self.begin_slow_start(endpoint);
+        }
+        true
+    }
+
     /// Since when the endpoint's process is in slow start, if the reported start is new.
     ///
     /// The endpoint's wall clock and this machine's may have been stepped: a start that is reported while
