--- a/gateway/src/budget.rs
+++ b/gateway/src/budget.rs
@@ -1,199 +1,227 @@
-//! Who holds a descriptor, and who gives way: one budget for clients' and servers' connections.
+//! The descriptor budget: how many connections of clients and servers may be open, and which client's connection is evicted
+//! where descriptors are short.
 //!
-//! No I/O, clock or threads: [`listener`](crate::listener) and [`upstream`](crate::upstream) tell what happens and when, and
-//! are told which connection to end. A limit on descriptors is a limit like others: what it must not do is to
-//! shut out usual clients in favour of those that say nothing, say it slowly, or keep what they do not use.
+//! No I/O, clock or threads: [`listener`](crate::listener) and [`upstream`](crate::upstream) say what happens and when, and
+//! are told which connection to end. A shortage must not shut out usual clients in favour of those that send nothing,
+//! send slowly, or keep connections that they do not use.
 use std::collections::{BTreeSet, HashMap};
 
 /// A client's connection, as numbered by [`Budget::admit`].
 pub type ClientId = u64;
 
-/// Each side may have at least this part of the budget, whatever the other one wants.
-const FLOOR: f64 = 0.25;
-/// Of the budget so much stays free for servers' next connections before clients get it.
-const HEADROOM: f64 = 0.125;
-/// A usual client's request follows its connection at once: one that is silent for longer goes first.
-const SILENT_MS: f64 = 250.0;
-/// A usual request arrives in one piece: one that takes longer gives way where descriptors are short.
-const SLOW_MS: f64 = 500.0;
-/// New connections, or half-read requests, may hold this part of the clients' descriptors before the oldest of them gives
-/// way to another: beyond it a flood pushes out itself, and not the connections that usual clients keep.
-const CROWD_PART: f64 = 0.5;
-
-/// So much of the budget may stand idle at clients' side. Clients that ask once and keep their connection are many: they
-/// leave others none long before the gateway's own descriptors are short (incident rfd526e).
-const IDLE_PART: f64 = 0.125;
-/// Yet nobody is ended who has been idle for less: its next request may be on its way.
-const IDLE_LEAST_MS: f64 = 100.0;
-
-/// What a client's connection does, from its accept on.
+/// Clients and servers may each have at least this part of the budget.
+const MIN_SIDE_RATIO: f64 = 0.25;
+/// This part of the budget is kept free of clients, for the next connections to servers.
+const SERVER_HEADROOM_RATIO: f64 = 0.125;
+/// A client that has sent nothing for this long is evicted first: a usual request follows its connection at once.
+const MAX_SILENT_MS: f64 = 250.0;
+/// A request that has been arriving for this long is evicted next: a usual request arrives in one piece.
+const MAX_READING_MS: f64 = 500.0;
+/// Once new connections, or half-read requests, hold this part of the clients' descriptors, the oldest of them is evicted:
+/// a flood then evicts itself, and not the connections that usual clients keep.
+const CROWDED_RATIO: f64 = 0.5;
+/// At most this part of the budget may be held by idle clients.
+const MAX_IDLE_RATIO: f64 = 0.125;
+/// Beyond that, clients that have been idle for less are not evicted: their next request may be on its way.
+const MIN_IDLE_MS: f64 = 100.0;
+
+/// The state of a client's connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Doing {
-    /// It has brought nothing yet.
+pub enum ConnectionState {
+    /// Accepted; nothing has been received.
     New,
-    /// A request has begun and is not whole.
+    /// A request is incomplete.
     Reading,
-    /// A request is open, or its answer is being written.
+    /// A request is open, or its response is being written.
     Open,
-    /// It waits for its next request.
+    /// Waiting for the next request.
     Idle,
 }
 
-/// What becomes of a connection that wants in.
+/// What becomes of a new connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Admission {
-    /// It has a descriptor.
-    Taken(ClientId),
-    /// It has the descriptor of another one, which is to be ended.
-    InPlaceOf(ClientId, ClientId),
-    /// There is no descriptor, and none that would give way.
+    /// It has a free descriptor.
+    Admitted(ClientId),
+    /// It has the descriptor of a connection that is to be ended.
+    Evicting {
+        /// The new connection.
+        admitted: ClientId,
+        /// The connection to end.
+        evicted: ClientId,
+    },
+    /// No descriptor is free and none can be freed.
     Full,
 }
 
-/// Who holds a descriptor. Times are milliseconds on any clock that only moves forward.
+/// A connection in the order of eviction within its state.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+struct StateEntry {
+    state: ConnectionState,
+    since_us: u64,
+    id: ClientId,
+}
+
+/// The descriptor budget. Times are milliseconds on any clock that only moves forward.
 #[derive(Debug)]
 pub struct Budget {
-    budget: usize,
-    servers: usize,
-    last: u64,
-    doing: HashMap<ClientId, (Doing, u64)>, // And since when, in microseconds.
-    order: BTreeSet<(Doing, u64, ClientId)>,
-    counts: [usize; 4],
+    descriptor_count: usize,
+    server_count: usize,
+    last_id: ClientId,
+    clients: HashMap<ClientId, StateEntry>,
+    by_state: BTreeSet<StateEntry>,
+    state_counts: [usize; 4],
 }
 
-fn micros(now: f64) -> u64 {
-    (now.max(0.0) * 1000.0) as u64
+fn to_us(time_ms: f64) -> u64 {
+    (time_ms.max(0.0) * 1000.0) as u64
 }
 
 impl Budget {
-    /// Room for so many connections of clients and servers together.
-    pub fn new(budget: usize) -> Self {
-        Budget { budget, servers: 0, last: 0, doing: HashMap::new(), order: BTreeSet::new(), counts: [0; 4] }
+    /// A budget of `descriptor_count` connections of clients and servers together.
+    pub fn new(descriptor_count: usize) -> Self {
+        Budget {
+            descriptor_count,
+            server_count: 0,
+            last_id: 0,
+            clients: HashMap::new(),
+            by_state: BTreeSet::new(),
+            state_counts: [0; 4],
+        }
     }
 
-    fn part(&self, part: f64) -> usize {
-        (self.budget as f64 * part) as usize
+    fn share(&self, ratio: f64) -> usize {
+        (self.descriptor_count as f64 * ratio) as usize
     }
 
     /// How many clients may hold a descriptor now.
-    pub fn clients_most(&self) -> usize {
-        let kept = (self.servers + self.part(HEADROOM)).max(self.part(FLOOR));
-        self.budget.saturating_sub(kept).max(self.part(FLOOR)).max(1)
+    pub fn max_clients(&self) -> usize {
+        let min_side = self.share(MIN_SIDE_RATIO);
+        let kept_for_servers = (self.server_count + self.share(SERVER_HEADROOM_RATIO)).max(min_side);
+        self.descriptor_count.saturating_sub(kept_for_servers).max(min_side).max(1)
     }
 
-    /// How many clients hold one.
+    /// How many clients hold a descriptor.
     pub fn clients(&self) -> usize {
-        self.doing.len()
+        self.clients.len()
     }
 
-    /// How many of them do this.
-    pub fn count(&self, doing: Doing) -> usize {
-        self.counts[doing as usize]
+    /// How many clients' connections are in a state.
+    pub fn count(&self, state: ConnectionState) -> usize {
+        self.state_counts[state as usize]
     }
 
-    /// The one that has done this for longest, if that is at least `ms`.
-    fn longest(&self, doing: Doing, now: f64, ms: f64) -> Option<ClientId> {
-        let first = self.order.range((doing, 0, 0)..).next().filter(|o| o.0 == doing)?;
-        (first.1 + micros(ms) <= micros(now)).then_some(first.2)
+    /// The connection that has been in a state for longest, if that is at least `min_ms`.
+    fn oldest(&self, state: ConnectionState, now_ms: f64, min_ms: f64) -> Option<ClientId> {
+        let first = StateEntry { state, since_us: 0, id: 0 };
+        let oldest = self.by_state.range(first..).next().filter(|entry| entry.state == state)?;
+        (oldest.since_us + to_us(min_ms) <= to_us(now_ms)).then_some(oldest.id)
     }
 
-    /// Who gives way to a new connection, if anybody does.
-    fn giving_way(&self, now: f64) -> Option<ClientId> {
-        let crowd = |doing: Doing| self.count(doing) as f64 >= CROWD_PART * self.clients_most() as f64;
-        let from_crowd = |doing| if crowd(doing) { self.longest(doing, now, 0.0) } else { None };
-        let more =
-            if self.count(Doing::New) > self.count(Doing::Reading) { Doing::New } else { Doing::Reading };
-        self.longest(Doing::New, now, SILENT_MS)
-            .or_else(|| self.longest(Doing::Reading, now, SLOW_MS))
-            .or_else(|| from_crowd(Doing::New))
-            .or_else(|| from_crowd(Doing::Reading))
-            .or_else(|| self.longest(Doing::Idle, now, 0.0))
-            .or_else(|| self.longest(more, now, 0.0))
-    }
-
-    /// A client has connected.
-    pub fn admit(&mut self, now: f64) -> Admission {
-        if self.clients() < self.clients_most() {
-            return Admission::Taken(self.enter(now));
+    /// The connection to evict for a new client, if any may be. One with an open request never is.
+    fn eviction_candidate(&self, now_ms: f64) -> Option<ClientId> {
+        use ConnectionState::{Idle, New, Reading};
+        let crowded_count = CROWDED_RATIO * self.max_clients() as f64;
+        let oldest_if_crowded = |state| {
+            let is_crowded = self.count(state) as f64 >= crowded_count;
+            if is_crowded {
+                self.oldest(state, now_ms, 0.0)
+            } else {
+                None
+            }
+        };
+        let larger = if self.count(New) > self.count(Reading) { New } else { Reading };
+        self.oldest(New, now_ms, MAX_SILENT_MS)
+            .or_else(|| self.oldest(Reading, now_ms, MAX_READING_MS))
+            .or_else(|| oldest_if_crowded(New))
+            .or_else(|| oldest_if_crowded(Reading))
+            .or_else(|| self.oldest(Idle, now_ms, 0.0))
+            .or_else(|| self.oldest(larger, now_ms, 0.0))
+    }
+
+    /// Admits a client that has connected at `now_ms`, if possible.
+    pub fn admit(&mut self, now_ms: f64) -> Admission {
+        if self.clients() < self.max_clients() {
+            return Admission::Admitted(self.add(now_ms));
         }
-        match self.giving_way(now) {
-            Some(other) => {
-                self.leave(other);
-                Admission::InPlaceOf(self.enter(now), other)
+        match self.eviction_candidate(now_ms) {
+            Some(evicted) => {
+                self.leave(evicted);
+                Admission::Evicting { admitted: self.add(now_ms), evicted }
             }
             None => Admission::Full,
         }
     }
 
-    fn enter(&mut self, now: f64) -> ClientId {
-        self.last += 1;
-        let id = self.last;
-        self.insert(id, Doing::New, micros(now));
+    fn add(&mut self, now_ms: f64) -> ClientId {
+        self.last_id += 1;
+        let id = self.last_id;
+        self.insert(StateEntry { state: ConnectionState::New, since_us: to_us(now_ms), id });
         id
     }
 
-    fn insert(&mut self, id: ClientId, doing: Doing, since: u64) {
-        self.doing.insert(id, (doing, since));
-        self.order.insert((doing, since, id));
-        self.counts[doing as usize] += 1;
+    fn insert(&mut self, entry: StateEntry) {
+        self.clients.insert(entry.id, entry);
+        self.by_state.insert(entry);
+        self.state_counts[entry.state as usize] += 1;
     }
 
-    /// A connection does something else from now on. One that has given way meanwhile is not known any more.
-    pub fn does(&mut self, id: ClientId, doing: Doing, now: f64) {
+    /// A connection has entered a state. Without effect for one that has been evicted.
+    pub fn set_state(&mut self, id: ClientId, state: ConnectionState, now_ms: f64) {
         if self.leave(id) {
-            self.insert(id, doing, micros(now));
+            self.insert(StateEntry { state, since_us: to_us(now_ms), id });
         }
     }
 
-    /// The one that has been idle for longest, where more are than may be: it gives way.
-    pub fn surplus(&mut self, now: f64) -> Option<ClientId> {
-        if self.count(Doing::Idle) <= self.part(IDLE_PART).max(1) {
+    /// Evicts the connection that has been idle for longest, where more are idle than may be.
+    pub fn evict_surplus_idle(&mut self, now_ms: f64) -> Option<ClientId> {
+        if self.count(ConnectionState::Idle) <= self.share(MAX_IDLE_RATIO).max(1) {
             return None;
         }
-        let other = self.longest(Doing::Idle, now, IDLE_LEAST_MS)?;
-        self.leave(other);
-        Some(other)
+        let evicted = self.oldest(ConnectionState::Idle, now_ms, MIN_IDLE_MS)?;
+        self.leave(evicted);
+        Some(evicted)
     }
 
-    /// A connection has ended; false if it had given way before.
+    /// A connection has ended; false if it had been evicted before.
     pub fn leave(&mut self, id: ClientId) -> bool {
-        let Some((doing, since)) = self.doing.remove(&id) else { return false };
-        self.order.remove(&(doing, since, id));
-        self.counts[doing as usize] -= 1;
+        let Some(entry) = self.clients.remove(&id) else { return false };
+        self.by_state.remove(&entry);
+        self.state_counts[entry.state as usize] -= 1;
         true
     }
 
     /// Whether one more connection to a server may be opened: where the whole budget has room, and up to the servers'
-    /// floor in any case.
+    /// minimum in any case.
     pub fn has_room_for_server(&self) -> bool {
-        self.servers + self.clients() < self.budget || self.servers < self.part(FLOOR)
+        self.server_count + self.clients() < self.descriptor_count
+            || self.server_count < self.share(MIN_SIDE_RATIO)
     }
 
     /// Counts one more connection to a server, if there may be one.
     pub fn open_server(&mut self) -> bool {
-        let room = self.has_room_for_server();
-        self.servers += usize::from(room);
-        room
+        let has_room = self.has_room_for_server();
+        self.server_count += usize::from(has_room);
+        has_room
     }
 
-    /// Counts a connection to a server that comes in place of another one.
+    /// Counts a connection to a server that takes the place of another one.
     pub fn replace_server(&mut self) {
-        self.servers += 1;
+        self.server_count += 1;
     }
 
     /// A connection to a server has ended.
     pub fn close_server(&mut self) {
-        self.servers = self.servers.saturating_sub(1);
-    }
-
-    /// A client's connection that gives way to something else than a client: one that is silent, slow or idle,
-    /// never one with an open request.
-    pub fn make_room(&mut self, now: f64) -> Option<ClientId> {
-        let other = self
-            .longest(Doing::New, now, SILENT_MS)
-            .or_else(|| self.longest(Doing::Reading, now, SLOW_MS))
-            .or_else(|| self.longest(Doing::Idle, now, 0.0))?;
-        self.leave(other);
-        Some(other)
+        self.server_count = self.server_count.saturating_sub(1);
+    }
+
+    /// Evicts a client's connection for something else than a client: one that is silent, slow or idle.
+    pub fn make_room(&mut self, now_ms: f64) -> Option<ClientId> {
+        let evicted = self
+            .oldest(ConnectionState::New, now_ms, MAX_SILENT_MS)
+            .or_else(|| self.oldest(ConnectionState::Reading, now_ms, MAX_READING_MS))
+            .or_else(|| self.oldest(ConnectionState::Idle, now_ms, 0.0))?;
+        self.leave(evicted);
+        Some(evicted)
     }
 }
--- a/gateway/src/control.rs
+++ b/gateway/src/control.rs
@@ -3,7 +3,8 @@
 //!
 //! The module sees a host that drains, or whose zone is lost, as draining; one that was removed as gone. While there is no
 //! lease, or a service is behind, nothing arrives, and whatever some known version drains or removes drains.
-use crate::requests::{Endpoint, EndpointList, Input, News, Queue, State};
+use crate::endpoint_list::{Endpoint, EndpointList, EndpointState};
+use crate::events::{DiscoveryEvent, EventSender, GatewayEvent};
 use std::collections::{BTreeMap, BTreeSet};
 use std::convert::Infallible;
 use std::net::SocketAddr;
@@ -50,7 +51,7 @@
 
 /// The warm copy with uids as they are here, so that the agreed list goes on from it.
 pub fn renamed(mut known: EndpointList) -> EndpointList {
-    known.targets.iter_mut().for_each(|entry| entry.uid = uid(Key::of(&entry.uid)));
+    known.endpoints.iter_mut().for_each(|entry| entry.uid = uid(Key::of(&entry.uid)));
     known
 }
 
@@ -119,20 +120,20 @@
                     if acting == Acting::Neutral && self.complete && !self.first {
                         // Versions in force may be heard of without a lease: nothing takes work by these that took none.
                         let Some(told) = self.told.get(&key) else { continue };
-                        if told.state == State::Draining || told.endpoint != endpoint.endpoint {
-                            endpoint.state = State::Draining;
+                        if told.state == EndpointState::Draining || told.address != endpoint.address {
+                            endpoint.state = EndpointState::Draining;
                         }
                     }
                     // Of two services the stricter word counts.
-                    if seen.as_ref().is_some_and(|seen: &Endpoint| seen.state == State::Draining) {
-                        endpoint.state = State::Draining;
+                    if seen.as_ref().is_some_and(|seen: &Endpoint| seen.state == EndpointState::Draining) {
+                        endpoint.state = EndpointState::Draining;
                     }
                     seen = Some(endpoint);
                 }
                 // Some known version has it no more, and none is in force here: it is not gone, but gets nothing new.
                 (Acting::Neutral, _) if core.keeps().get(scope, key).is_some() => {
                     let told = self.told.get(&key).cloned();
-                    seen = told.map(|told| Endpoint { state: State::Draining, ..told }).or(seen);
+                    seen = told.map(|told| Endpoint { state: EndpointState::Draining, ..told }).or(seen);
                 }
                 _ => {}
             }
@@ -144,16 +145,16 @@
     fn endpoint(&self, core: &Follower<Tables>, now: f64, key: Key, host: &Host) -> Endpoint {
         let zone = Key::numbered(u32::from(host.zone));
         let lost = core.entry(now, Scope::Zones, zone) == Some(Entry::Zone(false));
-        let state = if host.drains || lost { State::Draining } else { State::Serving };
+        let state = if host.drains || lost { EndpointState::Draining } else { EndpointState::Serving };
         Endpoint {
             uid: uid(key),
-            endpoint: Some(SocketAddr::V4(host.address)),
-            az: self.zones.get(&host.zone).cloned().unwrap_or_else(|| host.zone.to_string()),
+            address: Some(SocketAddr::V4(host.address)),
+            zone: self.zones.get(&host.zone).cloned().unwrap_or_else(|| host.zone.to_string()),
             // Cells are not agreed on. Guards against a repeat that goes to another cell: each counts as one of its own.
-            pod_group: self.cells.get(&key).copied().unwrap_or((key.0 >> 32) as u32 | 1 << 31),
+            cell: self.cells.get(&key).copied().unwrap_or((key.0 >> 32) as u32 | 1 << 31),
             state,
-            capacity_hint: f64::from(host.weight_milli) / 1000.0,
-            boot_ms: f64::from(host.started_s) * 1000.0,
+            capacity_weight: f64::from(host.weight_milli) / 1000.0,
+            started_at_ms: f64::from(host.started_s) * 1000.0,
         }
     }
 
@@ -165,7 +166,7 @@
 
     /// The lists that make the module see what is there now, in their order.
     fn look(&mut self, core: &Follower<Tables>, now: f64, dirty: Dirty) -> Vec<EndpointList> {
-        let rev = core.in_force();
+        let revision = core.in_force();
         let known = |scope: &Scope| core.acting(now, *scope) != Acting::Unknown;
         self.first = !self.complete && self.services.iter().all(known);
         self.complete |= self.first;
@@ -183,23 +184,26 @@
             }
         }
         if first {
-            return vec![EndpointList { rev, all: true, targets: changed }];
+            return vec![EndpointList { revision, is_complete: true, endpoints: changed }];
         }
         // Guards against settings by which only drains bind: what is agreed to be gone drains before.
-        let leaving = gone.iter().map(|entry| Endpoint { state: State::Draining, ..entry.clone() });
+        let leaving = gone.iter().map(|entry| Endpoint { state: EndpointState::Draining, ..entry.clone() });
         changed.extend(leaving);
-        let deleted = gone.into_iter().map(|entry| Endpoint { state: State::Deleted, ..entry }).collect();
+        let deleted =
+            gone.into_iter().map(|entry| Endpoint { state: EndpointState::Deleted, ..entry }).collect();
         let lists = [changed, deleted].into_iter().filter(|targets: &Vec<_>| !targets.is_empty());
-        lists.map(|targets| EndpointList { rev, all: false, targets }).collect()
+        lists.map(|targets| EndpointList { revision, is_complete: false, endpoints: targets }).collect()
     }
 }
 
 /// Follows, and hands on what is agreed, until nobody listens. `known` is the warm copy as it was read; `asked` has the
 /// module's wishes to hear from discovery, which is not asked here.
-pub async fn follow(control: Control, known: EndpointList, mut asked: mpsc::Receiver<()>, queue: Queue) {
+pub async fn follow(
+    control: Control, known: EndpointList, mut asked: mpsc::Receiver<()>, queue: EventSender,
+) {
     let Control { follow, zones } = control;
     let services = follow.wanted.iter().map(|(scope, _)| *scope).collect();
-    let cells = known.targets.iter().map(|entry| (Key::of(&entry.uid), entry.pod_group)).collect();
+    let cells = known.endpoints.iter().map(|entry| (Key::of(&entry.uid), entry.cell)).collect();
     let mut view = View { services, zones, cells, told: BTreeMap::new(), complete: false, first: false };
     let reading = tokio::task::spawn_blocking(move || Following::new(follow));
     let Ok(following) = reading.await else { return warn!("control: the snapshot could not be read") };
@@ -219,7 +223,7 @@
 }
 
 async fn hand_on(
-    following: &Arc<Following>, view: &mut View, dirty: &Mutex<Dirty>, changed: &Notify, queue: &Queue,
+    following: &Arc<Following>, view: &mut View, dirty: &Mutex<Dirty>, changed: &Notify, queue: &EventSender,
 ) {
     loop {
         let seen = std::mem::take(&mut *dirty.lock().unwrap_or_else(PoisonError::into_inner));
@@ -228,8 +232,13 @@
             continue;
         }
         for list in following.with(|core, now| view.look(core, now, seen)) {
-            debug!(rev = list.rev, all = list.all, entries = list.targets.len(), "agreed list");
-            if queue.send(Input::Discovery(News::Listed(list))).await.is_err() {
+            debug!(
+                rev = list.revision,
+                all = list.is_complete,
+                entries = list.endpoints.len(),
+                "agreed list"
+            );
+            if queue.send(GatewayEvent::Discovery(DiscoveryEvent::Update(list))).await.is_err() {
                 return;
             }
         }
--- a/gateway/src/descriptors.rs
+++ b/gateway/src/descriptors.rs
@@ -1,5 +1,5 @@
-//! The one budget of descriptors as both sides share it: [`Budget`] decides, and whoever is to give way is told.
-use crate::budget::{Admission, Budget, ClientId, Doing};
+//! The descriptor [`Budget`] as the gateway's tasks share it: evicted connections are told to end.
+use crate::budget::{Admission, Budget, ClientId, ConnectionState};
 use std::collections::HashMap;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use tokio::sync::oneshot;
@@ -8,10 +8,11 @@
 #[derive(Debug)]
 struct Inner {
     budget: Budget,
-    ends: HashMap<ClientId, oneshot::Sender<()>>,
+    /// Tell clients' connections that they are evicted.
+    evictions: HashMap<ClientId, oneshot::Sender<()>>,
 }
 
-/// Shared by the front and the attempts.
+/// The budget, shared by the listener and the connections to servers.
 #[derive(Debug)]
 pub struct Descriptors {
     start: Instant,
@@ -25,20 +26,31 @@
     id: ClientId,
 }
 
+/// A client that has been admitted.
+#[derive(Debug)]
+pub struct AdmittedClient {
+    /// Its descriptor.
+    pub descriptor: Descriptor,
+    /// Completes when it is evicted.
+    pub evicted: oneshot::Receiver<()>,
+    /// Whether another connection was evicted for it, which has yet to end.
+    pub has_evicted: bool,
+}
+
 impl Descriptor {
-    /// What its connection does from now on.
-    pub fn does(&self, doing: Doing) {
-        let now = self.descriptors.now();
+    /// The connection has entered a state. Idle connections beyond their part of the budget are evicted.
+    pub fn set_state(&self, state: ConnectionState) {
+        let now_ms = self.descriptors.now_ms();
         let mut inner = self.descriptors.lock();
-        inner.budget.does(self.id, doing, now);
-        while let Some(other) = inner.budget.surplus(now) {
-            inner.end(other);
+        inner.budget.set_state(self.id, state, now_ms);
+        while let Some(surplus) = inner.budget.evict_surplus_idle(now_ms) {
+            inner.evict(surplus);
         }
     }
 
-    /// Whether it has been given away: its connection ends with what it does.
-    pub fn is_lost(&self) -> bool {
-        !self.descriptors.lock().ends.contains_key(&self.id)
+    /// Whether the connection has been evicted.
+    pub fn is_evicted(&self) -> bool {
+        !self.descriptors.lock().evictions.contains_key(&self.id)
     }
 }
 
@@ -46,14 +58,14 @@
     fn drop(&mut self) {
         let mut inner = self.descriptors.lock();
         inner.budget.leave(self.id);
-        inner.ends.remove(&self.id);
+        inner.evictions.remove(&self.id);
     }
 }
 
 impl Descriptors {
-    /// Room for so many connections, clients' and servers' together.
-    pub fn new(budget: usize) -> Arc<Self> {
-        let inner = Inner { budget: Budget::new(budget), ends: HashMap::new() };
+    /// A budget of `descriptor_count` connections of clients and servers together.
+    pub fn new(descriptor_count: usize) -> Arc<Self> {
+        let inner = Inner { budget: Budget::new(descriptor_count), evictions: HashMap::new() };
         Arc::new(Descriptors { start: Instant::now(), inner: Mutex::new(inner) })
     }
 
@@ -61,53 +73,55 @@
         self.inner.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    fn now(&self) -> f64 {
+    fn now_ms(&self) -> f64 {
         self.start.elapsed().as_secs_f64() * 1000.0
     }
 
-    /// A client has connected: its descriptor, and what tells that the descriptor is given away. `None` where none is
-    /// free and none gives way. `true` if another one has given way: it has yet to end.
-    pub fn enter(self: &Arc<Self>) -> Option<(Descriptor, oneshot::Receiver<()>, bool)> {
-        let now = self.now();
+    /// Admits a client that has connected; `None` if no descriptor is free and none can be freed.
+    pub fn admit(self: &Arc<Self>) -> Option<AdmittedClient> {
+        let now_ms = self.now_ms();
         let mut inner = self.lock();
-        let (id, other) = match inner.budget.admit(now) {
-            Admission::Taken(id) => (id, None),
-            Admission::InPlaceOf(id, other) => (id, Some(other)),
+        let (id, evicted) = match inner.budget.admit(now_ms) {
+            Admission::Admitted(id) => (id, None),
+            Admission::Evicting { admitted, evicted } => (admitted, Some(evicted)),
             Admission::Full => return None,
         };
-        other.into_iter().for_each(|other| inner.end(other));
-        let (end, ended) = oneshot::channel();
-        inner.ends.insert(id, end);
-        Some((Descriptor { descriptors: self.clone(), id }, ended, other.is_some()))
+        evicted.into_iter().for_each(|evicted| inner.evict(evicted));
+        let has_evicted = evicted.is_some();
+        let (evict, evicted) = oneshot::channel();
+        inner.evictions.insert(id, evict);
+        let descriptor = Descriptor { descriptors: self.clone(), id };
+        Some(AdmittedClient { descriptor, evicted, has_evicted })
     }
 
-    /// Ends a client's connection that waits, if any does.
+    /// Evicts a client's connection that waits, if any does.
     pub fn make_room(&self) {
-        let now = self.now();
+        let now_ms = self.now_ms();
         let mut inner = self.lock();
-        if let Some(other) = inner.budget.make_room(now) {
-            inner.end(other);
+        if let Some(evicted) = inner.budget.make_room(now_ms) {
+            inner.evict(evicted);
         }
     }
 
-    /// Counts one more connection to a server, if there may be one. Where a client's gives way it has yet to end.
+    /// Counts one more connection to a server, if there may be one. A client's connection that is evicted for it has yet
+    /// to end.
     pub fn open_server(&self) -> bool {
-        let now = self.now();
+        let now_ms = self.now_ms();
         let mut inner = self.lock();
         if inner.budget.open_server() {
             return true;
         }
-        let Some(other) = inner.budget.make_room(now) else { return false };
-        inner.end(other);
+        let Some(evicted) = inner.budget.make_room(now_ms) else { return false };
+        inner.evict(evicted);
         inner.budget.open_server()
     }
 
-    /// Counts one more that comes in place of another connection to a server, which is about to end.
+    /// Counts a connection to a server that takes the place of another one, which is about to end.
     pub fn replace_server(&self) {
         self.lock().budget.replace_server();
     }
 
-    /// Whether a connection to a server could be opened without anybody's giving way.
+    /// Whether a connection to a server could be opened without an eviction.
     pub fn has_room(&self) -> bool {
         self.lock().budget.has_room_for_server()
     }
@@ -119,10 +133,10 @@
 }
 
 impl Inner {
-    fn end(&mut self, client: ClientId) {
-        if let Some(end) = self.ends.remove(&client) {
-            // It may be ending by itself.
-            let _ = end.send(());
+    fn evict(&mut self, client: ClientId) {
+        if let Some(evict) = self.evictions.remove(&client) {
+            // The receiver is gone if the connection is ending by itself.
+            let _ = evict.send(());
         }
     }
 }
--- /dev/null
+++ b/gateway/src/event_loop/attempts.rs
@@ -0,0 +1,144 @@
+//! Attempts and health checks: sending, cancelling, and what follows from their ends.
+use super::endpoints::Target;
+use super::open_requests::SentAttempt;
+use super::EventLoop;
+use crate::events::{AttemptResult, RawRequest, Response};
+use crate::invariants::Invariant;
+use crate::permit::{Denial, PriorAttempt};
+use crate::protocol::{HEALTH_CHECK_HEAD, HEALTH_CHECK_TAIL};
+use crate::upstream::{Attempt, Cancellation, Purpose};
+use bytes::Bytes;
+use ternstack::{AttemptEnd, Effect, Event, Outcome, Report, RequestId, ServerId};
+use tokio::sync::oneshot;
+use tokio::time::Instant;
+use tracing::debug;
+
+impl EventLoop {
+    /// Sends a request's next attempt. One that is not permitted ends at once as never sent.
+    pub(super) fn send_attempt(&mut self, id: RequestId, server: ServerId, give_up_at_ms: f64) {
+        let Some(request) = self.requests.get_mut(id) else {
+            let detail = format_args!("an attempt of a request that is not open");
+            return self.violations.record(Invariant::NoAttemptAfterResponse, id.0, detail);
+        };
+        let Some(class) = self.classes.get(request.class) else { return };
+        let target = self.endpoints.target(server);
+        let locality = target.as_ref().map(|target| target.locality);
+        let give_up_at = self.clock.instant(give_up_at_ms).min(request.deadline);
+        let permit = request.permit(class, self.max_attempts, give_up_at, locality);
+        let send_by = request.deduplicated_until();
+        let is_keyed = class.effect == Effect::Keyed;
+        let prior = PriorAttempt {
+            locality: locality.unwrap_or_default(),
+            deduplicated_until: is_keyed.then(|| self.clock.instant(self.now_ms + class.window_ms)),
+            may_have_run: true,
+            in_flight: true,
+        };
+        let (cancel, cancelled) = oneshot::channel();
+        let attempt = SentAttempt { server, sent_at_ms: self.now_ms, prior, cancel: Some(cancel) };
+        let number = request.push_attempt(attempt);
+        match (permit, target) {
+            (Ok(()), Some(Target { address, incarnation, .. })) => {
+                debug!(request_id = id.0, attempt = number, server_id = server.0, "sending attempt");
+                let purpose = Purpose::Request { id, attempt: number };
+                let raw = request.raw.clone();
+                self.upstream.start(Attempt {
+                    purpose,
+                    server,
+                    incarnation,
+                    address,
+                    raw,
+                    give_up_at,
+                    send_by,
+                    cancelled,
+                });
+            }
+            (permit, _) => {
+                let denial = permit.err().unwrap_or(Denial::ServerUnavailable);
+                self.deny_attempt(id, number, server, denial);
+            }
+        }
+    }
+
+    fn deny_attempt(&mut self, id: RequestId, number: u32, server: ServerId, denial: Denial) {
+        debug!(request_id = id.0, attempt = number, server_id = server.0, ?denial, "attempt not sent");
+        if let Some(invariant) = denial.violates() {
+            let detail = format_args!("attempt {number} at server {}: {denial:?}", server.0);
+            self.violations.record(invariant, id.0, detail);
+        }
+        self.end_attempt(id, number, Outcome::NotSent, 0.0, Report::default());
+    }
+
+    pub(super) fn cancel_attempt(&mut self, id: RequestId, number: u32) {
+        let attempt = self.requests.attempt_mut(id, number);
+        if let Some(cancel) = attempt.and_then(|attempt| attempt.cancel.take()) {
+            // The receiver is gone if the attempt has just ended.
+            let _ = cancel.send(Cancellation::Always);
+        }
+    }
+
+    pub(super) fn on_attempt_ended(&mut self, result: AttemptResult) {
+        let AttemptResult { request: id, attempt: number, outcome, ended_at, report, response } = result;
+        let Some(attempt) = self.requests.attempt(id, number) else {
+            let detail = format_args!("attempt {number}");
+            return self.violations.record(Invariant::AttemptKnown, id.0, detail);
+        };
+        let latency_ms = (self.clock.at(ended_at) - attempt.sent_at_ms).max(0.0);
+        if let Some(server) = self.endpoints.describe(attempt.server) {
+            let has_started = server.started_at_ms > 0.0;
+            let uptime_ms = has_started.then_some(self.now_ms - server.started_at_ms);
+            debug!(
+                request_id = id.0,
+                attempt = number,
+                server = server.uid,
+                uptime_ms,
+                ?outcome,
+                latency_ms,
+                utilization = report.utilization,
+                throughput = report.throughput,
+                "attempt ended"
+            );
+        }
+        // The first 200 is the request's response.
+        if let Some(served) = response {
+            self.requests.respond(id, Response::Served(served));
+        }
+        self.end_attempt(id, number, outcome, latency_ms, report);
+        self.handle_pending_events();
+    }
+
+    /// Notes an attempt's end and queues it for the balancer.
+    fn end_attempt(&mut self, id: RequestId, number: u32, outcome: Outcome, latency_ms: f64, report: Report) {
+        let Some(ended) = self.requests.end_attempt(id, number, outcome) else { return };
+        self.pending_events.push_back(Event::AttemptEnd(AttemptEnd {
+            request: id,
+            attempt: number,
+            server: ended.server,
+            outcome,
+            latency_ms,
+            complete: ended.is_answered,
+            report,
+        }));
+    }
+
+    /// Asks a server for its load report, unless an earlier check of it is in flight.
+    pub(super) fn start_health_check(&mut self, server: ServerId) {
+        let target = self.endpoints.target(server).filter(|_| !self.health_checks.contains_key(&server));
+        let Some(Target { address, incarnation, .. }) = target else { return };
+        let (cancel, cancelled) = oneshot::channel();
+        self.health_checks.insert(server, cancel);
+        self.upstream.start(Attempt {
+            purpose: Purpose::HealthCheck,
+            server,
+            incarnation,
+            address,
+            raw: RawRequest {
+                before_time_left: Bytes::from_static(HEALTH_CHECK_HEAD),
+                after_time_left: Bytes::from_static(HEALTH_CHECK_TAIL),
+                body: Bytes::new(),
+            },
+            give_up_at: Instant::now() + self.health_check_timeout,
+            send_by: None,
+            cancelled,
+        });
+    }
+}
--- a/gateway/src/invariants.rs
+++ b/gateway/src/invariants.rs
@@ -1,55 +1,55 @@
-//! The rules that every release build checks as it runs. A violation is counted and logged with its ids; nothing is ended
-//! by it. Each check compares what its caller has at hand anyway.
+//! Invariants that every release build checks as it runs. A violation is counted and logged with its ids, and ends nothing.
+//! Each check compares values that its caller has at hand.
 use std::fmt;
 use std::sync::atomic::{AtomicU64, Ordering::Relaxed};
 use std::sync::Arc;
 use tracing::error;
 
-/// A rule that has to hold at every moment.
+/// An invariant of the gateway.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Invariant {
-    /// No attempt begins after its request has been answered, or its client has left.
-    NothingAfterTheAnswer,
-    /// No attempt begins while another one of the same request is out.
-    OneAttemptAtOnce,
-    /// A request has no more attempts than the settings allow.
+    /// No attempt begins after its request has its response or its client has disconnected.
+    NoAttemptAfterResponse,
+    /// No attempt begins while another of the same request is in flight.
+    OneAttemptInFlight,
+    /// A request has at most the number of attempts that the settings allow.
     AttemptLimit,
-    /// A request that must not run twice is not sent again once it may have run.
-    UnsafeOnce,
-    /// A keyed request that may have run is sent again only inside its window and its group.
-    KeyedScope,
-    /// The time that a server is told is at most what is left to the client, with the allowed slack.
-    TimeTold,
-    /// Every request is decided before its deadline.
+    /// A request of an unsafe class is not retried once it may have run.
+    UnsafeRunsOnce,
+    /// A keyed request that may have run is retried only where servers drop duplicates of it.
+    DeduplicationScope,
+    /// The time left that a server is sent exceeds what is left to the client by the allowed slack at most.
+    TimeLeftForwarded,
+    /// Every request has its response by its deadline.
     DecidedInTime,
-    /// Every attempt that ends has been sent.
+    /// Only attempts that were sent end.
     AttemptKnown,
 }
 
 impl Invariant {
     /// All of them, in the order of their counts.
     pub const ALL: [Invariant; 8] = [
-        Invariant::NothingAfterTheAnswer,
-        Invariant::OneAttemptAtOnce,
+        Invariant::NoAttemptAfterResponse,
+        Invariant::OneAttemptInFlight,
         Invariant::AttemptLimit,
-        Invariant::UnsafeOnce,
-        Invariant::KeyedScope,
-        Invariant::TimeTold,
+        Invariant::UnsafeRunsOnce,
+        Invariant::DeduplicationScope,
+        Invariant::TimeLeftForwarded,
         Invariant::DecidedInTime,
         Invariant::AttemptKnown,
     ];
 }
 
-/// The counts of all violations, shared by the tasks of a gateway.
+/// Counts of violations, shared by the gateway's tasks.
 #[derive(Clone, Debug, Default)]
 pub struct Violations(Arc<[AtomicU64; Invariant::ALL.len()]>);
 
 impl Violations {
-    /// Counts and logs a violation by request `id`.
+    /// Counts and logs a violation that concerns request `request_id`.
     #[cold]
-    pub fn record(&self, invariant: Invariant, id: u64, detail: fmt::Arguments<'_>) {
+    pub fn record(&self, invariant: Invariant, request_id: u64, detail: fmt::Arguments<'_>) {
         let count = self.0[invariant as usize].fetch_add(1, Relaxed) + 1;
-        error!(?invariant, id, count, "invariant violated: {detail}");
+        error!(?invariant, request_id, count, "invariant violated: {detail}");
     }
 
     /// How often an invariant has been violated.
--- /dev/null
+++ b/gateway/src/listener/client.rs
@@ -0,0 +1,96 @@
+//! Reading from a client: its next request, and its disconnect while a request is open.
+use super::close::DISCARD_READ_BYTES;
+use crate::http1::{CompleteMessage, Fields, ParseError, Reader, RequestLine};
+use crate::loop_lag::LoopLag;
+use crate::protocol::CONTINUE;
+use crate::sockets;
+use bytes::BytesMut;
+use std::io;
+use std::time::Duration;
+use thiserror::Error;
+use tokio::net::TcpStream;
+use tokio::time::{sleep, Instant};
+
+/// How much is kept of what a client sends while its request is open. What exceeds it is discarded, so that a disconnect
+/// is noticed, and the connection ends with the response.
+pub(super) const MAX_READ_AHEAD_BYTES: usize = 4 * 1024;
+/// A client that sends more than this beyond [`MAX_READ_AHEAD_BYTES`] counts as disconnected.
+const MAX_DISCARDED_BYTES: usize = 1 << 20;
+/// The pause after each discarded piece, so that a flooding client does not starve the others.
+const DISCARD_PAUSE: Duration = Duration::from_millis(1);
+
+/// Why no request could be read.
+#[derive(Debug, Error)]
+pub(super) enum ReadError {
+    /// The connection failed.
+    #[error(transparent)]
+    Io(#[from] io::Error),
+    /// What the client sent is not an acceptable request.
+    #[error(transparent)]
+    Parse(#[from] ParseError),
+}
+
+/// A complete request, and when it had arrived at the latest.
+pub(super) struct ArrivedRequest {
+    pub(super) message: CompleteMessage<RequestLine>,
+    pub(super) arrived_at: Instant,
+}
+
+/// The reading side of a client's connection.
+pub(super) struct ClientReader<'a> {
+    pub(super) stream: &'a TcpStream,
+    pub(super) reader: &'a mut Reader<RequestLine>,
+    /// Since when bytes behind the last request have been waiting.
+    pub(super) waiting_since: &'a mut Option<Instant>,
+    pub(super) lag: &'a LoopLag,
+}
+
+impl ClientReader<'_> {
+    /// Reads the next request; `None` if the client closes the connection before it is complete.
+    pub(super) async fn next_request(&mut self) -> Result<Option<ArrivedRequest>, ReadError> {
+        let mut has_continued = false;
+        // Applies as long as no further read is needed.
+        let mut arrived_at = self.waiting_since.take();
+        loop {
+            if let Some(message) = self.reader.next(false)? {
+                let arrived_at = arrived_at.unwrap_or_else(|| self.lag.arrival());
+                *self.waiting_since = (!self.reader.is_idle()).then_some(arrived_at);
+                return Ok(Some(ArrivedRequest { message, arrived_at }));
+            }
+            if !has_continued && self.reader.awaiting_body().is_some_and(expects_continue) {
+                has_continued = true;
+                sockets::write_all(self.stream, &mut &CONTINUE[..]).await?;
+            }
+            if sockets::read(self.stream, self.reader.buffer()).await? == 0 {
+                return Ok(None);
+            }
+            arrived_at = None;
+        }
+    }
+
+    /// Waits until the client disconnects: it closes the connection or its sending side, or sends far too much.
+    pub(super) async fn disconnected(&mut self) {
+        while self.reader.buffer().len() < MAX_READ_AHEAD_BYTES {
+            match sockets::read(self.stream, self.reader.buffer()).await {
+                Ok(0) | Err(_) => return,
+                Ok(_) => {
+                    self.waiting_since.get_or_insert_with(|| self.lag.arrival());
+                }
+            }
+        }
+        let (mut discarded_bytes, mut bytes) = (0, BytesMut::new());
+        while discarded_bytes < MAX_DISCARDED_BYTES {
+            bytes.clear();
+            bytes.reserve(DISCARD_READ_BYTES);
+            match sockets::read(self.stream, &mut bytes).await {
+                Ok(0) | Err(_) => return,
+                Ok(read_bytes) => discarded_bytes += read_bytes,
+            }
+            sleep(DISCARD_PAUSE).await;
+        }
+    }
+}
+
+fn expects_continue(fields: &Fields) -> bool {
+    fields.get("expect").is_some_and(|value| value.eq_ignore_ascii_case(b"100-continue"))
+}
--- a/gateway/src/loop_lag.rs
+++ b/gateway/src/loop_lag.rs
@@ -1,90 +1,97 @@
-//! The lag of the event loop: how long the process stood still, or was held up, so that what it reads now may have been
-//! waiting for as long.
-use std::sync::Mutex;
-use std::sync::{Arc, PoisonError};
+//! The event loop's lag: for how long the process has stalled, so that what it reads now may have been waiting.
+use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
 use tokio::task::yield_now;
 use tokio::time::{sleep_until, Instant};
 use tracing::warn;
 
-/// The lag is known to this much. A tick costs some µs of CPU.
-const TICK: Duration = Duration::from_millis(50);
-/// A lag below this is the scheduler's usual jitter.
-const JITTER: Duration = Duration::from_millis(25);
-/// A lag from here on is logged.
-const LOGGED: Duration = Duration::from_millis(250);
-/// A look at the sockets that took longer is made again: what happened meanwhile has not been seen.
-const FRESH: Duration = Duration::from_millis(20);
-/// Turns of the loop from a socket's event to what follows from it: its reader, the deciding task, the attempt.
-const TURNS: usize = 3;
-/// So many looks at most, lest a machine that is always late never send.
-const MAX_LOOKS: usize = 4;
+/// The interval of the ticks whose delay is the lag. It is the error of the lag.
+const TICK_INTERVAL: Duration = Duration::from_millis(50);
+/// A tick that is late by less is usual scheduling.
+const MIN_LAG: Duration = Duration::from_millis(25);
+/// A stall from here on is logged.
+const MIN_LOGGED_STALL: Duration = Duration::from_millis(250);
+/// After a stall, what was received meanwhile is read within this time. [`catch_up`] reads sockets again where reading
+/// took longer than this.
+const FRESHNESS: Duration = Duration::from_millis(20);
+/// Turns of the runtime from a socket's readiness to its effect: the reader, the event loop, the attempt.
+const TURN_COUNT: usize = 3;
+/// How often [`catch_up`] reads sockets again, so that a machine that is always late still sends.
+const MAX_CATCH_UP_COUNT: usize = 4;
+
+/// A lag that the event loop has just caught up with.
+#[derive(Clone, Copy, Debug)]
+struct PastLag {
+    lag: Duration,
+    /// Until then, bytes that waited through the stall may still be being read.
+    applies_until: Instant,
+}
 
-/// What is known of the lag.
 #[derive(Clone, Copy, Debug)]
 struct Ticks {
-    next: Instant,
-    /// The last lag that was more than jitter, and until when what waited through it is being read.
-    caught_up: Option<(Duration, Instant)>,
+    next_at: Instant,
+    past_lag: Option<PastLag>,
 }
 
-/// Tells how far the event loop lags behind real time.
+/// Measures the event loop's lag.
 #[derive(Clone, Debug)]
 pub struct LoopLag(Arc<Mutex<Ticks>>);
 
 impl Default for LoopLag {
     fn default() -> Self {
-        LoopLag(Arc::new(Mutex::new(Ticks { next: Instant::now() + TICK, caught_up: None })))
+        let ticks = Ticks { next_at: Instant::now() + TICK_INTERVAL, past_lag: None };
+        LoopLag(Arc::new(Mutex::new(ticks)))
     }
 }
 
 impl LoopLag {
-    /// Keeps the lag up to date, for as long as it is polled.
+    /// Measures the lag for as long as it is polled.
     pub async fn run(self) {
         loop {
-            let due = self.ticks().next;
-            sleep_until(due).await;
+            let due_at = self.lock().next_at;
+            sleep_until(due_at).await;
             let now = Instant::now();
-            let late = now.saturating_duration_since(due);
-            if late >= LOGGED {
-                warn!(lag_ms = late.as_millis() as u64, "the process stood still");
+            let late = now.saturating_duration_since(due_at);
+            if late >= MIN_LOGGED_STALL {
+                warn!(stalled_ms = late.as_millis() as u64, "event loop stalled");
             }
-            let caught_up = (late >= JITTER).then(|| (late + TICK, now + FRESH));
-            *self.0.lock().unwrap_or_else(PoisonError::into_inner) = Ticks { next: now + TICK, caught_up };
+            let past_lag = (late >= MIN_LAG)
+                .then(|| PastLag { lag: late + TICK_INTERVAL, applies_until: now + FRESHNESS });
+            *self.lock() = Ticks { next_at: now + TICK_INTERVAL, past_lag };
         }
     }
 
-    fn ticks(&self) -> Ticks {
-        *self.0.lock().unwrap_or_else(PoisonError::into_inner)
+    fn lock(&self) -> MutexGuard<'_, Ticks> {
+        self.0.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// When that which is read now has come at the earliest.
+    /// The earliest time at which what is read now may have arrived.
     pub fn arrival(&self) -> Instant {
         let now = Instant::now();
         now.checked_sub(self.behind(now)).unwrap_or(now)
     }
 
-    /// For how long at most that which is read now may have been waiting: the lag that the loop has not caught up with
-    /// yet, or only just now. Zero where it is on time.
+    /// The longest time for which what is read now may have been waiting: the lag that the event loop has not caught up
+    /// with, or only just now. Zero where it is on time.
     pub fn behind(&self, now: Instant) -> Duration {
-        let ticks = self.ticks();
-        let late = now.saturating_duration_since(ticks.next);
-        let caught_up = ticks.caught_up.filter(|(_, until)| now < *until).map(|(lag, _)| lag);
-        let missed = if late < JITTER { Duration::ZERO } else { late + TICK };
-        missed.max(caught_up.unwrap_or_default())
+        let ticks = *self.lock();
+        let late = now.saturating_duration_since(ticks.next_at);
+        let past_lag = ticks.past_lag.filter(|past| now < past.applies_until).map(|past| past.lag);
+        let present_lag = if late < MIN_LAG { Duration::ZERO } else { late + TICK_INTERVAL };
+        present_lag.max(past_lag.unwrap_or_default())
     }
 }
 
-/// Lets all that the kernel has to tell by now take effect, if what was decided at `decided` is no longer fresh: clients
-/// that left and drains that were told while the process stood still, or while a connection took its time.
-pub async fn catch_up(decided: Instant) {
-    let mut last_look = decided;
-    for _ in 0..MAX_LOOKS {
-        if last_look.elapsed() < FRESH {
+/// Lets everything that the kernel has received by now take effect, if what was decided at `decided_at` is no longer
+/// fresh: disconnects and drains that arrived while the process stalled or a connection was being dialled.
+pub async fn catch_up(decided_at: Instant) {
+    let mut last_read_at = decided_at;
+    for _ in 0..MAX_CATCH_UP_COUNT {
+        if last_read_at.elapsed() < FRESHNESS {
             return;
         }
-        last_look = Instant::now();
-        for _ in 0..TURNS {
+        last_read_at = Instant::now();
+        for _ in 0..TURN_COUNT {
             yield_now().await;
         }
     }
--- a/gateway/src/permit.rs
+++ b/gateway/src/permit.rs
@@ -1,148 +1,157 @@
-//! The one place that decides whether an attempt may begin: first as it is asked for, and once more in the moment before
-//! its first byte, since what held then may have changed. No I/O and no clock.
+//! The rule that decides whether an attempt may begin: checked when the balancer asks for it, and again before its first
+//! byte is written, since the first answer may no longer hold. No I/O and no clock.
 use crate::invariants::Invariant;
 use ternstack::{Class, Effect, Group};
 use tokio::time::Instant;
 
-/// Where a server stands, as far as repeats of keyed requests are concerned.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Home {
-    /// Its zone.
+/// The parts of a server's place that bound the deduplication of keyed requests.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
+pub struct Locality {
+    /// The zone, in the gateway's own numbering.
     pub zone: u32,
-    /// Its cell.
+    /// The cell.
     pub cell: u32,
 }
 
-/// An earlier attempt of a request.
+/// An attempt of the request that was sent before.
 #[derive(Clone, Copy, Debug)]
-pub struct Earlier {
-    /// Where it went.
-    pub home: Home,
-    /// When its repeats stop being dropped, for a keyed class.
-    pub window_ends: Option<Instant>,
-    /// It may have run.
+pub struct PriorAttempt {
+    /// The locality of its server.
+    pub locality: Locality,
+    /// For a keyed class: until when servers drop a retry of it as a duplicate.
+    pub deduplicated_until: Option<Instant>,
+    /// It may have run at its server.
     pub may_have_run: bool,
-    /// It is still out.
-    pub out: bool,
+    /// It has not ended yet.
+    pub in_flight: bool,
 }
 
 /// Why an attempt may not begin.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Denial {
-    /// The request has its answer, or its client has left.
+    /// The request has its response, or its client has disconnected.
     Answered,
-    /// Nothing is left of its time.
-    OutOfTime,
+    /// The time at which it would be given up has passed.
+    DeadlinePassed,
     /// The server has no address, or is not in service.
-    NoServer,
-    /// It has had all its attempts.
+    ServerUnavailable,
+    /// The request has had its maximum number of attempts.
     NoAttemptsLeft,
-    /// Another attempt is out.
-    AnotherOut,
-    /// It may have run, and must not run twice.
+    /// Another attempt of the request is in flight.
+    AttemptInFlight,
+    /// The request may have run, and its class is unsafe.
     MayHaveRun,
-    /// It may have run, and the time in which repeats are dropped is over.
-    WindowOver,
-    /// It may have run at a server of another group.
-    OtherGroup,
+    /// The request may have run, and servers no longer drop a retry as a duplicate.
+    DeduplicationOver,
+    /// The request may have run at a server that shares no deduplication with this one.
+    OutsideDeduplicationScope,
 }
 
 impl Denial {
-    /// The invariant that whoever asked for the attempt has violated; `None` where events may cross.
+    /// The invariant that the balancer has violated by asking for the attempt; `None` where its events were still on their way.
     pub fn violates(self) -> Option<Invariant> {
         match self {
-            Denial::Answered | Denial::OutOfTime | Denial::NoServer | Denial::WindowOver => None,
+            Denial::Answered
+            | Denial::DeadlinePassed
+            | Denial::ServerUnavailable
+            | Denial::DeduplicationOver => None,
             Denial::NoAttemptsLeft => Some(Invariant::AttemptLimit),
-            Denial::AnotherOut => Some(Invariant::OneAttemptAtOnce),
-            Denial::MayHaveRun => Some(Invariant::UnsafeOnce),
-            Denial::OtherGroup => Some(Invariant::KeyedScope),
+            Denial::AttemptInFlight => Some(Invariant::OneAttemptInFlight),
+            Denial::MayHaveRun => Some(Invariant::UnsafeRunsOnce),
+            Denial::OutsideDeduplicationScope => Some(Invariant::DeduplicationScope),
         }
     }
 }
 
-/// A request whose next attempt is asked for.
+/// A request's next attempt, when the balancer asks for it.
 #[derive(Debug)]
 pub struct NextAttempt<'a> {
     /// The request's class.
     pub class: &'a Class,
-    /// Its attempts so far.
-    pub earlier: &'a [Earlier],
-    /// The most attempts.
+    /// The attempts sent before, in order.
+    pub prior_attempts: &'a [PriorAttempt],
+    /// The maximum number of attempts.
     pub max_attempts: usize,
-    /// Its client still waits.
-    pub waiting: bool,
-    /// When the attempt would be given up.
-    pub until: Instant,
-    /// Where it would go; `None` for a server with no address.
-    pub home: Option<Home>,
+    /// The client still waits for the response.
+    pub client_waits: bool,
+    /// When the attempt will be given up.
+    pub give_up_at: Instant,
+    /// The locality of its server; `None` if the server has no address.
+    pub locality: Option<Locality>,
 }
 
 impl NextAttempt<'_> {
     /// Whether it may begin now.
+    ///
+    /// # Errors
+    /// The first reason against it.
     pub fn check(&self, now: Instant) -> Result<(), Denial> {
-        if !self.waiting {
+        if !self.client_waits {
             return Err(Denial::Answered);
         }
-        let home = self.home.ok_or(Denial::NoServer)?;
-        if self.until <= now {
-            return Err(Denial::OutOfTime);
+        let locality = self.locality.ok_or(Denial::ServerUnavailable)?;
+        if self.give_up_at <= now {
+            return Err(Denial::DeadlinePassed);
         }
-        if self.earlier.len() >= self.max_attempts {
+        if self.prior_attempts.len() >= self.max_attempts {
             return Err(Denial::NoAttemptsLeft);
         }
-        if self.earlier.iter().any(|attempt| attempt.out) {
-            return Err(Denial::AnotherOut);
+        if self.prior_attempts.iter().any(|attempt| attempt.in_flight) {
+            return Err(Denial::AttemptInFlight);
         }
-        match (self.class.effect, self.earlier.iter().find(|attempt| attempt.may_have_run)) {
+        match (self.class.effect, self.prior_attempts.iter().find(|attempt| attempt.may_have_run)) {
             (Effect::Safe, _) | (_, None) => Ok(()),
             (Effect::Unsafe, Some(_)) => Err(Denial::MayHaveRun),
-            (Effect::Keyed, Some(first)) => self.check_repeat(first, home, now),
+            (Effect::Keyed, Some(first)) => self.check_retry(first, locality, now),
         }
     }
 
-    fn check_repeat(&self, first: &Earlier, home: Home, now: Instant) -> Result<(), Denial> {
-        let same_group = match self.class.group {
+    fn check_retry(&self, first: &PriorAttempt, locality: Locality, now: Instant) -> Result<(), Denial> {
+        let is_in_scope = match self.class.group {
             Group::All => true,
-            Group::Zone => first.home.zone == home.zone,
-            Group::Cell => first.home.cell == home.cell,
+            Group::Zone => first.locality.zone == locality.zone,
+            Group::Cell => first.locality.cell == locality.cell,
         };
-        if !same_group {
-            return Err(Denial::OtherGroup);
+        if !is_in_scope {
+            return Err(Denial::OutsideDeduplicationScope);
         }
-        match first.window_ends {
+        match first.deduplicated_until {
             Some(end) if now < end => Ok(()),
-            _ => Err(Denial::WindowOver),
+            _ => Err(Denial::DeduplicationOver),
         }
     }
 }
 
-/// An attempt in the moment before its first byte.
+/// An attempt just before its first byte is written.
 #[derive(Clone, Copy, Debug)]
 pub struct FirstByte {
-    /// When it is given up.
-    pub until: Instant,
-    /// When it has to be sent whole, if it repeats a keyed request.
+    /// When the attempt will be given up.
+    pub give_up_at: Instant,
+    /// For a retry of a keyed request: when it must have been sent completely.
     pub send_by: Option<Instant>,
-    /// Its server is in service, in the same life as when it was picked.
+    /// Its server is in service, in the incarnation that was picked.
     pub server_in_service: bool,
-    /// Somebody still waits for it.
-    pub waiting: bool,
+    /// The attempt has not been cancelled.
+    pub client_waits: bool,
 }
 
 impl FirstByte {
     /// Whether it may be written now.
+    ///
+    /// # Errors
+    /// The first reason against it.
     pub fn check(&self, now: Instant) -> Result<(), Denial> {
-        if !self.waiting {
+        if !self.client_waits {
             return Err(Denial::Answered);
         }
         if !self.server_in_service {
-            return Err(Denial::NoServer);
+            return Err(Denial::ServerUnavailable);
         }
-        if self.until <= now {
-            return Err(Denial::OutOfTime);
+        if self.give_up_at <= now {
+            return Err(Denial::DeadlinePassed);
         }
         match self.send_by {
-            Some(by) if by <= now => Err(Denial::WindowOver),
+            Some(by) if by <= now => Err(Denial::DeduplicationOver),
             _ => Ok(()),
         }
     }
--- /dev/null
+++ b/gateway/src/upstream/exchange.rs
@@ -0,0 +1,131 @@
+//! One attempt over an open connection: sending the request, receiving the response, and the outcome.
+use super::attempt::{Attempt, Cancellation, Purpose};
+use super::ExchangeEnd;
+use crate::events::RawRequest;
+use crate::http1::{CompleteMessage, Reader, StatusLine};
+use crate::invariants::{Invariant, Violations};
+use crate::loop_lag::catch_up;
+use crate::permit::{Denial, FirstByte};
+use crate::protocol::{UNPROCESSED, UNPROCESSED_VALUE};
+use crate::sockets;
+use bytes::{Buf, Bytes};
+use std::io;
+use std::time::Duration;
+use ternstack::Outcome;
+use tokio::net::TcpStream;
+use tokio::sync::oneshot;
+use tokio::sync::oneshot::error::TryRecvError;
+use tokio::time::{sleep_until, timeout, Instant};
+use tracing::debug;
+
+/// The longest pause within a response. A response that stops in its middle is malformed: its length does not fit.
+const MAX_RESPONSE_GAP: Duration = Duration::from_millis(250);
+/// The time left that a server is sent may exceed what is left to the client by so much: an attempt that takes longer
+/// to send is given up.
+const TIME_LEFT_SLACK: Duration = Duration::from_millis(150);
+/// The process may be preempted for so long between reading its clock and writing.
+const MAX_PREEMPTION: Duration = Duration::from_millis(150);
+
+/// Sends an attempt that was decided on at `decided_at` and waits for its response, until it is given up or cancelled.
+pub(super) async fn exchange(
+    violations: &Violations, stream: &TcpStream, reader: &mut Reader<StatusLine>, attempt: &mut Attempt,
+    decided_at: Instant,
+) -> ExchangeEnd {
+    // A slow dial or a stalled process may have left disconnects and drains unread, which would deny the attempt.
+    catch_up(decided_at).await;
+    if let Err(denial) = check_first_byte(attempt) {
+        debug!(purpose = ?attempt.purpose, ?denial, "attempt not sent");
+        return Outcome::NotSent.into();
+    }
+    if let Err(outcome) = send(violations, stream, attempt).await {
+        return outcome.into();
+    }
+    tokio::select! {
+        biased;
+        () = cancelled_after_send(&mut attempt.cancelled) => Outcome::CalledOff.into(),
+        end = receive(stream, reader) => end,
+        () = sleep_until(attempt.give_up_at) => Outcome::NoAnswer.into(),
+    }
+}
+
+/// Whether an attempt's first byte may be written now.
+fn check_first_byte(attempt: &mut Attempt) -> Result<(), Denial> {
+    FirstByte {
+        give_up_at: attempt.give_up_at,
+        send_by: attempt.send_by,
+        server_in_service: attempt.is_server_in_service(),
+        client_waits: matches!(attempt.cancelled.try_recv(), Err(TryRecvError::Empty)),
+    }
+    .check(Instant::now())
+}
+
+/// Sends an attempt completely; the outcome where that fails. Without its last byte the server cannot have run it.
+async fn send(violations: &Violations, stream: &TcpStream, attempt: &mut Attempt) -> Result<(), Outcome> {
+    let stamped_at = Instant::now();
+    let send_by = attempt.send_by.map_or(attempt.give_up_at, |by| by.min(attempt.give_up_at));
+    let send_by = send_by.min(stamped_at + TIME_LEFT_SLACK);
+    tokio::select! {
+        biased;
+        _ = &mut attempt.cancelled => return Err(Outcome::NotSent),
+        sent = write(stream, &attempt.raw, attempt.give_up_at - stamped_at, send_by) => {
+            sent.map_err(|_| attempt.incomplete_send_outcome())?;
+        }
+        () = sleep_until(send_by) => return Err(attempt.incomplete_send_outcome()),
+    }
+    let send_time = stamped_at.elapsed();
+    if send_time > TIME_LEFT_SLACK + MAX_PREEMPTION {
+        if let Purpose::Request { id, attempt } = attempt.purpose {
+            let send_ms = send_time.as_millis();
+            let detail =
+                format_args!("attempt {attempt} took {send_ms} ms to send after its time left was read");
+            violations.record(Invariant::TimeLeftForwarded, id.0, detail);
+        }
+    }
+    Ok(())
+}
+
+/// Waits until an attempt that has been sent completely is cancelled, which may never be.
+async fn cancelled_after_send(cancelled: &mut oneshot::Receiver<Cancellation>) {
+    if let Ok(Cancellation::IfUnsent) = cancelled.await {
+        std::future::pending().await
+    }
+}
+
+async fn write(
+    stream: &TcpStream, raw: &RawRequest, time_left: Duration, send_by: Instant,
+) -> io::Result<()> {
+    let time_left_ms = Bytes::from(time_left.as_millis().to_string());
+    let head = raw.before_time_left.clone().chain(time_left_ms).chain(raw.after_time_left.clone());
+    let mut bytes = head.chain(raw.body.clone());
+    sockets::write_all_while(stream, &mut bytes, || Instant::now() < send_by).await
+}
+
+async fn receive(stream: &TcpStream, reader: &mut Reader<StatusLine>) -> ExchangeEnd {
+    let mut is_closed = false;
+    loop {
+        match reader.next(is_closed) {
+            Ok(Some(response)) => {
+                return ExchangeEnd { outcome: outcome(&response), response: Some(response) };
+            }
+            Ok(None) if is_closed => return Outcome::ConnectionLost.into(),
+            Ok(None) => {}
+            Err(_) => return Outcome::ServerError.into(),
+        }
+        let has_begun = reader.has_begun();
+        let read = sockets::read(stream, reader.buffer());
+        match timeout(if has_begun { MAX_RESPONSE_GAP } else { Duration::MAX }, read).await {
+            Ok(Ok(read_bytes)) => is_closed = read_bytes == 0,
+            Ok(Err(_)) => return Outcome::ConnectionLost.into(),
+            Err(_) => return Outcome::ServerError.into(),
+        }
+    }
+}
+
+/// What a response says of whether the request has run.
+fn outcome(response: &CompleteMessage<StatusLine>) -> Outcome {
+    match response.start_line.code {
+        200 => Outcome::Served,
+        503 | 504 if response.fields.get(UNPROCESSED) == Some(UNPROCESSED_VALUE) => Outcome::TurnedAway,
+        _ => Outcome::ServerError,
+    }
+}
--- /dev/null
+++ b/gateway/src/upstream/mod.rs
@@ -0,0 +1,132 @@
+//! Connections to servers, the attempts sent over them, and how each attempt ends.
+//!
+//! Each connection is a task that carries one attempt at a time and is pooled in between.
+mod attempt;
+mod connection;
+mod exchange;
+mod load_report;
+mod pool;
+
+pub use attempt::{Attempt, Cancellation, Purpose};
+pub use load_report::parse_load_report;
+
+use crate::descriptors::Descriptors;
+use crate::events::{AttemptResult, EventSender, GatewayEvent};
+use crate::http1::{CompleteMessage, StatusLine};
+use crate::invariants::Violations;
+use crate::protocol::LOAD_REPORT;
+use pool::Pool;
+use std::sync::Arc;
+use std::time::Duration;
+use ternstack::{Outcome, ServerId};
+use tokio::time::Instant;
+
+/// A connection is closed after this part of the time after which the server would close it.
+const IDLE_TIMEOUT_RATIO: f64 = 0.9;
+/// The longest idle timeout: a day.
+const MAX_IDLE_TIMEOUT_S: f64 = 86_400.0;
+
+/// How an attempt ended, with the server's response if one was received.
+#[derive(Debug)]
+struct ExchangeEnd {
+    outcome: Outcome,
+    response: Option<CompleteMessage<StatusLine>>,
+}
+
+impl From<Outcome> for ExchangeEnd {
+    fn from(outcome: Outcome) -> Self {
+        ExchangeEnd { outcome, response: None }
+    }
+}
+
+/// The connections to all servers.
+#[derive(Clone, Debug)]
+pub struct Upstream {
+    pool: Arc<Pool>,
+    events: EventSender,
+    descriptors: Arc<Descriptors>,
+    violations: Violations,
+    idle_timeout: Duration,
+    dial_timeout: Duration,
+}
+
+impl Upstream {
+    /// Connections within the budget of `descriptors`. Servers close idle connections after `server_idle_timeout_ms`
+    /// milliseconds; these are closed a little earlier.
+    pub fn new(
+        events: EventSender, descriptors: Arc<Descriptors>, server_idle_timeout_ms: f64,
+        dial_timeout: Duration,
+    ) -> Self {
+        let idle_timeout_s = (server_idle_timeout_ms * IDLE_TIMEOUT_RATIO / 1000.0).min(MAX_IDLE_TIMEOUT_S);
+        let idle_timeout = Duration::from_secs_f64(idle_timeout_s);
+        let violations = Violations::default();
+        Upstream { pool: Arc::default(), events, descriptors, violations, idle_timeout, dial_timeout }
+    }
+
+    /// Counts violated invariants in `violations`.
+    pub fn with_violations(mut self, violations: Violations) -> Self {
+        self.violations = violations;
+        self
+    }
+
+    /// Sends an attempt over an idle connection if there is one, else over a new one.
+    pub fn start(&self, attempt: Attempt) {
+        let Some(attempt) = self.pool.hand_over(attempt) else { return };
+        let slot = self.connection_slot();
+        let upstream = self.clone();
+        tokio::spawn(async move {
+            match slot {
+                Some(slot) => connection::run(upstream, slot, attempt).await,
+                None => upstream.report_end(&attempt, Outcome::NotSent.into()).await,
+            }
+        });
+    }
+
+    /// Closes the idle connections to a server.
+    pub fn close_idle(&self, server: ServerId) {
+        self.pool.close(server);
+    }
+
+    /// A descriptor for a new connection. Past the budget, the connection that has been idle for longest is closed for
+    /// it; if none is idle, a client's connection that waits is; `None` if there is none of these either.
+    fn connection_slot(&self) -> Option<ConnectionSlot> {
+        if !self.descriptors.has_room() && self.pool.close_oldest() {
+            self.descriptors.replace_server();
+        } else if !self.descriptors.open_server() {
+            return None;
+        }
+        Some(ConnectionSlot(self.descriptors.clone()))
+    }
+
+    /// Sends an attempt's result to the event loop.
+    async fn report_end(&self, attempt: &Attempt, end: ExchangeEnd) {
+        let ExchangeEnd { outcome, response } = end;
+        let report_text = response.as_ref().map(|response| match attempt.purpose {
+            Purpose::Request { .. } => response.fields.text(LOAD_REPORT).unwrap_or(""),
+            Purpose::HealthCheck => std::str::from_utf8(&response.body).unwrap_or(""),
+        });
+        let report = report_text.map(parse_load_report).unwrap_or_default();
+        let event = match attempt.purpose {
+            Purpose::Request { id: request, attempt } => {
+                let response = response.filter(|_| outcome == Outcome::Served);
+                let ended_at = Instant::now();
+                let result = AttemptResult { request, attempt, outcome, ended_at, report, response };
+                GatewayEvent::AttemptEnded(result)
+            }
+            Purpose::HealthCheck => {
+                GatewayEvent::HealthCheckEnded { server: attempt.server, outcome, report }
+            }
+        };
+        // The event queue closes only when the gateway stops.
+        let _ = self.events.send(event).await;
+    }
+}
+
+/// A connection's descriptor in the budget.
+struct ConnectionSlot(Arc<Descriptors>);
+
+impl Drop for ConnectionSlot {
+    fn drop(&mut self) {
+        self.0.close_server();
+    }
+}
--- a/gateway/tests/budget.rs
+++ b/gateway/tests/budget.rs
@@ -1,6 +1,6 @@
 //! Who gives way when budget are short: floods of silent, slow and idle connections beside usual clients.
 use std::collections::{BTreeMap, HashMap};
-use ternstack_gateway::budget::{Admission, Budget, ClientId, Doing};
+use ternstack_gateway::budget::{Admission, Budget, ClientId, ConnectionState};
 
 /// What a connection in the play is.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -15,12 +15,12 @@
     budget: Budget,
     now: u64,
     who: HashMap<ClientId, Who>,
-    next: BTreeMap<(u64, u64), (ClientId, Doing)>, // Due: what a connection does next.
+    next: BTreeMap<(u64, u64), (ClientId, ConnectionState)>, // Due: what a connection does next.
     planned: u64,
     pushed_out: BTreeMap<(Who, bool), u32>, // Who gave way; true if that was before or in the middle of a request.
     turned_away: BTreeMap<Who, u32>,
     served: u32,
-    doing: HashMap<ClientId, Doing>,
+    doing: HashMap<ClientId, ConnectionState>,
 }
 
 impl Play {
@@ -38,17 +38,17 @@
         }
     }
 
-    fn plan(&mut self, after: u64, id: ClientId, doing: Doing) {
+    fn plan(&mut self, after: u64, id: ClientId, doing: ConnectionState) {
         self.planned += 1;
         self.next.insert((self.now + after, self.planned), (id, doing));
     }
 
     fn connect(&mut self, who: Who) {
         let id = match self.budget.admit(self.now as f64) {
-            Admission::Taken(id) => id,
-            Admission::InPlaceOf(id, other) => {
-                let unserved = self.doing[&other] != Doing::Idle;
-                assert_ne!(self.doing[&other], Doing::Open, "an open request gives way to nobody");
+            Admission::Admitted(id) => id,
+            Admission::Evicting { admitted: id, evicted: other } => {
+                let unserved = self.doing[&other] != ConnectionState::Idle;
+                assert_ne!(self.doing[&other], ConnectionState::Open, "an open request gives way to nobody");
                 *self.pushed_out.entry((self.who[&other], unserved)).or_default() += 1;
                 self.doing.remove(&other);
                 id
@@ -59,10 +59,10 @@
             }
         };
         self.who.insert(id, who);
-        self.doing.insert(id, Doing::New);
+        self.doing.insert(id, ConnectionState::New);
         match who {
-            Who::Usual => self.plan(2, id, Doing::Open),
-            Who::Slow => self.plan(1, id, Doing::Reading),
+            Who::Usual => self.plan(2, id, ConnectionState::Open),
+            Who::Slow => self.plan(1, id, ConnectionState::Reading),
             Who::Silent => {}
         }
     }
@@ -76,15 +76,18 @@
                 continue; // It has given way.
             }
             self.doing.insert(id, doing);
-            self.budget.does(id, doing, self.now as f64);
-            if doing == Doing::Open {
+            self.budget.set_state(id, doing, self.now as f64);
+            if doing == ConnectionState::Open {
                 self.served += 1;
-                self.plan(30, id, Doing::Idle);
+                self.plan(30, id, ConnectionState::Idle);
             }
         }
-        assert!(self.budget.clients() <= self.budget.clients_most().max(1));
+        assert!(self.budget.clients() <= self.budget.max_clients().max(1));
         let counted: usize =
-            [Doing::New, Doing::Reading, Doing::Open, Doing::Idle].map(|d| self.budget.count(d)).iter().sum();
+            [ConnectionState::New, ConnectionState::Reading, ConnectionState::Open, ConnectionState::Idle]
+                .map(|d| self.budget.count(d))
+                .iter()
+                .sum();
         assert_eq!(counted, self.doing.len());
     }
 }
@@ -135,28 +138,28 @@
 #[test]
 fn each_side_has_its_floor_and_may_use_what_the_other_leaves() {
     let mut budget = Budget::new(100);
-    assert_eq!(budget.clients_most(), 75);
+    assert_eq!(budget.max_clients(), 75);
     let clients: Vec<ClientId> = (0..75)
         .map(|_| match budget.admit(0.0) {
-            Admission::Taken(id) => id,
+            Admission::Admitted(id) => id,
             other => panic!("{other:?}"),
         })
         .collect();
-    clients.iter().for_each(|id| budget.does(*id, Doing::Open, 1.0));
+    clients.iter().for_each(|id| budget.set_state(*id, ConnectionState::Open, 1.0));
     assert_eq!(budget.admit(1000.0), Admission::Full, "open requests give way to nobody");
     assert_eq!((0..100).filter(|_| budget.open_server()).count(), 25);
     assert_eq!(budget.make_room(1000.0), None);
     // Hosts use what clients leave, and keep some room for their next connections.
     clients[..50].iter().for_each(|id| assert!(budget.leave(*id)));
     assert_eq!((0..100).filter(|_| budget.open_server()).count(), 50);
-    assert_eq!(budget.clients_most(), 25);
-    budget.does(clients[60], Doing::Idle, 2.0);
+    assert_eq!(budget.max_clients(), 25);
+    budget.set_state(clients[60], ConnectionState::Idle, 2.0);
     assert_eq!(budget.make_room(1000.0), Some(clients[60]));
     assert!(budget.open_server() && !budget.open_server());
     (0..76).for_each(|_| budget.close_server());
-    assert_eq!(budget.clients_most(), 75);
+    assert_eq!(budget.max_clients(), 75);
     assert!(!budget.leave(clients[60]), "it has given way before");
-    budget.does(clients[60], Doing::Open, 3.0);
+    budget.set_state(clients[60], ConnectionState::Open, 3.0);
     assert_eq!(budget.clients(), 24);
 }
 
@@ -168,10 +171,10 @@
     let (mut ended, mut most) = (0, 0);
     for n in 0..600u32 {
         let now = f64::from(n) * 16.0;
-        let Admission::Taken(id) = budget.admit(now) else { panic!("there is room") };
-        budget.does(id, Doing::Open, now + 2.0);
-        budget.does(id, Doing::Idle, now + 12.0);
-        while budget.surplus(now + 12.0).is_some() {
+        let Admission::Admitted(id) = budget.admit(now) else { panic!("there is room") };
+        budget.set_state(id, ConnectionState::Open, now + 2.0);
+        budget.set_state(id, ConnectionState::Idle, now + 12.0);
+        while budget.evict_surplus_idle(now + 12.0).is_some() {
             ended += 1;
         }
         most = most.max(budget.clients());
@@ -182,9 +185,12 @@
     // Those that were busy a moment ago are left alone: their next request may be on its way.
     let mut budget = Budget::new(80);
     for n in 0..30u32 {
-        let Admission::Taken(id) = budget.admit(0.0) else { panic!("there is room") };
-        budget.does(id, Doing::Idle, f64::from(n));
+        let Admission::Admitted(id) = budget.admit(0.0) else { panic!("there is room") };
+        budget.set_state(id, ConnectionState::Idle, f64::from(n));
     }
-    assert_eq!(budget.surplus(60.0), None);
-    assert_eq!((budget.surplus(101.0).is_some(), budget.surplus(101.5).is_some()), (true, true));
+    assert_eq!(budget.evict_surplus_idle(60.0), None);
+    assert_eq!(
+        (budget.evict_surplus_idle(101.0).is_some(), budget.evict_surplus_idle(101.5).is_some()),
+        (true, true)
+    );
 }
--- a/gateway/tests/common/mod.rs
+++ b/gateway/tests/common/mod.rs
@@ -7,7 +7,8 @@
 use std::time::Duration;
 use ternstack_gateway::config::Config;
 use ternstack_gateway::control::Control;
-use ternstack_gateway::http1::{Ask, Reader, Start, Status, Whole, MAX_BODY};
+use ternstack_gateway::http1::{CompleteMessage, Reader, RequestLine, StartLine, StatusLine, MAX_BODY_BYTES};
+use ternstack_gateway::ServeError;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpSocket, TcpStream};
 use tokio::sync::{mpsc, oneshot, watch};
@@ -34,7 +35,9 @@
 }
 
 /// The next whole request of a connection; `None` if it ends first.
-pub async fn next<S: Start>(stream: &mut TcpStream, reader: &mut Reader<S>) -> Option<Whole<S>> {
+pub async fn next<S: StartLine>(
+    stream: &mut TcpStream, reader: &mut Reader<S>,
+) -> Option<CompleteMessage<S>> {
     let mut ended = false;
     loop {
         match reader.next(ended) {
@@ -46,7 +49,7 @@
     }
 }
 
-pub fn field<S>(request: &Whole<S>, name: &str) -> String {
+pub fn field<S>(request: &CompleteMessage<S>, name: &str) -> String {
     request.fields.text(name).unwrap_or("").to_string()
 }
 
@@ -68,7 +71,7 @@
 /// What a server has seen.
 pub enum Seen {
     Connected,
-    Request(Whole<Ask>),
+    Request(CompleteMessage<RequestLine>),
     Ended,
 }
 
@@ -88,8 +91,8 @@
                 let tell = tell.clone();
                 let _ = tell.send(Seen::Connected);
                 tokio::spawn(async move {
-                    let mut reader = Reader::new(MAX_BODY);
-                    while let Some(ask) = next::<Ask>(&mut stream, &mut reader).await {
+                    let mut reader = Reader::new(MAX_BODY_BYTES);
+                    while let Some(ask) = next::<RequestLine>(&mut stream, &mut reader).await {
                         let _ = tell.send(Seen::Request(ask));
                         match does {
                             Does::Answer(text) => drop(stream.write_all(text.as_bytes()).await),
@@ -144,19 +147,19 @@
     /// The next connection.
     pub async fn accept(&self) -> Wire {
         let (stream, _) = timeout(LONG, self.listener.accept()).await.expect("one comes").expect("accepted");
-        Wire { stream, reader: Reader::new(MAX_BODY) }
+        Wire { stream, reader: Reader::new(MAX_BODY_BYTES) }
     }
 }
 
 /// One connection of a [`Peer`].
 pub struct Wire {
     pub stream: TcpStream,
-    reader: Reader<Ask>,
+    reader: Reader<RequestLine>,
 }
 
 impl Wire {
     /// The next whole request; `None` if the connection ends first.
-    pub async fn request(&mut self) -> Option<Whole<Ask>> {
+    pub async fn request(&mut self) -> Option<CompleteMessage<RequestLine>> {
         timeout(LONG, next(&mut self.stream, &mut self.reader)).await.expect("a request or an end")
     }
 
@@ -216,8 +219,8 @@
             while let Ok((mut stream, _)) = listener.accept().await {
                 let tell = tell.clone();
                 tokio::spawn(async move {
-                    let mut reader = Reader::new(MAX_BODY);
-                    while let Some(ask) = next::<Ask>(&mut stream, &mut reader).await {
+                    let mut reader = Reader::new(MAX_BODY_BYTES);
+                    while let Some(ask) = next::<RequestLine>(&mut stream, &mut reader).await {
                         let (answer, answered) = oneshot::channel::<String>();
                         let _ = tell.send((String::from_utf8_lossy(ask.target()).into_owned(), answer));
                         let Ok(text) = answered.await else { break };
@@ -264,23 +267,23 @@
     /// Where discovery answers.
     pub discovery: watch::Sender<SocketAddr>,
     stop: Option<oneshot::Sender<()>>,
-    pub task: JoinHandle<Result<(), String>>,
+    pub task: JoinHandle<Result<(), ServeError>>,
 }
 
 impl Gateway {
     pub async fn start(config: &Value) -> Self {
-        Self::start_agreed(config, None).await
+        Self::start_with_control(config, None).await
     }
 
     /// The same, with what an operators' file tells it.
-    pub async fn start_agreed(config: &Value, control: Option<Control>) -> Self {
+    pub async fn start_with_control(config: &Value, control: Option<Control>) -> Self {
         let config = Config::read(&config.to_string(), |_| None).expect("a sound configuration");
         let listener = TcpListener::bind(config.listen).await.expect("a free port");
         let at = listener.local_addr().expect("an address");
         let (stop, told) = oneshot::channel();
         let told = async move { drop(told.await) };
         let (discovery, now) = watch::channel(config.discovery);
-        let task = tokio::spawn(ternstack_gateway::serve_agreed(config, control, listener, now, told));
+        let task = tokio::spawn(ternstack_gateway::serve_with_control(config, control, listener, now, told));
         Gateway { at, discovery, stop: Some(stop), task }
     }
 
@@ -303,11 +306,13 @@
     }
 
     /// The next answer; `None` if the connection ends first.
-    pub async fn answer(&mut self) -> Option<Whole<Status>> {
-        timeout(LONG, next(&mut self.stream, &mut Reader::new(MAX_BODY))).await.expect("an answer or an end")
+    pub async fn answer(&mut self) -> Option<CompleteMessage<StatusLine>> {
+        timeout(LONG, next(&mut self.stream, &mut Reader::new(MAX_BODY_BYTES)))
+            .await
+            .expect("an answer or an end")
     }
 
-    pub async fn ask(&mut self, text: &str) -> Whole<Status> {
+    pub async fn ask(&mut self, text: &str) -> CompleteMessage<StatusLine> {
         self.send(text).await;
         self.answer().await.expect("an answer")
     }
@@ -358,7 +363,7 @@
     pub discovery: watch::Sender<SocketAddr>,
     holds: mpsc::UnboundedSender<threads::Receiver<()>>,
     stop: Option<oneshot::Sender<()>>,
-    thread: Option<std::thread::JoinHandle<Result<(), String>>>,
+    thread: Option<std::thread::JoinHandle<Result<(), ServeError>>>,
 }
 
 impl Threaded {
@@ -386,7 +391,7 @@
                 });
                 first();
                 let told = async move { drop(told.await) };
-                ternstack_gateway::serve_agreed(config, None, listener, now, told).await
+                ternstack_gateway::serve_with_control(config, None, listener, now, told).await
             })
         });
         let at = at.recv().expect("it listens");
--- a/gateway/tests/control.rs
+++ b/gateway/tests/control.rs
@@ -120,7 +120,7 @@
             let answer = client.ask(&look(&format!("until-{n}"))).await;
             if server.so_far().0.is_empty() {
                 // One that has not arrived yet is no fault.
-                assert!([200, 503].contains(&answer.start.0));
+                assert!([200, 503].contains(&answer.start_line.code));
                 sleep(Duration::from_millis(1)).await;
                 continue;
             }
@@ -139,7 +139,7 @@
 async fn ask_often(gateway: &Gateway, name: &str) {
     let mut client = gateway.client().await;
     for n in 0..60 {
-        assert_eq!(client.ask(&look(&format!("{name}-{n}"))).await.start.0, 200);
+        assert_eq!(client.ask(&look(&format!("{name}-{n}"))).await.start_line.code, 200);
     }
 }
 
@@ -158,7 +158,7 @@
     let mut discovery = Discovery::start().await;
     // It begins with what it knew, and goes on with what is agreed.
     let config = config_of(vec![target(1, one.at, "SERVING")], discovery.at);
-    let gateway = Gateway::start_agreed(&config, origin.control()).await;
+    let gateway = Gateway::start_with_control(&config, origin.control()).await;
     until_seen(&gateway, &mut one).await;
     until_seen(&gateway, &mut two).await;
 
@@ -201,7 +201,7 @@
     let serving = host(1, one.at, "serving", "a");
     origin.propose(&(serving + &host(2, two.at, "draining", "a"))).await;
     let config = config_of(vec![], Discovery::start().await.at);
-    let mut gateway = Gateway::start_agreed(&config, origin.control()).await;
+    let mut gateway = Gateway::start_with_control(&config, origin.control()).await;
     until_seen(&gateway, &mut one).await;
     let waited = timeout(LONG, async {
         while !path.exists() {
@@ -217,7 +217,7 @@
     assert_eq!(two.so_far(), (vec![], 0), "what drains still drains");
 
     gateway.stop();
-    let again = Gateway::start_agreed(&config, control).await;
+    let again = Gateway::start_with_control(&config, control).await;
     until_seen(&again, &mut one).await;
     ask_often(&again, "again").await;
     assert_eq!(two.so_far(), (vec![], 0));
@@ -272,7 +272,7 @@
     Played::agree(&played, &operator, &(first + &host(4, four.at, "draining", "a")));
     let serving = tokio::spawn(Played::serve(played.clone(), listener));
     let config = config_of(vec![], nobody().await);
-    let gateway = Gateway::start_agreed(&config, Control::new(&operator)).await;
+    let gateway = Gateway::start_with_control(&config, Control::new(&operator)).await;
     until_seen(&gateway, &mut one).await;
     until_seen(&gateway, &mut two).await;
 
--- a/gateway/tests/ends.rs
+++ b/gateway/tests/ends.rs
@@ -9,9 +9,9 @@
 use std::time::Duration;
 use ternstack::{Outcome, RequestId, ServerId};
 use ternstack_gateway::descriptors::Descriptors;
-use ternstack_gateway::http1::{Reader, Status, MAX_BODY};
-use ternstack_gateway::requests::{Input, RawRequest};
-use ternstack_gateway::upstream::{Attempt, Errand, Stop, Upstream};
+use ternstack_gateway::events::{GatewayEvent, RawRequest};
+use ternstack_gateway::http1::{Reader, StatusLine, MAX_BODY_BYTES};
+use ternstack_gateway::upstream::{Attempt, Cancellation, Purpose, Upstream};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
 use tokio::sync::{mpsc, oneshot};
@@ -48,7 +48,7 @@
     assert!(query.contains("after=41"), "{query}");
     answer.send(ok(&list(42, false, vec![target(1, old.at, "DRAINING")]))).expect("asked");
     let (_, reset) = discovery.call().await;
-    assert_eq!(gateway.client().await.ask(&look("a")).await.start.0, 200);
+    assert_eq!(gateway.client().await.ask(&look("a")).await.start_line.code, 200);
     assert_eq!((old.so_far().0.len(), new.so_far().0.len()), (0, 1));
     // A watch that ends, is refused and gets garbage is opened anew each time, and what changed meanwhile is there.
     drop(reset);
@@ -63,7 +63,7 @@
     let text = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{indented}", indented.len());
     answer.send(text).expect("asked");
     let _waiting = discovery.call().await;
-    assert_eq!(gateway.client().await.ask(&look("b")).await.start.0, 200);
+    assert_eq!(gateway.client().await.ask(&look("b")).await.start_line.code, 200);
     assert_eq!((old.so_far().0.len(), new.so_far().0.len()), (1, 0));
 }
 
@@ -162,7 +162,7 @@
         }
         assert!(!text.contains("leaves"), "{text}");
         wires.last_mut().expect("one").write_all(DESK.as_bytes()).await.expect("it is up");
-        assert_eq!(stays.answer().await.expect("an answer").start.0, 200);
+        assert_eq!(stays.answer().await.expect("an answer").start_line.code, 200);
     }
 }
 
@@ -183,7 +183,7 @@
         let _waiting = discovery.call().await;
         assert_eq!(ends(&mut leaving.hears().await).await, 0, "not a byte goes to the one that leaves");
         // It surely never ran there, so even what must not run twice is sent to another.
-        assert_eq!(client.answer().await.expect("an answer").start.0, 200);
+        assert_eq!(client.answer().await.expect("an answer").start_line.code, 200);
         assert_eq!(other.so_far().0, ["a"]);
     }
 }
@@ -202,7 +202,7 @@
         client.stream.shutdown().await.expect("it is up");
         let answer = client.answer().await.expect("it still reads");
         assert_eq!(
-            (answer.start.0, answer.keep_alive, field(&answer, "retry-after")),
+            (answer.start_line.code, answer.keep_alive, field(&answer, "retry-after")),
             (status, false, "".into())
         );
         if cancel {
@@ -214,7 +214,7 @@
             next.send(&look("b")).await;
             assert_eq!(field(&wire.request().await.expect("the same connection"), "x-correlation-id"), "b");
             wire.write(DESK).await;
-            assert_eq!(next.answer().await.expect("an answer").start.0, 200);
+            assert_eq!(next.answer().await.expect("an answer").start_line.code, 200);
         }
     }
 }
@@ -256,7 +256,7 @@
     wire.request().await.expect("it is out");
     wire.write(DESK).await;
     let answer = early.answer().await.expect("an answer");
-    assert_eq!((answer.start.0, answer.keep_alive), (200, false));
+    assert_eq!((answer.start_line.code, answer.keep_alive), (200, false));
 }
 
 #[tokio::test]
@@ -265,7 +265,7 @@
     // Its next request waits behind the first one.
     client.send(&look("b")).await;
     client.stream.shutdown().await.expect("it is up");
-    assert_eq!(client.answer().await.expect("an answer").start.0, 503);
+    assert_eq!(client.answer().await.expect("an answer").start_line.code, 503);
     assert!(wire.ends().await);
     let mut other = gateway.client().await;
     other.send(&look("c")).await;
@@ -290,7 +290,7 @@
         wire.request().await.expect("whole");
         // Its answer tells that the leave has been heard. Then the server turns the attempt away, which could be sent again.
         client.stream.shutdown().await.expect("it is up");
-        assert_eq!(client.answer().await.expect("an answer").start.0, 503);
+        assert_eq!(client.answer().await.expect("an answer").start_line.code, 503);
         let _ =
             wire.stream.write_all(b"HTTP/1.1 503 No\r\nX-Unprocessed: 1\r\nContent-Length: 0\r\n\r\n").await;
         // Whatever comes next, at either server, is the next client's.
@@ -327,7 +327,7 @@
     let gateway = Gateway::start(&config(vec![], discovery.at)).await;
     for late in ["G", "GET /ready HTTP/1.1\r\n", "GET /ready HTTP/1.1\r\n\r\n"] {
         let mut client = gateway.client().await;
-        assert_eq!(client.ask("GET /ready HTTP/1.1\r\n\r\n").await.start.0, 200);
+        assert_eq!(client.ask("GET /ready HTTP/1.1\r\n\r\n").await.start_line.code, 200);
         assert!(client.answer().await.is_none(), "it is idle for too long");
         client.send(late).await;
         // A reset would be here by now, and this write would meet it.
@@ -361,7 +361,7 @@
 }
 
 async fn next_answer(client: &mut Client) -> Option<u16> {
-    client.answer().await.map(|answer| answer.start.0)
+    client.answer().await.map(|answer| answer.start_line.code)
 }
 
 #[tokio::test(start_paused = true)]
@@ -376,7 +376,7 @@
         }
         let mut gateway = Gateway::start(&told).await;
         let (mut owed, mut rests) = (gateway.client().await, gateway.client().await);
-        assert_eq!(rests.ask("GET /ready HTTP/1.1\r\n\r\n").await.start.0, 200);
+        assert_eq!(rests.ask("GET /ready HTTP/1.1\r\n\r\n").await.start_line.code, 200);
         gateway.stop();
         let stopped = Instant::now();
         // A server that hangs, requests all the while, over what comes up anew or rests until the gateway ends it.
@@ -414,7 +414,8 @@
         }
         assert!(owed.answer().await.is_some());
         drop(owed);
-        assert_eq!(timeout(LONG, gateway.task).await.expect("it ends").expect("without panic"), Ok(()));
+        let ended = timeout(LONG, gateway.task).await.expect("it ends").expect("without panic");
+        assert!(matches!(ended, Ok(())), "{ended:?}");
         let (longest, slack) = (Duration::from_secs_f64(deadline_ms / 1000.0), Duration::from_millis(1200));
         assert!(stopped.elapsed() <= longest + slack, "{:?}", stopped.elapsed());
         hanging.abort();
@@ -425,35 +426,46 @@
 
 struct Way {
     upstream: Upstream,
-    inputs: mpsc::Receiver<Input>,
-    life: Arc<()>,
+    inputs: mpsc::Receiver<GatewayEvent>,
+    incarnation: Arc<()>,
 }
 
 impl Way {
     fn new(queue: usize) -> Self {
         let (queue, inputs) = mpsc::channel(queue);
         let upstream = Upstream::new(queue, Descriptors::new(16), 30_000.0, LONG);
-        Way { upstream, inputs, life: Arc::new(()) }
+        Way { upstream, inputs, incarnation: Arc::new(()) }
     }
 
     fn send(
-        &self, address: std::net::SocketAddr, body: usize, send_by: Option<Instant>, until: Instant,
-    ) -> oneshot::Sender<Stop> {
-        let (stop, stopped) = oneshot::channel();
+        &self, address: std::net::SocketAddr, body: usize, send_by: Option<Instant>, give_up_at: Instant,
+    ) -> oneshot::Sender<Cancellation> {
+        let (stop, cancelled) = oneshot::channel();
         let raw = RawRequest {
-            before: Bytes::from_static(b"POST /api HTTP/1.1\r\nX-Correlation-Id: a\r\nX-Time-Left-Ms: "),
-            after: Bytes::from(format!("\r\nContent-Length: {body}\r\n\r\n")),
+            before_time_left: Bytes::from_static(
+                b"POST /api HTTP/1.1\r\nX-Correlation-Id: a\r\nX-Time-Left-Ms: ",
+            ),
+            after_time_left: Bytes::from(format!("\r\nContent-Length: {body}\r\n\r\n")),
             body: Bytes::from(vec![b'x'; body]),
         };
-        let (server, life) = (ServerId(u32::from(address.port())), Arc::downgrade(&self.life));
-        let errand = Errand::Request { id: RequestId(7), number: 0 };
-        self.upstream.start(Attempt { errand, server, life, address, raw, until, send_by, stopped });
+        let (server, incarnation) = (ServerId(u32::from(address.port())), Arc::downgrade(&self.incarnation));
+        let purpose = Purpose::Request { id: RequestId(7), attempt: 0 };
+        self.upstream.start(Attempt {
+            purpose,
+            server,
+            incarnation,
+            address,
+            raw,
+            give_up_at,
+            send_by,
+            cancelled,
+        });
         stop
     }
 
     async fn outcome(&mut self) -> Outcome {
         match timeout(LONG, self.inputs.recv()).await.expect("an end") {
-            Some(Input::AttemptDone(done)) => done.outcome,
+            Some(GatewayEvent::AttemptEnded(done)) => done.outcome,
             other => panic!("{other:?}"),
         }
     }
@@ -481,7 +493,7 @@
     let mut wire = server.accept().await;
     let mut head = [0; 64];
     wire.stream.read_exact(&mut head).await.expect("it has begun");
-    stop.send(Stop::Unsent).expect("it is out");
+    stop.send(Cancellation::IfUnsent).expect("it is out");
     assert_eq!(way.outcome().await, Outcome::NotSent);
     assert!(ends(&mut wire.stream).await < HUGE, "the last byte never comes");
     // Its window ends, or its time, or what its server was told of that time is no longer so.
@@ -522,12 +534,12 @@
     let stop = way.send(server.at, 4, None, far());
     let mut wire = server.accept().await;
     wire.request().await.expect("whole");
-    stop.send(Stop::Unsent).expect("it is out");
+    stop.send(Cancellation::IfUnsent).expect("it is out");
     wire.write(DESK).await;
     assert_eq!(way.outcome().await, Outcome::Served);
     let stop = way.send(server.at, 4, None, far());
     wire.request().await.expect("the same connection");
-    stop.send(Stop::All).expect("it is out");
+    stop.send(Cancellation::Always).expect("it is out");
     assert_eq!(way.outcome().await, Outcome::CalledOff);
     assert!(wire.ends().await);
     // Neither is one sent whose client left while it waited for a connection at rest.
@@ -537,7 +549,7 @@
     wire.write(DESK).await;
     assert_eq!(way.outcome().await, Outcome::Served);
     let stop = way.send(server.at, 4, None, far());
-    stop.send(Stop::Unsent).expect("it is out");
+    stop.send(Cancellation::IfUnsent).expect("it is out");
     assert_eq!(way.outcome().await, Outcome::NotSent);
     assert!(wire.ends().await);
 }
@@ -583,7 +595,9 @@
         next.request().await.expect("whole");
         next.write("HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nother").await;
         match timeout(LONG, way.inputs.recv()).await.expect("an end") {
-            Some(Input::AttemptDone(done)) => assert_eq!(&done.answer.expect("served").body[..], b"other"),
+            Some(GatewayEvent::AttemptEnded(done)) => {
+                assert_eq!(&done.response.expect("served").body[..], b"other")
+            }
             other => panic!("{other:?}"),
         }
     }
@@ -621,10 +635,10 @@
             let mut wire = other.accept().await;
             wire.request().await.expect("whole");
             wire.write(DESK).await;
-            assert_eq!(client.answer().await.expect("an answer").start.0, 200, "{first:?}");
+            assert_eq!(client.answer().await.expect("an answer").start_line.code, 200, "{first:?}");
         } else {
             // It may have run: no refusal, which would have it sent again.
-            assert_eq!(client.answer().await.expect("an answer").start.0, 502, "{first:?}");
+            assert_eq!(client.answer().await.expect("an answer").start_line.code, 502, "{first:?}");
         }
     }
 }
@@ -645,11 +659,11 @@
             wire.write(DESK).await;
         }
     });
-    let mut reader = Reader::<Status>::new(MAX_BODY);
+    let mut reader = Reader::<StatusLine>::new(MAX_BODY_BYTES);
     for (id, keep_alive) in [("a", true), ("b", true), ("c", true), ("d", false)] {
         let answer = timeout(LONG, next(&mut client.stream, &mut reader)).await.expect("an answer or an end");
         let answer = answer.expect("an answer");
-        assert_eq!((answer.start.0, answer.keep_alive), (200, keep_alive), "request {id}");
+        assert_eq!((answer.start_line.code, answer.keep_alive), (200, keep_alive), "request {id}");
     }
     serving.abort();
 }
--- a/gateway/tests/faults.rs
+++ b/gateway/tests/faults.rs
@@ -70,7 +70,7 @@
     let body = "room=two&".repeat(900);
     for n in 0..6 {
         let answer = client.ask(&book(&format!("{n}"), &body)).await;
-        assert_eq!((answer.start.0, &answer.body[..]), (200, &b"desk"[..]), "request {n}");
+        assert_eq!((answer.start_line.code, &answer.body[..]), (200, &b"desk"[..]), "request {n}");
         let Seen::Request(ask) = seen_request(&mut server).await else { unreachable!() };
         assert_eq!(ask.body.len(), body.len());
     }
@@ -140,7 +140,7 @@
     // The next call comes over the same watch: nothing was lost on the way.
     let (query, _waiting) = discovery.call().await;
     assert!(query.contains("after=42"), "{query}");
-    assert_eq!(gateway.client().await.ask(&look("a")).await.start.0, 200);
+    assert_eq!(gateway.client().await.ask(&look("a")).await.start_line.code, 200);
     assert_eq!((old.so_far().0.len(), new.so_far().0.len()), (0, 1));
 }
 
@@ -176,17 +176,21 @@
     let discovery = Discovery::start().await;
     let gateway = start(&config(vec![target(1, server.at, "SERVING")], discovery.at));
     let mut resting = gateway.client().await;
-    assert_eq!(resting.ask(&look("resting")).await.start.0, 200);
+    assert_eq!(resting.ask(&look("resting")).await.start_line.code, 200);
     set(kind, rate);
     for n in 0..10 {
-        assert_eq!(gateway.client().await.ask(&look(&format!("{n}"))).await.start.0, 200, "request {n}");
+        assert_eq!(
+            gateway.client().await.ask(&look(&format!("{n}"))).await.start_line.code,
+            200,
+            "request {n}"
+        );
     }
     assert!(injected(kind) > 0, "nothing was injected");
     set(kind, 0);
     if keeps {
         resting.send(&look("again")).await;
         let answer = timeout(LONG, resting.answer()).await.expect("in time");
-        assert_eq!(answer.map(|answer| answer.start.0), Some(200), "a connection at rest was ended");
+        assert_eq!(answer.map(|answer| answer.start_line.code), Some(200), "a connection at rest was ended");
     }
 }
 
@@ -210,7 +214,7 @@
     let server = Server::start(SERVED).await;
     let discovery = Discovery::start().await;
     let mut gateway = start(&config(vec![target(1, server.at, "SERVING")], discovery.at));
-    assert_eq!(gateway.client().await.ask(&look("before")).await.start.0, 200);
+    assert_eq!(gateway.client().await.ask(&look("before")).await.start_line.code, 200);
     // Nothing is accepted until the gateway ends, and then every second call fails once more.
     set(Kind::AcceptFileTable, ALWAYS);
     let mut waiting = Vec::new();
@@ -226,7 +230,10 @@
     set(Kind::AcceptFileTable, 0);
     for (n, client) in waiting.iter_mut().enumerate() {
         let answer = client.answer().await;
-        assert!(answer.is_some_and(|answer| matches!(answer.start.0, 200 | 503)), "client {n} got no answer");
+        assert!(
+            answer.is_some_and(|answer| matches!(answer.start_line.code, 200 | 503)),
+            "client {n} got no answer"
+        );
     }
 }
 
@@ -248,11 +255,11 @@
     let told: u64 = told.parse().expect("a time");
     assert!(told <= patience_ms - 500 + 150, "told {told} ms of {patience_ms}, half a second later");
     wire.write(DESK).await;
-    assert_eq!(client.answer().await.expect("an answer").start.0, 200);
+    assert_eq!(client.answer().await.expect("an answer").start_line.code, 200);
     // The next one on that connection has not waited.
     client.send(&timed("b")).await;
     let told = field(&wire.request().await.expect("a request"), "x-time-left-ms");
     assert!(told.parse::<u64>().expect("a time") > patience_ms - 300, "told {told} ms");
     wire.write(DESK).await;
-    assert_eq!(client.answer().await.expect("an answer").start.0, 200);
+    assert_eq!(client.answer().await.expect("an answer").start_line.code, 200);
 }
--- a/gateway/tests/gateway.rs
+++ b/gateway/tests/gateway.rs
@@ -4,8 +4,8 @@
 use common::*;
 use serde_json::json;
 use std::time::Duration;
-use ternstack_gateway::discovery;
-use ternstack_gateway::requests::{Input, News};
+use ternstack_gateway::discovery::{self, FollowConfig};
+use ternstack_gateway::events::{DiscoveryEvent, GatewayEvent};
 use tokio::sync::{mpsc, watch};
 
 const BOOK: &str = "POST /api?room=2 HTTP/1.1\r\nHost: backend.local\r\nX-Correlation-Id: id-1\r\n\
@@ -18,11 +18,11 @@
     let (mut server, discovery) = (Server::start(SERVED).await, Discovery::start().await);
     let gateway = Gateway::start(&config(vec![target(1, server.at, "SERVING")], discovery.at)).await;
     let mut client = gateway.client().await;
-    assert_eq!(client.ask("GET /ready HTTP/1.1\r\n\r\n").await.start.0, 200);
+    assert_eq!(client.ask("GET /ready HTTP/1.1\r\n\r\n").await.start_line.code, 200);
 
     let answer = client.ask(BOOK).await;
     assert_eq!(
-        (answer.start.0, &answer.body[..], field(&answer, "content-type").as_str()),
+        (answer.start_line.code, &answer.body[..], field(&answer, "content-type").as_str()),
         (200, &b"desk"[..], "text/x")
     );
     assert!(matches!(server.next().await, Seen::Connected));
@@ -50,10 +50,10 @@
     client.send(&format!("{}{}", look("id-2"), look("id-3"))).await;
     let both = async {
         let mut reader = ternstack_gateway::http1::Reader::new(1024);
-        let first = next::<ternstack_gateway::http1::Status>(&mut client.stream, &mut reader).await;
-        (first, next::<ternstack_gateway::http1::Status>(&mut client.stream, &mut reader).await)
+        let first = next::<ternstack_gateway::http1::StatusLine>(&mut client.stream, &mut reader).await;
+        (first, next::<ternstack_gateway::http1::StatusLine>(&mut client.stream, &mut reader).await)
     };
-    assert!(matches!(both.await, (Some(a), Some(b)) if a.start.0 == 200 && b.start.0 == 200));
+    assert!(matches!(both.await, (Some(a), Some(b)) if a.start_line.code == 200 && b.start_line.code == 200));
     assert_eq!(server.so_far(), (vec!["id-2".into(), "id-3".into()], 0));
 }
 
@@ -82,7 +82,7 @@
         let mut client = gateway.client().await;
         let answer = client.ask(&text).await;
         assert_eq!(
-            (answer.start.0, answer.keep_alive),
+            (answer.start_line.code, answer.keep_alive),
             (status, status == 404),
             "{}",
             &text[..text.len().min(99)]
@@ -91,7 +91,7 @@
     assert_eq!(server.so_far(), (vec![], 0));
     // An unknown tenant is none.
     let text = look("a").replace("\r\n\r\n", "\r\nX-Account: nobody\r\n\r\n");
-    assert_eq!(gateway.client().await.ask(&text).await.start.0, 200);
+    assert_eq!(gateway.client().await.ask(&text).await.start_line.code, 200);
 }
 
 #[tokio::test]
@@ -102,11 +102,11 @@
     let gateway = Gateway::start(&config(vec![target(1, server.at, "SERVING")], discovery.at)).await;
     let mut client = gateway.client().await;
     for n in 0..5 {
-        assert_eq!(client.ask(&look(&format!("id-{n}"))).await.start.0, 200);
+        assert_eq!(client.ask(&look(&format!("id-{n}"))).await.start_line.code, 200);
         // The server has ended the connection before the next request comes.
         while !matches!(server.next().await, Seen::Ended) {}
     }
-    assert_eq!(client.ask(&look("id-5")).await.start.0, 200);
+    assert_eq!(client.ask(&look("id-5")).await.start_line.code, 200);
     assert_eq!(server.so_far().0, ["id-5"]);
 }
 
@@ -116,7 +116,7 @@
     let free = tokio::net::TcpListener::bind("127.0.0.1:0").await.expect("a port").local_addr().expect("it");
     let gateway = Gateway::start(&config(vec![target(1, free, "SERVING")], discovery.at)).await;
     let answer = gateway.client().await.ask(&look("a")).await;
-    assert_eq!(answer.start.0, 503);
+    assert_eq!(answer.start_line.code, 503);
     let after: f64 = field(&answer, "retry-after").parse().expect("seconds");
     assert!(after > 0.0 && after <= 2.0);
 }
@@ -128,7 +128,7 @@
     let known = vec![target(1, full.at, "SERVING"), target(2, server.at, "SERVING")];
     let gateway = Gateway::start(&config(known, discovery.at)).await;
     for n in 0..6 {
-        assert_eq!(gateway.client().await.ask(&look(&format!("id-{n}"))).await.start.0, 200);
+        assert_eq!(gateway.client().await.ask(&look(&format!("id-{n}"))).await.start_line.code, 200);
     }
     assert!(!full.so_far().0.is_empty(), "the draw met the full host");
     assert_eq!(server.so_far().0.len(), 6);
@@ -151,7 +151,7 @@
     let gateway = Gateway::start(&config(known, discovery.at)).await;
     let mut client = gateway.client().await;
     for n in 0..60 {
-        assert_eq!(client.ask(&look(&format!("id-{n}"))).await.start.0, 200);
+        assert_eq!(client.ask(&look(&format!("id-{n}"))).await.start_line.code, 200);
     }
     let (busy, free) = (busy.so_far().0.len(), free.so_far().0.len());
     assert!(busy > 0 && free > 3 * busy, "{busy} to the busy server, {free} to the free one");
@@ -163,7 +163,7 @@
     let gateway = Gateway::start(&config(vec![target(1, server.at, "SERVING")], discovery.at)).await;
     let mut client = gateway.client().await;
     let short = look("a").replace("\r\n\r\n", "\r\nX-Time-Left-Ms: 1000\r\n\r\n");
-    assert_eq!(client.ask(&short).await.start.0, 503);
+    assert_eq!(client.ask(&short).await.start_line.code, 503);
     while !matches!(server.next().await, Seen::Ended) {}
     let mut other = gateway.client().await;
     other.send(&look("b")).await;
@@ -180,7 +180,7 @@
     first.send(&look("a")).await;
     while !matches!(server.next().await, Seen::Request(_)) {}
     let answer = gateway.client().await.ask(&look("a")).await;
-    assert_eq!((answer.start.0, answer.keep_alive), (400, false));
+    assert_eq!((answer.start_line.code, answer.keep_alive), (400, false));
     drop(first);
     while !matches!(server.next().await, Seen::Ended) {}
     let mut second = gateway.client().await;
@@ -194,10 +194,10 @@
     let gateway = Gateway::start(&config(vec![target(1, server.at, "SERVING")], discovery.at)).await;
     let (mut silent, mut once, mut half) =
         (gateway.client().await, gateway.client().await, gateway.client().await);
-    assert_eq!(once.ask(&look("once")).await.start.0, 200);
+    assert_eq!(once.ask(&look("once")).await.start_line.code, 200);
     half.send("POST /api HTTP/1.1\r\nContent-Length: 9\r\n\r\ndesk").await;
     assert!(silent.answer().await.is_none() && once.answer().await.is_none());
-    assert_eq!(half.answer().await.expect("an answer").start.0, 408);
+    assert_eq!(half.answer().await.expect("an answer").start_line.code, 408);
 }
 
 #[tokio::test]
@@ -231,7 +231,7 @@
     first.send(&look("a")).await;
     while !matches!(server.next().await, Seen::Request(_)) {}
     let answer = gateway.client().await.ask(&look("b")).await;
-    assert_eq!((answer.start.0, field(&answer, "retry-after")), (503, "2.000".into()));
+    assert_eq!((answer.start_line.code, field(&answer, "retry-after")), (503, "2.000".into()));
 }
 
 #[tokio::test]
@@ -247,14 +247,14 @@
         while !matches!(server.next().await, Seen::Request(_)) {}
     }
     let answer = gateway.client().await.ask(&look("late")).await;
-    assert_eq!((answer.start.0, answer.keep_alive), (503, false));
+    assert_eq!((answer.start_line.code, answer.keep_alive), (503, false));
     assert_eq!(server.so_far().0, Vec::<String>::new());
     // Room again: connections that stand idle end for it.
     drop(clients);
     for n in 0..7 {
         while !matches!(server.next().await, Seen::Ended) {}
         let mut idle = gateway.client().await;
-        assert_eq!(idle.ask("GET /ready HTTP/1.1\r\n\r\n").await.start.0, 200, "{n}");
+        assert_eq!(idle.ask("GET /ready HTTP/1.1\r\n\r\n").await.start_line.code, 200, "{n}");
     }
 }
 
@@ -271,7 +271,7 @@
     let (query, answer) = discovery.call().await;
     assert!(query.contains("after=42"), "{query}");
     for n in 0..8 {
-        assert_eq!(gateway.client().await.ask(&look(&format!("id-{n}"))).await.start.0, 200);
+        assert_eq!(gateway.client().await.ask(&look(&format!("id-{n}"))).await.start_line.code, 200);
     }
     assert_eq!((old.so_far().0.len(), new.so_far().0.len()), (0, 8));
 
@@ -279,7 +279,7 @@
     answer.send(ok(&json!({"rev": 43, "all": true}))).expect("asked");
     let (query, answer) = discovery.call().await;
     assert!(query.contains("after=42"), "{query}");
-    assert_eq!(gateway.client().await.ask(&look("still")).await.start.0, 200);
+    assert_eq!(gateway.client().await.ask(&look("still")).await.start_line.code, 200);
     // So is a connection that ends. Then a whole list, in which a server has moved.
     drop(answer);
     let moved = Server::start(SERVED).await;
@@ -287,7 +287,7 @@
     answer.send(ok(&list(44, true, vec![target(2, moved.at, "SERVING")]))).expect("asked");
     let _waiting = discovery.call().await;
     new.so_far();
-    assert_eq!(gateway.client().await.ask(&look("moved")).await.start.0, 200);
+    assert_eq!(gateway.client().await.ask(&look("moved")).await.start_line.code, 200);
     assert_eq!(new.so_far(), (vec![], 0));
 }
 
@@ -299,7 +299,7 @@
     // The call's own deadline ends it, the module asks anew, and the list stands meanwhile.
     let (query, answer) = discovery.call().await;
     assert!(query.contains("after=41"), "{query}");
-    assert_eq!(gateway.client().await.ask(&look("a")).await.start.0, 200);
+    assert_eq!(gateway.client().await.ask(&look("a")).await.start_line.code, 200);
     answer.send(ok(&list(42, false, vec![]))).expect("asked");
     assert!(discovery.call().await.0.contains("after=42"));
 }
@@ -310,13 +310,14 @@
     let (_at, at) = watch::channel(discovery.at);
     let (asked, to_ask) = mpsc::channel(1);
     let (queue, mut news) = mpsc::channel(16);
-    let turn = discovery::turn(me, instances);
+    let turn = discovery::renewal_delay(me, instances);
     assert!(turn < Duration::from_secs(1), "{turn:?}");
-    tokio::spawn(discovery::follow(at, LONG, Some(41), turn, to_ask, queue));
+    let config = FollowConfig { dial_timeout: LONG, revision: Some(41), renewal_delay: turn };
+    tokio::spawn(discovery::follow(at, config, to_ask, queue));
     asked.send(()).await.expect("followed");
     for n in 0..answered {
         discovery.call().await.1.send(ok(&list(42 + n, false, vec![]))).expect("asked");
-        assert!(matches!(news.recv().await, Some(Input::Discovery(News::Listed(_)))));
+        assert!(matches!(news.recv().await, Some(GatewayEvent::Discovery(DiscoveryEvent::Update(_)))));
     }
     let (_, _silent) = discovery.call().await;
     let (query, answer) = discovery.call().await;
@@ -324,11 +325,11 @@
     assert!(news.try_recv().is_err(), "{me} of {instances}: lost before it was opened anew");
     // What it missed comes; a second silence in a row is left to the module.
     answer.send(ok(&list(60, false, vec![]))).expect("asked");
-    assert!(matches!(news.recv().await, Some(Input::Discovery(News::Listed(_)))));
+    assert!(matches!(news.recv().await, Some(GatewayEvent::Discovery(DiscoveryEvent::Update(_)))));
     let (_, _silent) = discovery.call().await;
     let (_, _silent_too) = discovery.call().await;
     assert!(news.try_recv().is_err(), "lost before it was opened anew");
-    assert!(matches!(news.recv().await, Some(Input::Discovery(News::Lost))));
+    assert!(matches!(news.recv().await, Some(GatewayEvent::Discovery(DiscoveryEvent::WatchLost))));
 }
 
 #[tokio::test]
@@ -339,7 +340,7 @@
         one.await.expect("it holds");
     }
     // All of a fleet come one after another.
-    let turns: Vec<_> = (0..300).map(|me| discovery::turn(me, 300)).collect();
+    let turns: Vec<_> = (0..300).map(|me| discovery::renewal_delay(me, 300)).collect();
     assert!(turns.windows(2).all(|pair| pair[0] < pair[1]));
 }
 
@@ -354,11 +355,11 @@
     let (query, answer) = after.call().await;
     assert_eq!(query, "/v1/endpoints");
     let _ = waiting.send(ok(&list(42, true, vec![])));
-    assert_eq!(gateway.client().await.ask(&look("meanwhile")).await.start.0, 200);
+    assert_eq!(gateway.client().await.ask(&look("meanwhile")).await.start_line.code, 200);
     assert_eq!(server.so_far().0, ["meanwhile"]);
     answer.send(ok(&list(7, true, vec![target(2, new.at, "SERVING")]))).expect("asked");
     assert!(after.call().await.0.contains("after=7"));
-    assert_eq!(gateway.client().await.ask(&look("moved")).await.start.0, 200);
+    assert_eq!(gateway.client().await.ask(&look("moved")).await.start_line.code, 200);
     assert_eq!((server.so_far().0.len(), new.so_far().0), (0, vec!["moved".to_string()]));
 }
 
@@ -369,26 +370,24 @@
     let (mut idle, mut kept, mut owed) =
         (gateway.client().await, gateway.client().await, gateway.client().await);
     let ready = "GET /ready HTTP/1.1\r\n\r\n";
-    assert_eq!(kept.ask(ready).await.start.0, 200);
-    assert_eq!(idle.ask(ready).await.start.0, 200);
+    assert_eq!(kept.ask(ready).await.start_line.code, 200);
+    assert_eq!(idle.ask(ready).await.start_line.code, 200);
     owed.send(&look("a").replace("\r\n\r\n", "\r\nX-Time-Left-Ms: 1500\r\n\r\n")).await;
     while !matches!(server.next().await, Seen::Request(_)) {}
     gateway.stop();
     // Kept and new connections are still served, each once.
-    while gateway.client().await.ask(ready).await.start.0 == 200 {}
+    while gateway.client().await.ask(ready).await.start_line.code == 200 {}
     let answer = kept.ask(ready).await;
-    assert_eq!((answer.start.0, answer.keep_alive), (503, false));
+    assert_eq!((answer.start_line.code, answer.keep_alive), (503, false));
     assert!(idle.answer().await.is_none(), "an idle connection ends");
     // A request that crossed that end comes again, over a new connection.
     let answer = gateway.client().await.ask(ready).await;
-    assert_eq!((answer.start.0, answer.keep_alive), (503, false));
+    assert_eq!((answer.start_line.code, answer.keep_alive), (503, false));
     let answer = owed.answer().await.expect("what is owed is answered");
-    assert_eq!((answer.start.0, answer.keep_alive), (503, false));
+    assert_eq!((answer.start_line.code, answer.keep_alive), (503, false));
     drop((kept, owed));
-    assert_eq!(
-        tokio::time::timeout(LONG, gateway.task).await.expect("it ends").expect("without panic"),
-        Ok(())
-    );
+    let ended = tokio::time::timeout(LONG, gateway.task).await.expect("it ends").expect("without panic");
+    assert!(matches!(ended, Ok(())), "{ended:?}");
 }
 
 #[tokio::test]
@@ -468,7 +467,7 @@
     let gateway = Gateway::start(&config).await;
     let served_by = |server: &mut Server| server.so_far().0.len();
     let [mut first, mut second, mut third] = [first, second, third];
-    assert_eq!(gateway.client().await.ask(&look("known")).await.start.0, 200);
+    assert_eq!(gateway.client().await.ask(&look("known")).await.start_line.code, 200);
     assert_eq!(served_by(&mut first), 1);
 
     let whole = list(42, true, many(second.at, "SERVING"));
@@ -477,12 +476,12 @@
     answer.send(ok(&whole)).expect("asked");
     let (query, answer) = discovery.call().await;
     assert!(query.contains("after=42"), "{query}");
-    assert_eq!(gateway.client().await.ask(&look("whole")).await.start.0, 200);
+    assert_eq!(gateway.client().await.ask(&look("whole")).await.start_line.code, 200);
     assert_eq!((served_by(&mut first), served_by(&mut second)), (0, 1));
 
     answer.send(ok(&list(43, false, many(third.at, "SERVING")))).expect("asked");
     let (query, _answer) = discovery.call().await;
     assert!(query.contains("after=43"), "{query}");
-    assert_eq!(gateway.client().await.ask(&look("changes")).await.start.0, 200);
+    assert_eq!(gateway.client().await.ask(&look("changes")).await.start_line.code, 200);
     assert_eq!((served_by(&mut second), served_by(&mut third)), (0, 1));
 }
--- a/gateway/tests/parsers.rs
+++ b/gateway/tests/parsers.rs
@@ -3,8 +3,10 @@
 use bytes::Bytes;
 use quickcheck::{Arbitrary, Gen, QuickCheck};
 use ternstack_gateway::config::Config;
-use ternstack_gateway::http1::{Ask, Malformed, Reader, Start, Status, Whole, MAX_BODY, MAX_HEAD};
-use ternstack_gateway::requests::EndpointList;
+use ternstack_gateway::endpoint_list::EndpointList;
+use ternstack_gateway::http1::{
+    CompleteMessage, ParseError, Reader, RequestLine, StartLine, StatusLine, MAX_BODY_BYTES, MAX_HEAD_BYTES,
+};
 
 const ASKS: &str = "GET /api?desk=4 HTTP/1.1\r\nHost: backend.local\r\nX-Correlation-Id: 9b1f\r\n\r\n\
     POST /api HTTP/1.1\r\nX-Correlation-Id: 77\r\nContent-Length: 11\r\n\r\nhello there\
@@ -22,8 +24,8 @@
 }
 
 /// All messages in the bytes, fed in pieces of the given sizes, and how it ended.
-fn read<S: Start>(bytes: &[u8], cuts: &[u8]) -> (Vec<Whole<S>>, Result<(), Malformed>) {
-    let mut reader = Reader::new(MAX_BODY);
+fn read<S: StartLine>(bytes: &[u8], cuts: &[u8]) -> (Vec<CompleteMessage<S>>, Result<(), ParseError>) {
+    let mut reader = Reader::new(MAX_BODY_BYTES);
     let (mut messages, mut rest) = (Vec::new(), bytes);
     let mut cuts = cuts.iter().map(|cut| usize::from(*cut).max(1));
     loop {
@@ -44,9 +46,9 @@
 }
 
 /// What a reader gives, without the place in memory that it stands in.
-fn told<S: Start>(bytes: &[u8], cuts: &[u8]) -> (Vec<Told>, Result<(), Malformed>) {
+fn told<S: StartLine>(bytes: &[u8], cuts: &[u8]) -> (Vec<Told>, Result<(), ParseError>) {
     let (messages, end) = read::<S>(bytes, cuts);
-    let fields = |m: &Whole<S>| format!("{:?}", m.fields.iter().collect::<Vec<_>>());
+    let fields = |m: &CompleteMessage<S>| format!("{:?}", m.fields.iter().collect::<Vec<_>>());
     (messages.iter().map(|m| (fields(m), m.body.clone(), m.keep_alive)).collect(), end)
 }
 
@@ -64,40 +66,44 @@
 
 #[test]
 fn messages_are_the_same_wherever_they_are_cut() {
-    let (asks, end) = read::<Ask>(ASKS.as_bytes(), &[]);
+    let (asks, end) = read::<RequestLine>(ASKS.as_bytes(), &[]);
     assert_eq!((asks.len(), end), (4, Ok(())));
     assert_eq!((asks[0].method(), asks[0].target()), (&b"GET"[..], &b"/api?desk=4"[..]));
     assert_eq!(asks[2].body, "hello there");
     assert!(asks.iter().all(|ask| ask.keep_alive));
-    let (answers, end) = read::<Status>(ANSWERS.as_bytes(), &[]);
+    let (answers, end) = read::<StatusLine>(ANSWERS.as_bytes(), &[]);
     assert_eq!((answers.len(), end), (4, Ok(())));
-    let bodies: Vec<_> = answers.iter().map(|a| (a.start.0, &a.body[..], a.keep_alive)).collect();
+    let bodies: Vec<_> = answers.iter().map(|a| (a.start_line.code, &a.body[..], a.keep_alive)).collect();
     let expected: [(u16, &[u8], bool); 4] =
         [(200, b"desk", true), (503, b"", false), (200, b"desk", true), (200, b"to the end", false)];
     assert_eq!(bodies, expected);
-    check(1, |cuts: Vec<u8>| told::<Ask>(ASKS.as_bytes(), &cuts) == told::<Ask>(ASKS.as_bytes(), &[]));
+    check(1, |cuts: Vec<u8>| {
+        told::<RequestLine>(ASKS.as_bytes(), &cuts) == told::<RequestLine>(ASKS.as_bytes(), &[])
+    });
     check(2, |cuts: Vec<u8>| {
-        told::<Status>(ANSWERS.as_bytes(), &cuts) == told::<Status>(ANSWERS.as_bytes(), &[])
+        told::<StatusLine>(ANSWERS.as_bytes(), &cuts) == told::<StatusLine>(ANSWERS.as_bytes(), &[])
     });
 }
 
 #[test]
 fn garbage_and_spoilt_messages_end_alike_wherever_they_are_cut() {
-    check(3, |(bytes, cuts): (Vec<u8>, Vec<u8>)| told::<Ask>(&bytes, &cuts) == told::<Ask>(&bytes, &[]));
+    check(3, |(bytes, cuts): (Vec<u8>, Vec<u8>)| {
+        told::<RequestLine>(&bytes, &cuts) == told::<RequestLine>(&bytes, &[])
+    });
     check(4, |(spoils, cuts): (Vec<(usize, u8)>, Vec<u8>)| {
         let bytes = spoilt(ASKS, &spoils[..spoils.len().min(3)]);
-        told::<Ask>(&bytes, &cuts) == told::<Ask>(&bytes, &[])
+        told::<RequestLine>(&bytes, &cuts) == told::<RequestLine>(&bytes, &[])
     });
     check(5, |(spoils, cuts): (Vec<(usize, u8)>, Vec<u8>)| {
         let bytes = spoilt(ANSWERS, &spoils[..spoils.len().min(3)]);
-        told::<Status>(&bytes, &cuts) == told::<Status>(&bytes, &[])
+        told::<StatusLine>(&bytes, &cuts) == told::<StatusLine>(&bytes, &[])
     });
 }
 
 #[test]
 fn lists_and_configurations_survive_garbage() {
     let list = EndpointList::from_slice(LIST.as_bytes()).expect("a valid list");
-    assert_eq!((list.rev, list.all, list.targets[0].pod_group), (41, true, 3));
+    assert_eq!((list.revision, list.is_complete, list.endpoints[0].cell), (41, true, 3));
     check(6, |(spoils, end): (Vec<(usize, u8)>, usize)| {
         let bytes = spoilt(LIST, &spoils[..spoils.len().min(3)]);
         let cut = end % bytes.len();
@@ -121,29 +127,29 @@
 #[test]
 fn bad_lengths_and_great_sizes_are_told_apart() {
     let head = |fields: &str| format!("POST /api HTTP/1.1\r\n{fields}\r\n\r\n");
-    let long = format!("X-Long: {}", "x".repeat(MAX_HEAD));
+    let long = format!("X-Long: {}", "x".repeat(MAX_HEAD_BYTES));
     let many = vec!["X-Many: 1"; 70].join("\r\n");
     for (fields, malformed) in [
-        ("Content-Length: -1", Malformed::Length),
-        ("Content-Length: +1", Malformed::Length),
-        ("Content-Length: 1, 1", Malformed::Length),
-        ("Content-Length: 1\r\nContent-Length: 2", Malformed::Length),
-        ("Content-Length: 1\r\nTransfer-Encoding: chunked", Malformed::Length),
-        ("Transfer-Encoding: gzip, chunked", Malformed::Length),
-        ("Transfer-Encoding: chunked\r\n\r\nzz", Malformed::Length),
-        ("Transfer-Encoding: chunked\r\n\r\nffffffffffffffffff", Malformed::BodyTooLarge),
-        ("Content-Length: 65537", Malformed::BodyTooLarge),
-        ("Content-Length: 99999999999999999999999", Malformed::BodyTooLarge),
-        ("No colon", Malformed::Head),
-        (&long, Malformed::HeadTooLarge),
-        (&many, Malformed::HeadTooLarge),
+        ("Content-Length: -1", ParseError::Length),
+        ("Content-Length: +1", ParseError::Length),
+        ("Content-Length: 1, 1", ParseError::Length),
+        ("Content-Length: 1\r\nContent-Length: 2", ParseError::Length),
+        ("Content-Length: 1\r\nTransfer-Encoding: chunked", ParseError::Length),
+        ("Transfer-Encoding: gzip, chunked", ParseError::Length),
+        ("Transfer-Encoding: chunked\r\n\r\nzz", ParseError::Length),
+        ("Transfer-Encoding: chunked\r\n\r\nffffffffffffffffff", ParseError::BodyTooLarge),
+        ("Content-Length: 65537", ParseError::BodyTooLarge),
+        ("Content-Length: 99999999999999999999999", ParseError::BodyTooLarge),
+        ("No colon", ParseError::Head),
+        (&long, ParseError::HeadTooLarge),
+        (&many, ParseError::HeadTooLarge),
     ] {
-        let end = read::<Ask>(head(fields).as_bytes(), &[]);
+        let end = read::<RequestLine>(head(fields).as_bytes(), &[]);
         assert_eq!(end, (Vec::new(), Err(malformed)), "{}", &fields[..fields.len().min(60)]);
     }
     let interim = "HTTP/1.1 100 Continue\r\n\r\n".repeat(17) + "HTTP/1.1 204 No\r\n\r\n";
-    assert_eq!(read::<Status>(interim.as_bytes(), &[]), (Vec::new(), Err(Malformed::Head)));
-    assert_eq!(read::<Status>(&interim.as_bytes()[25..], &[]).0.len(), 1);
-    let whole = format!("{}{}", head("Content-Length: 65536"), "x".repeat(MAX_BODY));
-    assert_eq!(read::<Ask>(whole.as_bytes(), &[250; 300]).0[0].body.len(), MAX_BODY);
+    assert_eq!(read::<StatusLine>(interim.as_bytes(), &[]), (Vec::new(), Err(ParseError::Head)));
+    assert_eq!(read::<StatusLine>(&interim.as_bytes()[25..], &[]).0.len(), 1);
+    let whole = format!("{}{}", head("Content-Length: 65536"), "x".repeat(MAX_BODY_BYTES));
+    assert_eq!(read::<RequestLine>(whole.as_bytes(), &[250; 300]).0[0].body.len(), MAX_BODY_BYTES);
 }
--- a/gateway/tests/parts.rs
+++ b/gateway/tests/parts.rs
@@ -12,8 +12,8 @@
 use ternstack_gateway::clock::Clock;
 use ternstack_gateway::config::Config;
 use ternstack_gateway::descriptors::Descriptors;
-use ternstack_gateway::requests::{AttemptDone, Input, RawRequest};
-use ternstack_gateway::upstream::{read_report, Attempt, Errand, Stop, Upstream};
+use ternstack_gateway::events::{AttemptResult, GatewayEvent, RawRequest};
+use ternstack_gateway::upstream::{parse_load_report, Attempt, Cancellation, Purpose, Upstream};
 use tokio::io::AsyncWriteExt;
 use tokio::net::TcpListener;
 use tokio::sync::{mpsc, oneshot};
@@ -22,9 +22,9 @@
 /// A way to the upstream with its queue.
 struct Upstreams {
     side: Upstream,
-    inputs: mpsc::Receiver<Input>,
+    inputs: mpsc::Receiver<GatewayEvent>,
     number: u32,
-    life: std::sync::Arc<()>,
+    incarnation: std::sync::Arc<()>,
     send_by: Option<Instant>,
 }
 
@@ -35,30 +35,42 @@
             side: Upstream::new(queue, Descriptors::new(most), idle_ms, Duration::from_secs(20)),
             inputs,
             number: 0,
-            life: std::sync::Arc::new(()),
+            incarnation: std::sync::Arc::new(()),
             send_by: None,
         }
     }
 
-    fn start(&mut self, address: std::net::SocketAddr, patience: Duration) -> oneshot::Sender<Stop> {
-        let (call_off, stopped) = oneshot::channel();
+    fn start(&mut self, address: std::net::SocketAddr, patience: Duration) -> oneshot::Sender<Cancellation> {
+        let (call_off, cancelled) = oneshot::channel();
         let raw = RawRequest {
-            before: Bytes::from_static(b"GET /api HTTP/1.1\r\nX-Correlation-Id: a\r\nX-Time-Left-Ms: "),
-            after: Bytes::from_static(b"\r\n\r\n"),
+            before_time_left: Bytes::from_static(
+                b"GET /api HTTP/1.1\r\nX-Correlation-Id: a\r\nX-Time-Left-Ms: ",
+            ),
+            after_time_left: Bytes::from_static(b"\r\n\r\n"),
             body: Bytes::new(),
         };
-        let errand = Errand::Request { id: RequestId(7), number: self.number };
-        let until = Instant::now() + patience;
+        let purpose = Purpose::Request { id: RequestId(7), attempt: self.number };
+        let give_up_at = Instant::now() + patience;
         self.number += 1;
-        let (server, life) = (ServerId(u32::from(address.port())), std::sync::Arc::downgrade(&self.life));
+        let (server, incarnation) =
+            (ServerId(u32::from(address.port())), std::sync::Arc::downgrade(&self.incarnation));
         let send_by = self.send_by;
-        self.side.start(Attempt { errand, server, life, address, raw, until, send_by, stopped });
+        self.side.start(Attempt {
+            purpose,
+            server,
+            incarnation,
+            address,
+            raw,
+            give_up_at,
+            send_by,
+            cancelled,
+        });
         call_off
     }
 
-    async fn end(&mut self) -> AttemptDone {
+    async fn end(&mut self) -> AttemptResult {
         match timeout(LONG, self.inputs.recv()).await.expect("an end") {
-            Some(Input::AttemptDone(end)) => end,
+            Some(GatewayEvent::AttemptEnded(end)) => end,
             other => panic!("{other:?}"),
         }
     }
@@ -66,8 +78,8 @@
     async fn outcome(&mut self, address: std::net::SocketAddr, patience: Duration) -> (Outcome, Report) {
         let _call_off = self.start(address, patience);
         let end = self.end().await;
-        assert_eq!(end.number + 1, self.number);
-        assert_eq!(end.answer.is_some(), end.outcome == Outcome::Served);
+        assert_eq!(end.attempt + 1, self.number);
+        assert_eq!(end.response.is_some(), end.outcome == Outcome::Served);
         (end.outcome, end.report)
     }
 }
@@ -135,7 +147,7 @@
     let mut upstream = Upstreams::new(4, 30_000.0);
     let call_off = upstream.start(server.at, LONG);
     while !matches!(server.next().await, Seen::Request(_)) {}
-    call_off.send(Stop::All).expect("it is out");
+    call_off.send(Cancellation::Always).expect("it is out");
     assert_eq!(upstream.end().await.outcome, Outcome::CalledOff);
     // An answer may still be due on that connection: it is closed.
     while !matches!(server.next().await, Seen::Ended) {}
@@ -173,7 +185,7 @@
     // Its present life ends while an attempt is out there: that one's connection carries nothing more.
     let mut first = server.accept().await;
     first.request().await.expect("it is sent");
-    upstream.life = std::sync::Arc::new(());
+    upstream.incarnation = std::sync::Arc::new(());
     first.write(DESK).await;
     assert_eq!(upstream.end().await.outcome, Outcome::Served);
     assert!(first.ends().await, "nothing is left to read there");
@@ -215,8 +227,8 @@
     };
     let told = read(&good, "LB_LISTEN", "127.0.0.1:4000").expect("sound");
     assert_eq!((told.listen.port(), told.seed, told.sockets), (4000, 0x8c1f_30d2_7a5b_e964, 256));
-    assert!(read(&good, "LB_LISTEN", "here").unwrap_err().starts_with("LB_LISTEN"));
-    assert!(read(&good, "LB_LOG", "loud").unwrap_err().starts_with("LB_LOG"));
+    assert!(read(&good, "LB_LISTEN", "here").unwrap_err().to_string().starts_with("LB_LISTEN"));
+    assert!(read(&good, "LB_LOG", "loud").unwrap_err().to_string().starts_with("LB_LOG"));
     for (path, value, key) in [
         ("/listen", json!("nowhere"), "listen"),
         ("/discovery", json!(7), "discovery"),
@@ -248,13 +260,14 @@
     ] {
         let mut bad = good.clone();
         *bad.pointer_mut(path).expect("it is there") = value;
-        let problem = read(&bad, "", "").expect_err(path);
+        let problem = read(&bad, "", "").expect_err(path).to_string();
         assert!(problem.contains(key) && problem.starts_with("LB_CONFIG"), "{path}: {problem}");
     }
     let mut alone = good.clone();
     alone["settings"]["me"] = json!(1);
     assert!(read(&alone, "", "")
         .expect_err("one gateway is number 0")
+        .to_string()
         .contains("me must be below instances"));
 }
 
@@ -481,7 +494,7 @@
                 let stream = tokio::net::TcpStream::connect(&program.at).await.expect("it listens");
                 let mut client = Client { stream };
                 let _ = client.stream.write_all(look("a").as_bytes()).await;
-                served = client.answer().await.is_some_and(|answer| answer.start.0 == 200);
+                served = client.answer().await.is_some_and(|answer| answer.start_line.code == 200);
             }
         }
         assert!(served, "nobody is served");
@@ -527,13 +540,13 @@
         " utilization = 0.61 , throughput=12.0, backlog=2,inflight=7",
         r#"{"util":0.61,"qps":12,"queue":2,"novel":{"a":[]}}"#,
     ] {
-        assert_eq!(read_report(text), whole, "{text}");
+        assert_eq!(parse_load_report(text), whole, "{text}");
     }
     for value in ["", "-1", "NaN", "inf", "-inf", "1e999", "0x3", "many", "null", "\u{0}"] {
         let pairs = format!("util={value},qps={value},queue={value}");
         let json = format!(r#"{{"util":{value:?},"qps":{value:?},"queue":{value:?}}}"#);
         for text in [pairs, json, value.to_string()] {
-            assert_eq!(read_report(&text), Report::default(), "{text}");
+            assert_eq!(parse_load_report(&text), Report::default(), "{text}");
         }
     }
 }
--- a/gateway/tests/same_bytes.rs
+++ b/gateway/tests/same_bytes.rs
@@ -9,16 +9,18 @@
 use std::net::SocketAddr;
 use std::path::PathBuf;
 use std::time::Duration;
-use ternstack_gateway::answer::Plain;
 use ternstack_gateway::config::Config;
-use ternstack_gateway::http1::{Malformed, Reader, Status, MAX_BODY};
-use ternstack_gateway::requests::Answer;
+use ternstack_gateway::events::Response;
+use ternstack_gateway::http1::{ParseError, Reader, StatusLine, MAX_BODY_BYTES};
+use ternstack_gateway::response::{EncodedResponse, LocalResponse};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::mpsc;
-use tokio::time::{sleep, timeout};
+use tokio::time::{sleep, timeout, Instant};
 
 const DRAWN_REQUESTS: usize = 160;
+/// Of the 550 ms in which new connections still come; an exchange takes a few.
+const NOT_READY_WITHIN: Duration = Duration::from_millis(200);
 
 fn assert_fixture(name: &str, lines: &[String]) {
     let path = PathBuf::from(env!("CARGO_MANIFEST_DIR")).join("tests/fixtures").join(name);
@@ -285,8 +287,10 @@
     assert_fixture("local_answers.txt", &lines);
 }
 
-#[tokio::test]
+/// The clock moves by a millisecond at a time, so that the phases are told apart however slow the machine is.
+#[tokio::test(start_paused = true)]
 async fn refusals_and_the_phases_of_an_end_keep_their_bytes() {
+    let _clock = hold_clock(true);
     let mut lines = Vec::new();
     for advice in [true, false] {
         let (server, mut requests) = raw_server(|_| Some(String::new())).await;
@@ -301,6 +305,7 @@
         lines.push(line("past max_open", &exchange(&gateway, &look("more")).await));
         lines.push(line("serving", &exchange(&gateway, "GET /ready HTTP/1.1\r\n\r\n").await));
         gateway.stop();
+        let stopped_at = Instant::now();
         let stopping = loop {
             let answer = exchange(&gateway, "GET /ready HTTP/1.1\r\n\r\n").await;
             if !answer.starts_with(b"HTTP/1.1 200") {
@@ -308,6 +313,8 @@
             }
         };
         lines.push(line("stopping", &stopping));
+        let after = stopped_at.elapsed();
+        assert!(after < NOT_READY_WITHIN, "ready for {after:?} after it was told to stop");
         // Requests that have begun by then and are whole once nobody is accepted any more.
         let mut late = Vec::new();
         while let Ok(stream) = TcpStream::connect(gateway.at).await {
@@ -331,32 +338,41 @@
 #[test]
 fn every_final_answer_keeps_its_words() {
     let mut lines = Vec::new();
-    let mut word = |label: String, (head, body): (bytes::Bytes, bytes::Bytes)| {
-        lines.push(line(&label, &[head, body].concat()));
+    let mut word = |label: String, response: EncodedResponse| {
+        lines.push(line(&label, &[response.head, response.body].concat()));
     };
     for keep_alive in [true, false] {
         for n in 0..60 {
             let text = drawn_answer(&"x".repeat(n)).expect("an answer");
-            let mut reader = Reader::<Status>::new(MAX_BODY);
+            let mut reader = Reader::<StatusLine>::new(MAX_BODY_BYTES);
             reader.buffer().extend_from_slice(text.as_bytes());
             let served = reader.next(true).expect("sound").expect("whole");
-            word(format!("served {n} {keep_alive}"), Answer::Served(served).word(keep_alive));
+            word(format!("served {n} {keep_alive}"), Response::Served(served).encode(keep_alive));
         }
         for retry_after_ms in [0.0, 0.4, 0.5, 1.0, 999.999, 1234.5, 2000.0, 86_400_000.0] {
-            let refused = Answer::Refused { retry_after_ms };
-            word(format!("refused {retry_after_ms} {keep_alive}"), refused.word(keep_alive));
+            let refused = Response::Rejected { retry_after_ms };
+            word(format!("refused {retry_after_ms} {keep_alive}"), refused.encode(keep_alive));
         }
-        word(format!("failed {keep_alive}"), Answer::Failed.word(keep_alive));
-        word(format!("overdue {keep_alive}"), Answer::Overdue.word(keep_alive));
-        for plain in [Plain::Ready, Plain::Stopping, Plain::Bad("why"), Plain::NotFound, Plain::Method] {
-            word(format!("plain {keep_alive}"), plain.word(keep_alive));
+        word(format!("failed {keep_alive}"), Response::Failed.encode(keep_alive));
+        word(format!("overdue {keep_alive}"), Response::TimedOut.encode(keep_alive));
+        for plain in [
+            LocalResponse::Ready,
+            LocalResponse::Stopping,
+            LocalResponse::BadRequest("why"),
+            LocalResponse::NotFound,
+            LocalResponse::MethodNotAllowed,
+        ] {
+            word(format!("plain {keep_alive}"), plain.encode(keep_alive));
         }
-        for plain in [Plain::TooSlow, Plain::BodyTooLarge, Plain::HeadTooLarge] {
-            word(format!("plain {keep_alive}"), plain.word(keep_alive));
+        for plain in [LocalResponse::RequestTimeout, LocalResponse::BodyTooLarge, LocalResponse::HeadTooLarge]
+        {
+            word(format!("plain {keep_alive}"), plain.encode(keep_alive));
         }
     }
-    for malformed in [Malformed::Head, Malformed::Length, Malformed::HeadTooLarge, Malformed::BodyTooLarge] {
-        word("malformed".into(), Plain::from(malformed).word(false));
+    for malformed in
+        [ParseError::Head, ParseError::Length, ParseError::HeadTooLarge, ParseError::BodyTooLarge]
+    {
+        word("malformed".into(), LocalResponse::from(malformed).encode(false));
     }
     assert_fixture("final_answers.txt", &lines);
 }
@@ -425,7 +441,7 @@
     let mut lines = vec![
         format!("name={} listen={} discovery={}", config.name, config.listen, config.discovery),
         format!("seed={:016x} sockets={} log={}", config.seed, config.sockets, config.log),
-        format!("rev={} all={}", config.known.rev, config.known.all),
+        format!("rev={} all={}", config.known.revision, config.known.is_complete),
         format!(
             "max_open={} dial_timeout={:016x}",
             config.site.max_open,
@@ -438,16 +454,16 @@
     let tenants = ["acme", "zeta", "other"].map(|name| names.tenant(name));
     let zones = ["a", "b", "c", "new", ""].map(|name| names.zone(name));
     lines.push(format!("classes={classes:?} tenants={tenants:?} zones={zones:?}"));
-    for entry in &config.known.targets {
+    for entry in &config.known.endpoints {
         lines.push(format!(
             "uid={} endpoint={:?} az={} pod_group={} state={} capacity_hint={:016x} boot_ms={:016x}",
             entry.uid,
-            entry.endpoint,
-            entry.az,
-            entry.pod_group,
+            entry.address,
+            entry.zone,
+            entry.cell,
             entry.state as u8,
-            entry.capacity_hint.to_bits(),
-            entry.boot_ms.to_bits(),
+            entry.capacity_weight.to_bits(),
+            entry.started_at_ms.to_bits(),
         ));
     }
     lines
--- a/gateway/tests/standstill.rs
+++ b/gateway/tests/standstill.rs
@@ -62,5 +62,5 @@
     let most = patience_ms - STANDSTILL.as_millis() + 150;
     assert!(told <= most, "told {told} ms, {} ms after it was sent", sent.elapsed().as_millis());
     wire.write(DESK).await;
-    assert_eq!(client.answer().await.expect("an answer").start.0, 200);
+    assert_eq!(client.answer().await.expect("an answer").start_line.code, 200);
 }
--- a/rig/src/peers.rs
+++ b/rig/src/peers.rs
@@ -7,7 +7,7 @@
 use std::net::{Ipv4Addr, SocketAddr};
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
-use ternstack_gateway::http1::{Ask, Reader, Start, Status, Whole, MAX_BODY};
+use ternstack_gateway::http1::{CompleteMessage, Reader, RequestLine, StartLine, StatusLine, MAX_BODY_BYTES};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::watch;
@@ -15,9 +15,9 @@
 use tokio::time::{sleep, timeout};
 
 /// The next whole message of a connection, and when its first byte came; `None` if the connection ends first.
-pub(crate) async fn next<S: Start>(
+pub(crate) async fn next<S: StartLine>(
     stream: &mut TcpStream, reader: &mut Reader<S>, book: &Book,
-) -> Option<(Whole<S>, u64)> {
+) -> Option<(CompleteMessage<S>, u64)> {
     let (mut ended, mut first) = (false, None);
     loop {
         if reader.has_begun() {
@@ -32,7 +32,7 @@
     }
 }
 
-fn field<S>(message: &Whole<S>, name: &str) -> String {
+fn field<S>(message: &CompleteMessage<S>, name: &str) -> String {
     message.fields.text(name).unwrap_or("").to_string()
 }
 
@@ -141,9 +141,9 @@
     mut stream: TcpStream, host: usize, gateway: usize, conduct: watch::Receiver<Conduct>, book: Book,
 ) {
     let _ = stream.set_nodelay(true);
-    let mut reader = Reader::new(MAX_BODY);
+    let mut reader = Reader::new(MAX_BODY_BYTES);
     let (mut serial, mut asked) = (0, 0);
-    while let Some((ask, first_us)) = next::<Ask>(&mut stream, &mut reader, &book).await {
+    while let Some((ask, first_us)) = next::<RequestLine>(&mut stream, &mut reader, &book).await {
         let id = field(&ask, "x-correlation-id");
         let now = *conduct.borrow();
         asked += 1;
@@ -300,8 +300,8 @@
     mut stream: TcpStream, gateway: usize, register: Arc<Mutex<Register>>, mut rev: watch::Receiver<u64>,
     book: Book,
 ) {
-    let mut reader = Reader::new(MAX_BODY);
-    while let Some((ask, _)) = next::<Ask>(&mut stream, &mut reader, &book).await {
+    let mut reader = Reader::new(MAX_BODY_BYTES);
+    while let Some((ask, _)) = next::<RequestLine>(&mut stream, &mut reader, &book).await {
         let target = String::from_utf8_lossy(ask.target()).into_owned();
         let asked = |name: &str| -> Option<u64> {
             let rest = target.split(['?', '&']).find_map(|part| part.strip_prefix(name)?.strip_prefix('='));
@@ -399,7 +399,7 @@
                     patience_ms: message.patience.as_millis() as u64,
                 });
             }
-            let mut reader = Reader::<Status>::new(MAX_BODY);
+            let mut reader = Reader::<StatusLine>::new(MAX_BODY_BYTES);
             // A little longer than its patience: what comes late is seen.
             let answer = timeout(
                 message.patience + Duration::from_secs(1),
@@ -419,9 +419,10 @@
     }
 
     fn answered(
-        &mut self, message: &Message, whole: Whole<Status>, reader: &Reader<Status>, stream: TcpStream,
+        &mut self, message: &Message, whole: CompleteMessage<StatusLine>, reader: &Reader<StatusLine>,
+        stream: TcpStream,
     ) -> u16 {
-        let status = whole.start.0;
+        let status = whole.start_line.code;
         let note = What::Answered {
             id: message.id.clone(),
             status,
--- a/rig/src/soak/clients.rs
+++ b/rig/src/soak/clients.rs
@@ -8,7 +8,7 @@
 use std::sync::atomic::{AtomicBool, Ordering::Relaxed};
 use std::sync::Arc;
 use std::time::Duration;
-use ternstack_gateway::http1::{Reader, Status, Whole, MAX_BODY};
+use ternstack_gateway::http1::{CompleteMessage, Reader, StatusLine, MAX_BODY_BYTES};
 use tokio::io::AsyncWriteExt;
 use tokio::net::TcpStream;
 use tokio::time::{sleep, timeout};
@@ -115,7 +115,7 @@
             Manner::Plain => stream.write_all(text.as_bytes()).await.ok()?,
         }
         self.note_asked(message);
-        let mut reader = Reader::new(MAX_BODY);
+        let mut reader = Reader::new(MAX_BODY_BYTES);
         match self.answer(&mut stream, &mut reader, message).await {
             Some(answer) => (answer.keep_alive && reader.is_idle()).then_some(stream),
             None if used && !reader.has_begun() => {
@@ -136,7 +136,7 @@
         if stream.write_all(message.text().as_bytes()).await.is_err() {
             return self.note_unanswered(message);
         }
-        let mut reader = Reader::new(MAX_BODY);
+        let mut reader = Reader::new(MAX_BODY_BYTES);
         match self.answer(&mut stream, &mut reader, message).await {
             Some(answer) => (answer.keep_alive && reader.is_idle()).then_some(stream),
             None => self.note_unanswered(message),
@@ -153,7 +153,7 @@
         let text: String = all.iter().map(Message::text).collect();
         stream.write_all(text.as_bytes()).await.ok()?;
         all.iter().for_each(|message| self.note_asked(message));
-        let mut reader = Reader::new(MAX_BODY);
+        let mut reader = Reader::new(MAX_BODY_BYTES);
         let mut answered = 0;
         let mut goes_on = true;
         while goes_on && answered < all.len() {
@@ -175,13 +175,13 @@
 
     /// Reads the next answer, and writes it down as a message's.
     async fn answer(
-        &self, stream: &mut TcpStream, reader: &mut Reader<Status>, message: &Message,
-    ) -> Option<Whole<Status>> {
+        &self, stream: &mut TcpStream, reader: &mut Reader<StatusLine>, message: &Message,
+    ) -> Option<CompleteMessage<StatusLine>> {
         let patience = message.patience + Duration::from_secs(2);
         let (answer, _) = timeout(patience, next(stream, reader, &self.book)).await.ok()??;
         self.book.note(What::Answered {
             id: message.id.clone(),
-            status: answer.start.0,
+            status: answer.start_line.code,
             body: String::from_utf8_lossy(&answer.body).into_owned(),
             advice: answer.fields.text("retry-after").is_some(),
         });
