--- a/control/tests/common/mod.rs
+++ b/control-plane/tests/common/mod.rs
@@ -1,17 +1,19 @@
 //! An origin, distributors and followers as tasks on loopback, and what a test awaits of them.
 #![allow(dead_code)]
 
+pub mod fixtures;
+
 use std::net::{Ipv4Addr, SocketAddr, SocketAddrV4};
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
-use ternstack_control::follow::{Beside, Follow, Following, Machine, Told};
-use ternstack_control::serve;
-use ternstack_peers::distributor::Distributor;
-use ternstack_peers::lease::Terms;
-use ternstack_peers::origin::Origin;
-use ternstack_peers::scope::{Change, Entry, Host, Key, Number, Scope, Version};
-use ternstack_peers::store::Store;
-use ternstack_peers::wire::Member;
+use ternstack_control_plane::follow::{Beside, Follow, Following, Machine, Told};
+use ternstack_control_plane::serve;
+use ternstack_replication::distributor::Distributor;
+use ternstack_replication::lease::Terms;
+use ternstack_replication::origin::Origin;
+use ternstack_replication::scope::{Change, Entry, Host, Key, Number, Scope, Version};
+use ternstack_replication::store::Store;
+use ternstack_replication::wire::Member;
 use tokio::net::TcpListener;
 use tokio::sync::mpsc;
 use tokio::task::JoinHandle;
--- a/control/tests/folder.rs
+++ b/control-plane/tests/folder.rs
@@ -2,14 +2,14 @@
 //! rig's shim, within the test's own process.
 
 #[allow(dead_code)]
-#[path = "../../rig/shim/faults.rs"]
+#[path = "../../fault-tests/shim/faults.rs"]
 mod shim;
 
 use shim::{Control, Kind, ALWAYS};
 use std::path::Path;
 use std::sync::atomic::Ordering::Relaxed;
-use ternstack_control::beside::{read, save};
-use ternstack_peers::snapshot::Snapshot;
+use ternstack_control_plane::beside::{read, save};
+use ternstack_replication::snapshot::Snapshot;
 
 fn snapshot(version: u64) -> Snapshot {
     Snapshot { known: version, in_force: version, ..Snapshot::default() }
--- a/gateway/src/event_loop/attempts.rs
+++ b/gateway/src/event_loop/attempts.rs
@@ -8,7 +8,7 @@
 use crate::protocol::{HEALTH_CHECK_HEAD, HEALTH_CHECK_TAIL};
 use crate::upstream::{Attempt, Cancellation, Purpose};
 use bytes::Bytes;
-use ternstack::{AttemptEnd, Effect, Event, Outcome, Report, RequestId, ServerId};
+use ternstack_balancer::{AttemptEnd, Effect, Event, Outcome, Report, RequestId, ServerId};
 use tokio::sync::oneshot;
 use tokio::time::Instant;
 use tracing::debug;
--- a/gateway/src/event_loop/endpoints.rs
+++ b/gateway/src/event_loop/endpoints.rs
@@ -5,7 +5,7 @@
 use std::collections::{BTreeMap, HashMap, HashSet};
 use std::net::SocketAddr;
 use std::sync::{Arc, Weak};
-use ternstack::{ListKind, Member, Readiness, ServerId};
+use ternstack_balancer::{ListKind, Member, Readiness, ServerId};
 use ternstack_settings::{spread, Names};
 
 /// A server as last listed.
--- a/gateway/src/event_loop/mod.rs
+++ b/gateway/src/event_loop/mod.rs
@@ -17,7 +17,9 @@
 use open_requests::{OpenRequest, OpenRequests};
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
-use ternstack::{Action, Arrival, Balancer, Class, Event, ListKind, RequestId, ServerId, SettingsError};
+use ternstack_balancer::{
+    Action, Arrival, Balancer, Class, Event, ListKind, RequestId, ServerId, SettingsError,
+};
 use ternstack_settings::Site;
 use timers::{Timer, Timers};
 use tokio::sync::{mpsc, oneshot};
--- a/gateway/src/event_loop/open_requests.rs
+++ b/gateway/src/event_loop/open_requests.rs
@@ -3,7 +3,7 @@
 use crate::permit::{Denial, Locality, NextAttempt, PriorAttempt};
 use crate::upstream::Cancellation;
 use std::collections::BTreeMap;
-use ternstack::{Class, Outcome, RequestId, ServerId};
+use ternstack_balancer::{Class, Outcome, RequestId, ServerId};
 use tokio::sync::oneshot;
 use tokio::time::Instant;
 
--- a/gateway/src/event_loop/timers.rs
+++ b/gateway/src/event_loop/timers.rs
@@ -1,6 +1,6 @@
 //! Timers of the event loop, in the order in which they are due.
 use std::collections::BTreeMap;
-use ternstack::RequestId;
+use ternstack_balancer::RequestId;
 use tokio::time::Instant;
 
 /// What happens when a timer is due.
--- a/gateway/src/events.rs
+++ b/gateway/src/events.rs
@@ -5,7 +5,7 @@
 use crate::http1::{CompleteMessage, StatusLine};
 use bytes::Bytes;
 use std::net::SocketAddr;
-use ternstack::{Outcome, Report, RequestId, ServerId};
+use ternstack_balancer::{Outcome, Report, RequestId, ServerId};
 use tokio::sync::{mpsc, oneshot};
 use tokio::time::Instant;
 
--- a/gateway/src/lib.rs
+++ b/gateway/src/lib.rs
@@ -1,7 +1,7 @@
 //! The gateway on sockets: it accepts clients' requests, has the balancer decide, and forwards them to servers.
 //!
 //! A request passes from [`listener`] as an event ([`events`]) to [`event_loop`], the one task that owns the
-//! [`Balancer`](ternstack::Balancer); from there as attempts to [`upstream`]; and back as a response ([`response`]).
+//! [`Balancer`](ternstack_balancer::Balancer); from there as attempts to [`upstream`]; and back as a response ([`response`]).
 //! [`discovery`] or [`control`] supplies the endpoint list ([`endpoint_list`]), [`permit`] decides whether an attempt may
 //! begin, and [`budget`] which connections may be open. [`protocol`] holds the platform's words on the wire, [`http1`] the
 //! parsing and framing of messages. [`program`] is the whole as a process.
--- a/gateway/src/listener/mod.rs
+++ b/gateway/src/listener/mod.rs
@@ -15,7 +15,7 @@
 use std::sync::atomic::{AtomicU64, AtomicUsize, Ordering};
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
-use ternstack::RequestId;
+use ternstack_balancer::RequestId;
 use ternstack_settings::Site;
 use tokio::sync::{oneshot, watch, OwnedSemaphorePermit, Semaphore};
 use tokio::time::sleep;
--- a/gateway/src/listener/request.rs
+++ b/gateway/src/listener/request.rs
@@ -7,7 +7,7 @@
 };
 use bytes::BytesMut;
 use std::time::Duration;
-use ternstack::Effect;
+use ternstack_balancer::Effect;
 use tokio::sync::oneshot;
 use tokio::time::Instant;
 use tracing::debug;
--- a/gateway/src/permit.rs
+++ b/gateway/src/permit.rs
@@ -1,7 +1,7 @@
 //! The rule that decides whether an attempt may begin: checked when the balancer asks for it, and again before its first
 //! byte is written, since the first answer may no longer hold. No I/O and no clock.
 use crate::invariants::Invariant;
-use ternstack::{Class, Effect, Group};
+use ternstack_balancer::{Class, Effect, Group};
 use tokio::time::Instant;
 
 /// The parts of a server's place that bound the deduplication of keyed requests.
--- a/gateway/src/serve.rs
+++ b/gateway/src/serve.rs
@@ -14,7 +14,7 @@
 use std::io;
 use std::sync::Arc;
 use std::time::Duration;
-use ternstack::SettingsError;
+use ternstack_balancer::SettingsError;
 use ternstack_settings::Site;
 use thiserror::Error;
 use tokio::net::TcpListener;
--- a/gateway/src/upstream/attempt.rs
+++ b/gateway/src/upstream/attempt.rs
@@ -2,7 +2,7 @@
 use crate::events::RawRequest;
 use std::net::SocketAddr;
 use std::sync::Weak;
-use ternstack::{Outcome, RequestId, ServerId};
+use ternstack_balancer::{Outcome, RequestId, ServerId};
 use tokio::sync::oneshot;
 use tokio::time::Instant;
 
--- a/gateway/src/upstream/connection.rs
+++ b/gateway/src/upstream/connection.rs
@@ -8,7 +8,7 @@
 use crate::sockets::{is_local, opened};
 use std::io;
 use std::time::Duration;
-use ternstack::Outcome;
+use ternstack_balancer::Outcome;
 use tokio::net::TcpStream;
 use tokio::time::{sleep_until, timeout_at, Instant};
 use tracing::debug;
--- a/gateway/src/upstream/exchange.rs
+++ b/gateway/src/upstream/exchange.rs
@@ -11,7 +11,7 @@
 use bytes::{Buf, Bytes};
 use std::io;
 use std::time::Duration;
-use ternstack::Outcome;
+use ternstack_balancer::Outcome;
 use tokio::net::TcpStream;
 use tokio::sync::oneshot;
 use tokio::sync::oneshot::error::TryRecvError;
--- a/gateway/src/upstream/load_report.rs
+++ b/gateway/src/upstream/load_report.rs
@@ -1,6 +1,6 @@
 //! Parsing of servers' load reports.
 use serde_json::{Map, Value};
-use ternstack::Report;
+use ternstack_balancer::Report;
 
 /// Parses a load report: `util=0.5,qps=20`, or the same as a JSON object, as a health check's response may carry it.
 ///
--- a/gateway/src/upstream/mod.rs
+++ b/gateway/src/upstream/mod.rs
@@ -18,7 +18,7 @@
 use pool::Pool;
 use std::sync::Arc;
 use std::time::Duration;
-use ternstack::{Outcome, ServerId};
+use ternstack_balancer::{Outcome, ServerId};
 use tokio::time::Instant;
 
 /// A connection is closed after this part of the time after which the server would close it.
--- a/gateway/src/upstream/pool.rs
+++ b/gateway/src/upstream/pool.rs
@@ -2,7 +2,7 @@
 use super::attempt::Attempt;
 use std::collections::BTreeMap;
 use std::sync::{Mutex, MutexGuard, PoisonError};
-use ternstack::ServerId;
+use ternstack_balancer::ServerId;
 use tokio::sync::oneshot;
 
 /// An idle connection. Its task waits for the next attempt; dropping the sender closes it.
--- a/scale/src/hollow.rs
+++ b/scale-tests/src/hollow.rs
@@ -12,15 +12,15 @@
 use std::process::ExitCode;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
-use ternstack_control::follow::{Beside, Follow, Following, Machine, Told as Heard};
-use ternstack_control::serve;
-use ternstack_peers::distributor::Distributor;
-use ternstack_peers::follower::{Acting, News};
-use ternstack_peers::origin::Origin;
-use ternstack_peers::placing;
-use ternstack_peers::scope::{Digest, Entry, Key, Scope};
-use ternstack_peers::store::{Keeps, Store};
-use ternstack_peers::wire::Member;
+use ternstack_control_plane::follow::{Beside, Follow, Following, Machine, Told as Heard};
+use ternstack_control_plane::serve;
+use ternstack_replication::distributor::Distributor;
+use ternstack_replication::follower::{Acting, News};
+use ternstack_replication::origin::Origin;
+use ternstack_replication::placing;
+use ternstack_replication::scope::{Digest, Entry, Key, Scope};
+use ternstack_replication::store::{Keeps, Store};
+use ternstack_replication::wire::Member;
 use tokio::sync::mpsc;
 
 /// A distributor, as the choice among them sees it.
@@ -34,7 +34,7 @@
 
 /// A process of a fleet, as a child of a run: it ends with its parent, and when its standard input does.
 pub fn be_a_part() -> ExitCode {
-    let worked = if ternstack_rig::process::end_with_parent() {
+    let worked = if ternstack_fault_tests::process::end_with_parent() {
         work()
     } else {
         Err("the run that started this process is gone".into())
@@ -42,7 +42,7 @@
     match worked {
         Ok(()) => ExitCode::SUCCESS,
         Err(problem) => {
-            eprintln!("ternstack-scale: {problem}");
+            eprintln!("ternstack-scale-tests: {problem}");
             ExitCode::FAILURE
         }
     }
