--- a/gateway/src/event_loop/attempts.rs
+++ b/gateway/src/event_loop/attempts.rs
@@ -8,14 +8,14 @@
 use crate::protocol::{HEALTH_CHECK_HEAD, HEALTH_CHECK_TAIL};
 use crate::upstream::{Attempt, Cancellation, Purpose};
 use bytes::Bytes;
-use ternstack_balancer::{AttemptEnd, Effect, Event, Outcome, Report, RequestId, ServerId};
+use ternstack_balancer::{AttemptEnd, EndpointId, Event, Idempotency, LoadReport, Outcome, RequestId};
 use tokio::sync::oneshot;
 use tokio::time::Instant;
 use tracing::debug;
 
 impl EventLoop {
     /// Sends a request's next attempt. One that is not permitted ends at once as never sent.
-    pub(super) fn send_attempt(&mut self, id: RequestId, server: ServerId, give_up_at_ms: f64) {
+    pub(super) fn send_attempt(&mut self, id: RequestId, server: EndpointId, give_up_at_ms: f64) {
         let Some(request) = self.requests.get_mut(id) else {
             let detail = format_args!("an attempt of a request that is not open");
             return self.violations.record(Invariant::NoAttemptAfterResponse, id.0, detail);
@@ -26,10 +26,11 @@
         let give_up_at = self.clock.instant(give_up_at_ms).min(request.deadline);
         let permit = request.permit(class, self.max_attempts, give_up_at, locality);
         let send_by = request.deduplicated_until();
-        let is_keyed = class.effect == Effect::Keyed;
+        let is_keyed = class.idempotency == Idempotency::IdempotentWithKey;
         let prior = PriorAttempt {
             locality: locality.unwrap_or_default(),
-            deduplicated_until: is_keyed.then(|| self.clock.instant(self.now_ms + class.window_ms)),
+            deduplicated_until: is_keyed
+                .then(|| self.clock.instant(self.now_ms + class.deduplication_window_ms)),
             may_have_run: true,
             in_flight: true,
         };
@@ -59,13 +60,13 @@
         }
     }
 
-    fn deny_attempt(&mut self, id: RequestId, number: u32, server: ServerId, denial: Denial) {
+    fn deny_attempt(&mut self, id: RequestId, number: u32, server: EndpointId, denial: Denial) {
         debug!(request_id = id.0, attempt = number, server_id = server.0, ?denial, "attempt not sent");
         if let Some(invariant) = denial.violates() {
             let detail = format_args!("attempt {number} at server {}: {denial:?}", server.0);
             self.violations.record(invariant, id.0, detail);
         }
-        self.end_attempt(id, number, Outcome::NotSent, 0.0, Report::default());
+        self.end_attempt(id, number, Outcome::NotSent, 0.0, LoadReport::default());
     }
 
     pub(super) fn cancel_attempt(&mut self, id: RequestId, number: u32) {
@@ -94,7 +95,7 @@
                 ?outcome,
                 latency_ms,
                 utilization = report.utilization,
-                throughput = report.throughput,
+                throughput_per_s = report.throughput_per_s,
                 "attempt ended"
             );
         }
@@ -107,21 +108,23 @@
     }
 
     /// Notes an attempt's end and queues it for the balancer.
-    fn end_attempt(&mut self, id: RequestId, number: u32, outcome: Outcome, latency_ms: f64, report: Report) {
+    fn end_attempt(
+        &mut self, id: RequestId, number: u32, outcome: Outcome, latency_ms: f64, report: LoadReport,
+    ) {
         let Some(ended) = self.requests.end_attempt(id, number, outcome) else { return };
         self.pending_events.push_back(Event::AttemptEnd(AttemptEnd {
             request: id,
             attempt: number,
-            server: ended.server,
+            endpoint: ended.server,
             outcome,
             latency_ms,
-            complete: ended.is_answered,
+            request_complete: ended.is_answered,
             report,
         }));
     }
 
     /// Asks a server for its load report, unless an earlier check of it is in flight.
-    pub(super) fn start_health_check(&mut self, server: ServerId) {
+    pub(super) fn start_health_check(&mut self, server: EndpointId) {
         let target = self.endpoints.target(server).filter(|_| !self.health_checks.contains_key(&server));
         let Some(Target { address, incarnation, .. }) = target else { return };
         let (cancel, cancelled) = oneshot::channel();
--- a/gateway/src/event_loop/endpoints.rs
+++ b/gateway/src/event_loop/endpoints.rs
@@ -5,7 +5,7 @@
 use std::collections::{BTreeMap, HashMap, HashSet};
 use std::net::SocketAddr;
 use std::sync::{Arc, Weak};
-use ternstack_balancer::{ListKind, Member, Readiness, ServerId};
+use ternstack_balancer::{EndpointId, EndpointRecord, Readiness, UpdateKind};
 use ternstack_settings::{spread, Names};
 
 /// A server as last listed.
@@ -40,8 +40,8 @@
 /// All servers that the balancer knows.
 pub(super) struct Endpoints {
     names: Names,
-    ids: HashMap<String, ServerId>,
-    by_id: BTreeMap<ServerId, ListedServer>,
+    ids: HashMap<String, EndpointId>,
+    by_id: BTreeMap<EndpointId, ListedServer>,
     next_id: u32,
 }
 
@@ -51,21 +51,23 @@
     }
 
     /// Where an attempt to a server goes; `None` if the server has no address.
-    pub(super) fn target(&self, server: ServerId) -> Option<Target> {
+    pub(super) fn target(&self, server: EndpointId) -> Option<Target> {
         let listed = self.by_id.get(&server)?;
         let incarnation = Arc::downgrade(&listed.incarnation);
         Some(Target { address: listed.address?, locality: listed.locality, incarnation })
     }
 
     /// What the log says of a server.
-    pub(super) fn describe(&self, server: ServerId) -> Option<ServerDescription<'_>> {
+    pub(super) fn describe(&self, server: EndpointId) -> Option<ServerDescription<'_>> {
         let listed = self.by_id.get(&server)?;
         Some(ServerDescription { uid: &listed.uid, started_at_ms: listed.started_at_ms })
     }
 
     /// Applies a list; its entries as the balancer takes them. Connections to servers that have moved, restarted or
     /// stopped serving are closed.
-    pub(super) fn apply(&mut self, kind: ListKind, list: EndpointList, upstream: &Upstream) -> Vec<Member> {
+    pub(super) fn apply(
+        &mut self, kind: UpdateKind, list: EndpointList, upstream: &Upstream,
+    ) -> Vec<EndpointRecord> {
         let mut members = Vec::with_capacity(list.endpoints.len());
         for entry in list.endpoints {
             let server = self.id(&entry.uid);
@@ -78,29 +80,29 @@
             listed.address = entry.address.or(listed.address);
             listed.started_at_ms = entry.started_at_ms;
             listed.locality = Locality { zone: self.names.zone(&entry.zone), cell: entry.cell };
-            members.push(Member {
-                server,
+            members.push(EndpointRecord {
+                endpoint: server,
                 zone: listed.locality.zone,
                 cell: listed.locality.cell,
-                place: spread(&entry.uid),
+                hash: spread(&entry.uid),
                 weight: entry.capacity_weight,
                 readiness: match entry.state {
                     EndpointState::Serving => Readiness::Active,
-                    EndpointState::Draining => Readiness::Leaving,
-                    EndpointState::Deleted => Readiness::Left,
+                    EndpointState::Draining => Readiness::Draining,
+                    EndpointState::Deleted => Readiness::Removed,
                 },
-                started_at: entry.started_at_ms,
+                started_at_ms: entry.started_at_ms,
             });
         }
-        if kind == ListKind::Whole {
+        if kind == UpdateKind::Complete {
             self.end_unlisted(&members, upstream);
         }
         members
     }
 
     /// Ends the incarnations of the servers that a complete list does not name.
-    fn end_unlisted(&mut self, members: &[Member], upstream: &Upstream) {
-        let named: HashSet<ServerId> = members.iter().map(|member| member.server).collect();
+    fn end_unlisted(&mut self, members: &[EndpointRecord], upstream: &Upstream) {
+        let named: HashSet<EndpointId> = members.iter().map(|member| member.endpoint).collect();
         for (server, listed) in &mut self.by_id {
             if !named.contains(server) {
                 listed.end_incarnation();
@@ -110,17 +112,17 @@
     }
 
     /// Removes the servers that the balancer has removed, which bounds the table's size.
-    pub(super) fn retain(&mut self, is_known: impl Fn(ServerId) -> bool) {
+    pub(super) fn retain(&mut self, is_known: impl Fn(EndpointId) -> bool) {
         self.by_id.retain(|server, _| is_known(*server));
         self.ids.retain(|_, server| is_known(*server));
     }
 
     /// A server's id, a new one for a name that is not known.
-    fn id(&mut self, uid: &str) -> ServerId {
+    fn id(&mut self, uid: &str) -> EndpointId {
         if let Some(id) = self.ids.get(uid) {
             return *id;
         }
-        let id = ServerId(self.next_id);
+        let id = EndpointId(self.next_id);
         self.next_id += 1;
         self.ids.insert(uid.to_string(), id);
         let listed = ListedServer {
--- a/gateway/src/event_loop/mod.rs
+++ b/gateway/src/event_loop/mod.rs
@@ -18,7 +18,7 @@
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
 use ternstack_balancer::{
-    Action, Arrival, Balancer, Class, Event, ListKind, RequestId, ServerId, SettingsError,
+    Action, Arrival, Balancer, EndpointId, Event, RequestClass, RequestId, SettingsError, UpdateKind,
 };
 use ternstack_settings::Site;
 use timers::{Timer, Timers};
@@ -49,7 +49,7 @@
 /// The event loop's state.
 pub struct EventLoop {
     balancer: Balancer,
-    classes: Vec<Class>,
+    classes: Vec<RequestClass>,
     max_attempts: usize,
     max_open: usize,
     max_retry_after_ms: f64,
@@ -62,7 +62,7 @@
     endpoints: Endpoints,
     upstream: Upstream,
     /// The health checks in flight. A sender that is dropped cancels its check.
-    health_checks: BTreeMap<ServerId, oneshot::Sender<Cancellation>>,
+    health_checks: BTreeMap<EndpointId, oneshot::Sender<Cancellation>>,
     health_check_timeout: Duration,
     watch_requests: mpsc::Sender<()>,
     /// Events for the balancer that have not been handled yet.
@@ -80,7 +80,7 @@
         let Dependencies { upstream, watch_requests, violations, lag } = dependencies;
         let clock = Clock::start();
         // A load report is of no use once it is older than the shortest latency objective.
-        let objectives_ms = site.balancer.classes.iter().map(|class| class.aim_ms);
+        let objectives_ms = site.balancer.classes.iter().map(|class| class.latency_objective_ms);
         let health_check_timeout_s = (objectives_ms.fold(f64::INFINITY, f64::min) / 1000.0)
             .clamp(MIN_HEALTH_CHECK_TIMEOUT_S, MAX_HEALTH_CHECK_TIMEOUT_S);
         let mut event_loop = EventLoop {
@@ -102,7 +102,7 @@
             watch_requests,
             pending_events: VecDeque::new(),
         };
-        event_loop.apply_list(ListKind::WarmCopy, cached_list);
+        event_loop.apply_list(UpdateKind::Cached, cached_list);
         Ok(event_loop)
     }
 
@@ -136,13 +136,13 @@
             GatewayEvent::HealthCheckEnded { server, outcome, report } => {
                 debug!(server_id = server.0, ?outcome, ?report, "health check ended");
                 self.health_checks.remove(&server);
-                self.feed(Event::Probed { server, outcome, report });
+                self.feed(Event::HealthCheckEnd { endpoint: server, outcome, report });
             }
             GatewayEvent::Discovery(DiscoveryEvent::WatchLost) => {
-                self.feed(Event::List { kind: ListKind::Lost, members: Vec::new() });
+                self.feed(Event::EndpointUpdate { kind: UpdateKind::WatchLost, endpoints: Vec::new() });
             }
             GatewayEvent::Discovery(DiscoveryEvent::Update(list)) => {
-                let kind = if list.is_complete { ListKind::Whole } else { ListKind::Changes };
+                let kind = if list.is_complete { UpdateKind::Complete } else { UpdateKind::Delta };
                 self.apply_list(kind, list);
             }
         }
@@ -178,20 +178,24 @@
 
     fn carry_out(&mut self, action: Action) {
         match action {
-            Action::Send { request, server, until } => self.send_attempt(request, server, until),
+            Action::Send { request, endpoint, give_up_at_ms } => {
+                self.send_attempt(request, endpoint, give_up_at_ms);
+            }
             Action::Cancel { request, attempt } => self.cancel_attempt(request, attempt),
-            Action::Refuse { request, cause, retry_after_ms } => {
-                debug!(request_id = request.0, ?cause, retry_after_ms, "request rejected");
+            Action::Reject { request, reason, retry_after_ms } => {
+                debug!(request_id = request.0, ?reason, retry_after_ms, "request rejected");
                 self.requests.respond(request, Response::Rejected { retry_after_ms });
             }
             Action::Fail { request } => {
                 debug!(request_id = request.0, "request failed");
                 self.requests.respond(request, Response::Failed);
             }
-            Action::Timer { at, token } => self.timers.set(self.clock.instant(at), Timer::Balancer { token }),
-            Action::Probe { server } => self.start_health_check(server),
+            Action::Timer { at_ms, token } => {
+                self.timers.set(self.clock.instant(at_ms), Timer::Balancer { token });
+            }
+            Action::HealthCheck { endpoint } => self.start_health_check(endpoint),
             // A full channel means that a watch has been asked for already.
-            Action::Watch => drop(self.watch_requests.try_send(())),
+            Action::WatchEndpoints => drop(self.watch_requests.try_send(())),
             Action::Log(line) => info!("{line}"),
         }
     }
@@ -207,15 +211,15 @@
         self.requests.insert(id, OpenRequest::new(class, deadline, raw, respond_to));
         self.timers.set(deadline + DEADLINE_TIMER_DELAY, Timer::Deadline(id));
         let time_left = deadline.saturating_duration_since(Instant::now());
-        let patience_ms = time_left.as_secs_f64() * 1000.0;
-        self.feed(Event::Request(Arrival { request: id, class, tenant, patience_ms }));
+        let client_timeout_ms = time_left.as_secs_f64() * 1000.0;
+        self.feed(Event::Request(Arrival { request: id, class, tenant, client_timeout_ms }));
     }
 
     /// Responds at once, since a client that has only ended its sending side still reads.
     fn on_client_disconnected(&mut self, id: RequestId) {
         let Some(request) = self.requests.unanswered(id) else { return };
         let response = match self.classes.get(request.class) {
-            Some(class) if class.may_refuse(request.may_have_run()) => {
+            Some(class) if class.may_reject(request.may_have_run()) => {
                 Response::Rejected { retry_after_ms: self.max_retry_after_ms }
             }
             _ => Response::Failed,
@@ -243,7 +247,7 @@
     /// may not cancel are stopped unless they have been sent completely.
     fn close_request(&mut self, id: RequestId, response: Response) {
         self.requests.respond(id, response);
-        self.feed(Event::Gone { request: id });
+        self.feed(Event::ClientDisconnected { request: id });
         let attempts = self.requests.get_mut(id).into_iter().flat_map(|request| &mut request.attempts);
         for cancel in attempts.filter_map(|attempt| attempt.cancel.take()) {
             // The receiver is gone if the attempt has ended.
@@ -251,12 +255,12 @@
         }
     }
 
-    fn apply_list(&mut self, kind: ListKind, list: EndpointList) {
+    fn apply_list(&mut self, kind: UpdateKind, list: EndpointList) {
         let members = self.endpoints.apply(kind, list, &self.upstream);
-        if members.is_empty() && kind != ListKind::Changes {
+        if members.is_empty() && kind != UpdateKind::Delta {
             warn!("the endpoint list is empty");
         }
-        self.feed(Event::List { kind, members });
+        self.feed(Event::EndpointUpdate { kind, endpoints: members });
         let balancer = &self.balancer;
         self.endpoints.retain(|server| balancer.knows(server));
     }
--- a/gateway/src/event_loop/open_requests.rs
+++ b/gateway/src/event_loop/open_requests.rs
@@ -3,7 +3,7 @@
 use crate::permit::{Denial, Locality, NextAttempt, PriorAttempt};
 use crate::upstream::Cancellation;
 use std::collections::BTreeMap;
-use ternstack_balancer::{Class, Outcome, RequestId, ServerId};
+use ternstack_balancer::{EndpointId, Outcome, RequestClass, RequestId};
 use tokio::sync::oneshot;
 use tokio::time::Instant;
 
@@ -25,7 +25,7 @@
 /// An attempt that the balancer has asked for.
 pub(super) struct SentAttempt {
     /// The server that it went to.
-    pub(super) server: ServerId,
+    pub(super) server: EndpointId,
     /// When it was sent, by the gateway's clock.
     pub(super) sent_at_ms: f64,
     /// What the request's next attempts have to know of it.
@@ -37,7 +37,7 @@
 /// What the balancer is told of an attempt's end, besides its outcome.
 pub(super) struct EndedAttempt {
     /// The server that it went to.
-    pub(super) server: ServerId,
+    pub(super) server: EndpointId,
     /// Its request has its response.
     pub(super) is_answered: bool,
 }
@@ -67,7 +67,7 @@
 
     /// Whether the next attempt may begin now, at a server in `locality`.
     pub(super) fn permit(
-        &self, class: &Class, max_attempts: usize, give_up_at: Instant, locality: Option<Locality>,
+        &self, class: &RequestClass, max_attempts: usize, give_up_at: Instant, locality: Option<Locality>,
     ) -> Result<(), Denial> {
         let prior_attempts: Vec<PriorAttempt> = self.attempts.iter().map(|sent| sent.prior).collect();
         let next = NextAttempt {
--- a/gateway/src/events.rs
+++ b/gateway/src/events.rs
@@ -5,7 +5,7 @@
 use crate::http1::{CompleteMessage, StatusLine};
 use bytes::Bytes;
 use std::net::SocketAddr;
-use ternstack_balancer::{Outcome, Report, RequestId, ServerId};
+use ternstack_balancer::{EndpointId, LoadReport, Outcome, RequestId};
 use tokio::sync::{mpsc, oneshot};
 use tokio::time::Instant;
 
@@ -27,11 +27,11 @@
     /// A health check has ended.
     HealthCheckEnded {
         /// The server that was checked.
-        server: ServerId,
+        server: EndpointId,
         /// How the check ended.
         outcome: Outcome,
         /// The load report in the server's response.
-        report: Report,
+        report: LoadReport,
     },
     /// Discovery has been heard, or lost.
     Discovery(DiscoveryEvent),
@@ -102,7 +102,7 @@
     /// When it ended.
     pub ended_at: Instant,
     /// The load report in the server's response.
-    pub report: Report,
+    pub report: LoadReport,
     /// The server's response, if it is the one that the client gets.
     pub response: Option<CompleteMessage<StatusLine>>,
 }
--- a/gateway/src/listener/request.rs
+++ b/gateway/src/listener/request.rs
@@ -7,7 +7,7 @@
 };
 use bytes::BytesMut;
 use std::time::Duration;
-use ternstack_balancer::Effect;
+use ternstack_balancer::Idempotency;
 use tokio::sync::oneshot;
 use tokio::time::Instant;
 use tracing::debug;
@@ -55,7 +55,7 @@
         let settings = &self.site.balancer.classes[class];
         // Without its key no server could drop a duplicate.
         let has_no_key = fields.get(IDEMPOTENCY_KEY).is_none_or(<[u8]>::is_empty);
-        if settings.effect == Effect::Keyed && has_no_key {
+        if settings.idempotency == Idempotency::IdempotentWithKey && has_no_key {
             return Err(InvalidRequest::MissingIdempotencyKey);
         }
         let time_left_ms = parse_time_left_ms(message, settings.deadline_ms)?;
--- a/gateway/src/permit.rs
+++ b/gateway/src/permit.rs
@@ -1,7 +1,7 @@
 //! The rule that decides whether an attempt may begin: checked when the balancer asks for it, and again before its first
 //! byte is written, since the first answer may no longer hold. No I/O and no clock.
 use crate::invariants::Invariant;
-use ternstack_balancer::{Class, Effect, Group};
+use ternstack_balancer::{DeduplicationScope, Idempotency, RequestClass};
 use tokio::time::Instant;
 
 /// The parts of a server's place that bound the deduplication of keyed requests.
@@ -67,7 +67,7 @@
 #[derive(Debug)]
 pub struct NextAttempt<'a> {
     /// The request's class.
-    pub class: &'a Class,
+    pub class: &'a RequestClass,
     /// The attempts sent before, in order.
     pub prior_attempts: &'a [PriorAttempt],
     /// The maximum number of attempts.
@@ -99,18 +99,18 @@
         if self.prior_attempts.iter().any(|attempt| attempt.in_flight) {
             return Err(Denial::AttemptInFlight);
         }
-        match (self.class.effect, self.prior_attempts.iter().find(|attempt| attempt.may_have_run)) {
-            (Effect::Safe, _) | (_, None) => Ok(()),
-            (Effect::Unsafe, Some(_)) => Err(Denial::MayHaveRun),
-            (Effect::Keyed, Some(first)) => self.check_retry(first, locality, now),
+        match (self.class.idempotency, self.prior_attempts.iter().find(|attempt| attempt.may_have_run)) {
+            (Idempotency::Idempotent, _) | (_, None) => Ok(()),
+            (Idempotency::NonIdempotent, Some(_)) => Err(Denial::MayHaveRun),
+            (Idempotency::IdempotentWithKey, Some(first)) => self.check_retry(first, locality, now),
         }
     }
 
     fn check_retry(&self, first: &PriorAttempt, locality: Locality, now: Instant) -> Result<(), Denial> {
-        let is_in_scope = match self.class.group {
-            Group::All => true,
-            Group::Zone => first.locality.zone == locality.zone,
-            Group::Cell => first.locality.cell == locality.cell,
+        let is_in_scope = match self.class.deduplication_scope {
+            DeduplicationScope::All => true,
+            DeduplicationScope::Zone => first.locality.zone == locality.zone,
+            DeduplicationScope::Cell => first.locality.cell == locality.cell,
         };
         if !is_in_scope {
             return Err(Denial::OutsideDeduplicationScope);
--- a/gateway/src/serve.rs
+++ b/gateway/src/serve.rs
@@ -99,7 +99,7 @@
         let (events, event_queue) = mpsc::channel(EVENT_QUEUE_COUNT);
         let (watch_requests, watch_requested) = mpsc::channel(1);
         let (phase, phase_now) = watch::channel(ShutdownPhase::Serving);
-        if !site.balancer.ask_discovery {
+        if !site.balancer.poll_discovery {
             // Pushed lists arrive on a watch too, which the balancer does not request then. The channel is empty.
             let _ = watch_requests.try_send(());
         }
@@ -107,7 +107,7 @@
         let available = sockets.saturating_sub(RESERVED_DESCRIPTOR_COUNT + SPARE_CONNECTION_COUNT);
         let descriptors = Descriptors::new(available);
         let dial_timeout = Duration::from_secs_f64(site.dial_timeout_ms / 1000.0);
-        let idle_timeout_ms = site.balancer.idle_ms;
+        let idle_timeout_ms = site.balancer.connection_idle_timeout_ms;
         let upstream = Upstream::new(events.clone(), descriptors.clone(), idle_timeout_ms, dial_timeout)
             .with_violations(violations.clone());
         let deadlines_ms = site.balancer.classes.iter().map(|class| class.deadline_ms);
@@ -193,8 +193,8 @@
             return ListSource::Control { control: Box::new(control), cached_list: cached_list.clone() };
         }
         // Where lists are pushed, each gateway polls a discovery of its own and has no others to wait for.
-        let gateway_count = if site.balancer.ask_discovery { site.balancer.instances } else { 1 };
-        let index = site.balancer.me.min(gateway_count - 1);
+        let gateway_count = if site.balancer.poll_discovery { site.balancer.gateway_count } else { 1 };
+        let index = site.balancer.gateway_index.min(gateway_count - 1);
         let config = FollowConfig {
             dial_timeout: Duration::from_secs_f64(site.dial_timeout_ms / 1000.0),
             // A cached list of any revision, 0 too, is continued with changes.
--- a/gateway/src/upstream/attempt.rs
+++ b/gateway/src/upstream/attempt.rs
@@ -2,7 +2,7 @@
 use crate::events::RawRequest;
 use std::net::SocketAddr;
 use std::sync::Weak;
-use ternstack_balancer::{Outcome, RequestId, ServerId};
+use ternstack_balancer::{EndpointId, Outcome, RequestId};
 use tokio::sync::oneshot;
 use tokio::time::Instant;
 
@@ -35,7 +35,7 @@
     /// What it is for.
     pub purpose: Purpose,
     /// The server it goes to.
-    pub server: ServerId,
+    pub server: EndpointId,
     /// The server's incarnation when it was picked. It is dropped once the server moves, restarts or stops serving.
     pub incarnation: Weak<()>,
     /// Where the server listens.
@@ -56,7 +56,7 @@
         if self.is_past_send_by() {
             Outcome::NotSent
         } else {
-            Outcome::NoConnection
+            Outcome::ConnectFailed
         }
     }
 
--- a/gateway/src/upstream/connection.rs
+++ b/gateway/src/upstream/connection.rs
@@ -102,6 +102,6 @@
         // This machine's lack of descriptors or ports is not the server's fault.
         Ok(Err(e)) if is_local(&e) => Err(Outcome::NotSent),
         Err(_) if attempt.is_past_send_by() => Err(Outcome::NotSent),
-        _ => Err(Outcome::NoConnection),
+        _ => Err(Outcome::ConnectFailed),
     }
 }
--- a/gateway/src/upstream/exchange.rs
+++ b/gateway/src/upstream/exchange.rs
@@ -42,9 +42,9 @@
     }
     tokio::select! {
         biased;
-        () = cancelled_after_send(&mut attempt.cancelled) => Outcome::CalledOff.into(),
+        () = cancelled_after_send(&mut attempt.cancelled) => Outcome::Cancelled.into(),
         end = receive(stream, reader) => end,
-        () = sleep_until(attempt.give_up_at) => Outcome::NoAnswer.into(),
+        () = sleep_until(attempt.give_up_at) => Outcome::ResponseTimeout.into(),
     }
 }
 
@@ -125,7 +125,7 @@
 fn outcome(response: &CompleteMessage<StatusLine>) -> Outcome {
     match response.start_line.code {
         200 => Outcome::Served,
-        503 | 504 if response.fields.get(UNPROCESSED) == Some(UNPROCESSED_VALUE) => Outcome::TurnedAway,
+        503 | 504 if response.fields.get(UNPROCESSED) == Some(UNPROCESSED_VALUE) => Outcome::Rejected,
         _ => Outcome::ServerError,
     }
 }
--- a/gateway/src/upstream/mod.rs
+++ b/gateway/src/upstream/mod.rs
@@ -18,7 +18,7 @@
 use pool::Pool;
 use std::sync::Arc;
 use std::time::Duration;
-use ternstack_balancer::{Outcome, ServerId};
+use ternstack_balancer::{EndpointId, Outcome};
 use tokio::time::Instant;
 
 /// A connection is closed after this part of the time after which the server would close it.
@@ -83,7 +83,7 @@
     }
 
     /// Closes the idle connections to a server.
-    pub fn close_idle(&self, server: ServerId) {
+    pub fn close_idle(&self, server: EndpointId) {
         self.pool.close(server);
     }
 
--- a/gateway/src/upstream/pool.rs
+++ b/gateway/src/upstream/pool.rs
@@ -2,7 +2,7 @@
 use super::attempt::Attempt;
 use std::collections::BTreeMap;
 use std::sync::{Mutex, MutexGuard, PoisonError};
-use ternstack_balancer::ServerId;
+use ternstack_balancer::EndpointId;
 use tokio::sync::oneshot;
 
 /// An idle connection. Its task waits for the next attempt; dropping the sender closes it.
@@ -15,7 +15,7 @@
 #[derive(Debug, Default)]
 struct Connections {
     /// By server, the most recently used connection last.
-    idle: BTreeMap<ServerId, Vec<IdleConnection>>,
+    idle: BTreeMap<EndpointId, Vec<IdleConnection>>,
     last_number: u64,
 }
 
@@ -51,7 +51,7 @@
     }
 
     /// Adds a connection to a server.
-    pub(super) fn offer(&self, server: ServerId) -> Offer {
+    pub(super) fn offer(&self, server: EndpointId) -> Offer {
         let (sender, next_attempt) = oneshot::channel();
         let mut connections = self.lock();
         connections.last_number += 1;
@@ -61,7 +61,7 @@
     }
 
     /// Removes a connection that closes by itself.
-    pub(super) fn withdraw(&self, server: ServerId, number: u64) {
+    pub(super) fn withdraw(&self, server: EndpointId, number: u64) {
         let mut connections = self.lock();
         if let Some(idle) = connections.idle.get_mut(&server) {
             idle.retain(|connection| connection.number != number);
@@ -72,7 +72,7 @@
     }
 
     /// Closes all connections to a server.
-    pub(super) fn close(&self, server: ServerId) {
+    pub(super) fn close(&self, server: EndpointId) {
         self.lock().idle.remove(&server);
     }
 
--- a/gateway/tests/ends.rs
+++ b/gateway/tests/ends.rs
@@ -7,7 +7,7 @@
 use serde_json::{json, Value};
 use std::sync::Arc;
 use std::time::Duration;
-use ternstack_balancer::{Outcome, RequestId, ServerId};
+use ternstack_balancer::{EndpointId, Outcome, RequestId};
 use ternstack_gateway::descriptors::Descriptors;
 use ternstack_gateway::events::{GatewayEvent, RawRequest};
 use ternstack_gateway::http1::{Reader, StatusLine, MAX_BODY_BYTES};
@@ -448,7 +448,8 @@
             after_time_left: Bytes::from(format!("\r\nContent-Length: {body}\r\n\r\n")),
             body: Bytes::from(vec![b'x'; body]),
         };
-        let (server, incarnation) = (ServerId(u32::from(address.port())), Arc::downgrade(&self.incarnation));
+        let (server, incarnation) =
+            (EndpointId(u32::from(address.port())), Arc::downgrade(&self.incarnation));
         let purpose = Purpose::Request { id: RequestId(7), attempt: 0 };
         self.upstream.start(Attempt {
             purpose,
@@ -500,8 +501,8 @@
     let soon = Duration::from_millis(100);
     for (ends_in, window, outcome) in [
         (soon, true, Outcome::NotSent),
-        (soon, false, Outcome::NoConnection),
-        (Duration::from_millis(151), false, Outcome::NoConnection),
+        (soon, false, Outcome::ConnectFailed),
+        (Duration::from_millis(151), false, Outcome::ConnectFailed),
     ] {
         let end = if ends_in == soon { Instant::now() + soon } else { far() };
         let (send_by, until) = if window { (Some(end), far()) } else { (None, end) };
@@ -517,7 +518,7 @@
     let mut wire = server.accept().await;
     wire.stream.read_exact(&mut head).await.expect("it has begun");
     wire.reset();
-    assert_eq!(way.outcome().await, Outcome::NoConnection);
+    assert_eq!(way.outcome().await, Outcome::ConnectFailed);
 }
 
 #[tokio::test]
@@ -540,7 +541,7 @@
     let stop = way.send(server.at, 4, None, far());
     wire.request().await.expect("the same connection");
     stop.send(Cancellation::Always).expect("it is out");
-    assert_eq!(way.outcome().await, Outcome::CalledOff);
+    assert_eq!(way.outcome().await, Outcome::Cancelled);
     assert!(wire.ends().await);
     // Neither is one sent whose client left while it waited for a connection at rest.
     let _stop = way.send(server.at, 4, None, far());
