--- a/balancer/src/balancer/requests.rs
+++ b/balancer/src/balancer/requests.rs
@@ -12,16 +12,16 @@
 use crate::rate_limiter::RateLimit;
 use crate::request::{Attempt, Request};
 use crate::retry;
+use crate::retry_after::RetryAfter;
 use crate::wakeup::WAKE_INTERVAL_MS;
 
 /// A request becomes pending only if it stays useful for at least this many wake-ups.
 const MIN_PENDING_WAKE_UPS: f64 = 2.0;
 
-/// A rejection on arrival.
+/// Why a request is rejected, and when its client should retry.
 struct Rejection {
     reason: RejectionReason,
-    /// Retry-After in ms, before it is limited to the longest that clients heed.
-    retry_after_ms: f64,
+    retry_after: RetryAfter,
 }
 
 impl Balancer {
@@ -43,7 +43,7 @@
         self.retry_budget.deposit();
         self.health_checks.deposit();
         if let Some(rejection) = self.check_admission(now_ms, arrival, saturation_ratio, deadlines.is_late) {
-            return self.reject(arrival.request, rejection.reason, rejection.retry_after_ms, actions);
+            return self.reject(arrival.request, rejection, actions);
         }
 
         let request = Request {
@@ -76,9 +76,10 @@
         let shed_ratio =
             admission::shed_ratio(now_ms, &self.fleet, is_full, &self.failure_ratios, tenant, class);
         if let RateLimit::Exceeded { retry_after_ms } = self.check_rate_limit(now_ms, tenant, is_full) {
-            return Some(Rejection { reason: RejectionReason::QuotaExceeded, retry_after_ms });
+            let retry_after = RetryAfter::Delay(retry_after_ms);
+            return Some(Rejection { reason: RejectionReason::QuotaExceeded, retry_after });
         }
-        let reject = |reason| Some(Rejection { reason, retry_after_ms: f64::INFINITY });
+        let reject = |reason| Some(Rejection { reason, retry_after: RetryAfter::Longest });
         if self.rng.rand_float() < shed_ratio {
             reject(RejectionReason::NoCapacity)
         } else if is_too_late && admission::is_busy(saturation_ratio) {
@@ -238,19 +239,17 @@
         let Some(request) = self.requests.remove(&id) else { return };
         let may_have_run = request.first_possible_run().is_some();
         if self.settings.classes[request.class].may_reject(may_have_run) {
-            // A response would have no value any more: its client should not retry soon.
-            self.reject(id, reason, self.settings.max_retry_after_ms, actions);
+            let rejection = Rejection { reason, retry_after: RetryAfter::Longest };
+            self.reject(id, rejection, actions);
         } else {
             actions.push(Action::Fail { request: id });
         }
     }
 
-    fn reject(
-        &mut self, request: RequestId, reason: RejectionReason, retry_after_ms: f64,
-        actions: &mut Vec<Action>,
-    ) {
+    fn reject(&mut self, request: RequestId, rejection: Rejection, actions: &mut Vec<Action>) {
+        let Rejection { reason, retry_after } = rejection;
         self.rejections.record(reason);
-        let retry_after_ms = retry_after_ms.clamp(0.0, self.settings.max_retry_after_ms);
+        let retry_after_ms = retry_after.limited_ms(self.settings.max_retry_after_ms);
         actions.push(Action::Reject { request, reason, retry_after_ms });
     }
 
--- a/balancer/src/lib.rs
+++ b/balancer/src/lib.rs
@@ -34,6 +34,7 @@
 mod rejection_log;
 mod request;
 mod retry;
+mod retry_after;
 mod saturation;
 mod settings;
 mod slow_start;
--- a/balancer/src/outlier_ejection.rs
+++ b/balancer/src/outlier_ejection.rs
@@ -1,8 +1,10 @@
 //! Ejection of outliers: endpoints that fail much more than the mean of the endpoints in use.
 //!
 //! Rule: an endpoint whose failure ratio lies [`EJECTION_MARGIN_RATIO`] above the mean is ejected. After an
-//! interval it gets one trial request; a failed trial doubles the interval, a response ends the ejection.
-//! Where everything fails or is slow at once, the mean rises too and few are ejected.
+//! interval it gets one trial request, which must be idempotent where such requests exist. A failed trial
+//! doubles the interval. A response ends the ejection, be it an error or a rejection, unless it comes far too
+//! late; so does a new start of the endpoint's process. Where everything fails or is slow at once, the mean
+//! rises too and few are ejected.
 
 use crate::decaying::DecayingRatio;
 use crate::failure_ratios::FAILURE_GAIN_RATIO;
