--- a/balancer/src/decaying.rs
+++ b/balancer/src/decaying.rs
@@ -41,7 +41,9 @@
 /// The part of recent events that went wrong, from 0 to 1, and when it was last updated.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct DecayingRatio {
+    /// The part as of the last update.
     pub ratio: f64,
+    /// When it was last updated.
     pub updated_at_ms: f64,
 }
 
--- a/balancer/src/endpoint_updates.rs
+++ b/balancer/src/endpoint_updates.rs
@@ -15,12 +15,17 @@
 
 /// An update that is being applied.
 pub(crate) struct EndpointUpdate<'a> {
+    /// When it came.
     pub now_ms: f64,
+    /// What kind of update it is.
     pub kind: UpdateKind,
     /// A list of discovery itself has come before.
     pub follows_discovery: bool,
+    /// Only drains bind, removals don't.
     pub removal_is_advisory: bool,
+    /// What it is applied to.
     pub fleet: &'a mut Fleet,
+    /// Spreads first health checks and first requests.
     pub rng: &'a mut Rand64,
 }
 
--- a/balancer/src/fleet.rs
+++ b/balancer/src/fleet.rs
@@ -17,9 +17,13 @@
 /// The endpoints, the subset in use, slow start and this gateway's part of the traffic.
 #[derive(Debug)]
 pub(crate) struct Fleet {
+    /// The endpoints, indexed by whether they are eligible and in use.
     pub endpoints: EndpointSet,
+    /// How this gateway chooses those that it uses.
     pub subset: Subset,
+    /// How much an endpoint gets whose process has just started.
     pub slow_start: SlowStart,
+    /// This gateway's part of the fleet's traffic.
     pub traffic_share: TrafficShare,
     /// How much the fleet load of endpoints counts: 0 until it is known.
     fleet_load_weight: f64,
--- a/balancer/src/lib.rs
+++ b/balancer/src/lib.rs
@@ -10,6 +10,7 @@
 mod admission;
 mod attempt_outcome;
 mod balancer;
+mod capacity;
 mod class_errors;
 mod client_timeouts;
 mod concurrency_factor;
--- a/balancer/src/pick.rs
+++ b/balancer/src/pick.rs
@@ -38,10 +38,15 @@
 
 /// What the pick needs to know of a request and the fleet.
 pub(crate) struct EndpointPick<'a> {
+    /// The time of the pick.
     pub now_ms: f64,
+    /// The endpoints and what they can carry.
     pub fleet: &'a Fleet,
+    /// When trials of ejected endpoints are due.
     pub ejection: &'a OutlierEjection,
+    /// The request's class.
     pub class: &'a RequestClass,
+    /// The request, with its earlier attempts.
     pub request: &'a Request,
     /// Requests of this class may serve as trials of ejected endpoints.
     pub may_try_ejected: bool,
@@ -186,7 +191,7 @@
         let served_ratio = (1.0 - failure_ratio) * (1.0 - error_ratio);
         let capacity_weight = connection_factor
             * class_factor
-            * means.limits.weight_per_s(endpoint)
+            * means.limits.capacities().weight_per_s(endpoint)
             * (1.0 - saturation_ratio)
             * endpoint.concurrency.ratio();
         let fleet_load = FULL_IN_FLIGHT_PER_CORE_COUNT * endpoint.load.fleet_load_ratio;
--- a/balancer/src/rejection_log.rs
+++ b/balancer/src/rejection_log.rs
@@ -17,10 +17,15 @@
 
 /// What a reader of the line needs to tell why requests were rejected.
 pub(crate) struct RejectionContext {
+    /// How full the fleet is; 1 and more when full.
     pub saturation_ratio: f64,
+    /// This gateway's part of the fleet's traffic.
     pub traffic_share_ratio: f64,
+    /// The part of the requests that goes to other zones.
     pub spillover_ratio: f64,
+    /// Requests that wait for capacity.
     pub pending_count: usize,
+    /// Endpoints in use that are ejected.
     pub ejected_count: usize,
 }
 
--- a/balancer/src/request.rs
+++ b/balancer/src/request.rs
@@ -6,10 +6,13 @@
 /// An attempt that has been sent.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Attempt {
+    /// Where it was sent.
     pub endpoint: EndpointId,
     /// Where the endpoint was: a retry with an idempotency key stays within its scope.
     pub locality: Locality,
+    /// When it was sent.
     pub sent_at_ms: f64,
+    /// It has not ended yet.
     pub in_flight: bool,
     /// False once an outcome has proved that it never ran.
     pub may_have_run: bool,
--- a/balancer/src/wakeup.rs
+++ b/balancer/src/wakeup.rs
@@ -19,7 +19,9 @@
 
 /// Why the balancer has to wake.
 pub(crate) struct WakeReasons {
+    /// Requests are pending.
     pub has_pending: bool,
+    /// Health checks are sent.
     pub has_health_checks: bool,
     /// When discovery is to be watched or polled next.
     pub discovery_due_at_ms: Option<f64>,
--- a/balancer/src/zone.rs
+++ b/balancer/src/zone.rs
@@ -3,7 +3,9 @@
 /// The zone and the cell of an endpoint.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct Locality {
+    /// Zone, in the gateway's own numbering.
     pub zone: u32,
+    /// Cell, a part of a zone.
     pub cell: u32,
 }
 
@@ -33,7 +35,9 @@
 /// A value for each side of the zone boundary.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct BySide<T> {
+    /// Of this gateway's own zone.
     pub local: T,
+    /// Of all other zones.
     pub remote: T,
 }
 
