--- a/fleet-simulator/src/capacity/measure.rs
+++ b/fleet-simulator/src/capacity/measure.rs
@@ -178,7 +178,8 @@
     for count in [100, 1_000, 10_000, 100_000, 670_000_usize] {
         let n = count as f64;
         let config = config(8900, count, discovery.at, list.clone());
-        let site = ternstack_settings::read(&config["settings"])?;
+        let deployment =
+            ternstack_settings::Deployment::from_json(&config["settings"]).map_err(|e| e.to_string())?;
         // A walk over the names by a step that meets them all evenly.
         let names: Vec<String> = (0..1009).map(|k| tenant(1 + k * 7919 * 13 % (count - 1))).collect();
         let mut next = 0;
@@ -187,7 +188,7 @@
             n,
             each_us(runs, || {
                 next = (next + 1) % names.len();
-                missed += u32::from(site.names.tenant(&names[next]).is_none());
+                missed += u32::from(deployment.names.tenant_index(&names[next]).is_none());
             })?,
         ]);
         if missed > 0 {
@@ -198,7 +199,7 @@
             n,
             each_us(runs, || {
                 let value: Value = serde_json::from_str(&text).unwrap_or_default();
-                std::hint::black_box(ternstack_settings::read(&value["settings"]).is_ok());
+                std::hint::black_box(ternstack_settings::Deployment::from_json(&value["settings"]).is_ok());
             })? / 1000.0,
         ]);
         let (mut bytes, mut ms) = (f64::INFINITY, f64::INFINITY);
--- a/gateway/src/config.rs
+++ b/gateway/src/config.rs
@@ -7,7 +7,7 @@
 use std::fmt;
 use std::io;
 use std::net::SocketAddr;
-use ternstack_settings::Site;
+use ternstack_settings::Deployment;
 use tracing::level_filters::LevelFilter;
 
 /// The fewest sockets that a gateway can work with.
@@ -29,7 +29,7 @@
     /// The warm copy of the endpoint list.
     pub known: EndpointList,
     /// The settings.
-    pub site: Site,
+    pub site: Deployment,
     /// The least severe log lines that are written.
     pub log: LevelFilter,
 }
@@ -113,7 +113,8 @@
             seed: seed(file.get("seed"))?,
             sockets: usize::try_from(sockets).unwrap_or(usize::MAX),
             known,
-            site: ternstack_settings::read(settings).map_err(|e| format!("LB_CONFIG: settings: {e}"))?,
+            site: ternstack_settings::Deployment::from_json(settings)
+                .map_err(|e| format!("LB_CONFIG: settings: {e}"))?,
             log,
         })
     }
--- a/gateway/src/decide.rs
+++ b/gateway/src/decide.rs
@@ -15,7 +15,7 @@
     Action, Arrival, AttemptEnd, Balancer, EndpointId, EndpointRecord, Event, Idempotency, LoadReport,
     Outcome, Readiness, RequestClass, RequestId, UpdateKind,
 };
-use ternstack_settings::{spread, Names, Site};
+use ternstack_settings::{stable_hash, Deployment, NameTable};
 use tokio::sync::{mpsc, oneshot};
 use tokio::time::{sleep_until, Instant};
 use tracing::{debug, info, warn};
@@ -61,7 +61,7 @@
 /// The deciding task's state.
 pub struct Decider {
     balancer: Balancer,
-    names: Names,
+    names: NameTable,
     max_attempts: usize,
     max_open: usize,
     classes: Vec<RequestClass>,
@@ -87,7 +87,7 @@
 impl Decider {
     /// A module that has been given the warm copy. `watch` takes its wishes to hear from discovery.
     pub fn new(
-        site: Site, seed: u64, known: EndpointList, upstream: Upstream, watch: mpsc::Sender<()>,
+        site: Deployment, seed: u64, known: EndpointList, upstream: Upstream, watch: mpsc::Sender<()>,
         violations: Violations, lag: LoopLag,
     ) -> Result<Self, String> {
         let clock = Clock::start();
@@ -96,7 +96,7 @@
             site.balancer.classes.iter().map(|c| c.latency_objective_ms).fold(f64::INFINITY, f64::min);
         let mut decider = Decider {
             max_attempts: site.balancer.max_attempts as usize,
-            max_open: site.max_open,
+            max_open: site.max_open_requests,
             classes: site.balancer.classes.clone(),
             violations,
             lag,
@@ -448,12 +448,12 @@
                 self.upstream.forget(server);
             }
             (listed.endpoint, listed.boot_ms) = (entry.endpoint.or(listed.endpoint), entry.boot_ms);
-            listed.home = Home { zone: self.names.zone(&entry.az), cell: entry.pod_group };
+            listed.home = Home { zone: self.names.zone_number(&entry.az), cell: entry.pod_group };
             members.push(EndpointRecord {
                 endpoint: server,
                 zone: listed.home.zone,
                 cell: listed.home.cell,
-                hash: spread(&entry.uid),
+                hash: stable_hash(&entry.uid),
                 weight: entry.capacity_hint,
                 readiness: match entry.state {
                     State::Serving => Readiness::Active,
--- a/gateway/src/lib.rs
+++ b/gateway/src/lib.rs
@@ -77,7 +77,7 @@
     let (watch_wanted, watch_asked) = mpsc::channel(1);
     let (phase, phase_now) = watch::channel(Phase::Serving);
 
-    let dial_timeout = Duration::from_secs_f64(site.dial_timeout_ms / 1000.0);
+    let dial_timeout = Duration::from_secs_f64(site.connect_timeout_ms / 1000.0);
     let longest = site.balancer.classes.iter().map(|c| c.deadline_ms).fold(0.0, f64::max);
     let descriptors = Descriptors::new(sockets.saturating_sub(OWN_SOCKETS + SPARE));
     let (violations, lag) = (Violations::default(), LoopLag::default());
--- a/gateway/src/listener.rs
+++ b/gateway/src/listener.rs
@@ -16,7 +16,7 @@
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
 use ternstack_balancer::{Idempotency, RequestId};
-use ternstack_settings::Site;
+use ternstack_settings::Deployment;
 use tokio::io::AsyncWriteExt;
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::{oneshot, watch, OwnedSemaphorePermit, Semaphore};
@@ -82,7 +82,7 @@
 
 /// What all connections of this front share.
 pub struct Front {
-    site: Site,
+    site: Deployment,
     queue: Queue,
     phase: watch::Receiver<Phase>,
     last: AtomicU64,
@@ -138,7 +138,8 @@
 impl Front {
     /// A front whose clients share the budget of `descriptors` with the servers.
     pub fn new(
-        site: Site, queue: Queue, phase: watch::Receiver<Phase>, descriptors: Arc<Descriptors>, lag: LoopLag,
+        site: Deployment, queue: Queue, phase: watch::Receiver<Phase>, descriptors: Arc<Descriptors>,
+        lag: LoopLag,
     ) -> Arc<Self> {
         Arc::new(Front {
             lag,
@@ -432,7 +433,7 @@
         if fields.all(ID).count() != 1 || fields.get(ID).is_none_or(<[u8]>::is_empty) {
             return Err("X-Correlation-Id is missing or given twice");
         }
-        let class = fields.text(CLASS).and_then(|name| self.site.names.class(name));
+        let class = fields.text(CLASS).and_then(|name| self.site.names.class_index(name));
         let class = class.ok_or("X-Service-Class is missing or not in the settings")?;
         let rules = &self.site.balancer.classes[class];
         // Without its key, no server could drop a repeat.
@@ -449,7 +450,7 @@
                 told.ok_or("X-Time-Left-Ms is no time")?.min(rules.deadline_ms)
             }
         };
-        let tenant = fields.text(TENANT).and_then(|name| self.site.names.tenant(name));
+        let tenant = fields.text(TENANT).and_then(|name| self.site.names.tenant_index(name));
         let id = RequestId(self.last.fetch_add(1, Ordering::Relaxed));
         // Its time runs since it came: behind another one, or while the process stood still.
         let now = Instant::now();
--- a/gateway/tests/same_bytes.rs
+++ b/gateway/tests/same_bytes.rs
@@ -428,15 +428,15 @@
         format!("rev={} all={}", config.known.rev, config.known.all),
         format!(
             "max_open={} dial_timeout={:016x}",
-            config.site.max_open,
-            config.site.dial_timeout_ms.to_bits()
+            config.site.max_open_requests,
+            config.site.connect_timeout_ms.to_bits()
         ),
         format!("classes={} tenants={}", balancer.classes.len(), balancer.tenants.len()),
     ];
     let names = &mut config.site.names.clone();
-    let classes = ["look", "book", "a", "other"].map(|name| names.class(name));
-    let tenants = ["acme", "zeta", "other"].map(|name| names.tenant(name));
-    let zones = ["a", "b", "c", "new", ""].map(|name| names.zone(name));
+    let classes = ["look", "book", "a", "other"].map(|name| names.class_index(name));
+    let tenants = ["acme", "zeta", "other"].map(|name| names.tenant_index(name));
+    let zones = ["a", "b", "c", "new", ""].map(|name| names.zone_number(name));
     lines.push(format!("classes={classes:?} tenants={tenants:?} zones={zones:?}"));
     for entry in &config.known.targets {
         lines.push(format!(
--- a/settings/tests/keys.rs
+++ b/settings/tests/keys.rs
@@ -3,7 +3,7 @@
 use serde_json::Value;
 use std::fmt::Write as _;
 use ternstack_balancer::{DeduplicationScope, Idempotency, LoadReportDelivery};
-use ternstack_settings::{read, spread, Site};
+use ternstack_settings::{stable_hash, Deployment};
 
 const ALL_KEYS: &str = include_str!("fixtures/all-keys.json");
 const ALL_VALUES: &str = include_str!("fixtures/all-keys.txt");
@@ -17,9 +17,9 @@
     serde_json::from_str(text).expect("JSON")
 }
 
-/// All values of a site, each on a line of its own, with a word that says which.
-fn values(site: &Site) -> String {
-    let settings = &site.balancer;
+/// All values of a deployment, each on a line of its own, with a word that says which.
+fn values(deployment: &Deployment) -> String {
+    let settings = &deployment.balancer;
     let mut lines: Vec<String> = Vec::new();
     for class in &settings.classes {
         let idempotency = match class.idempotency {
@@ -36,10 +36,10 @@
         lines.push(format!(" objective {} deadline {}", class.latency_objective_ms, class.deadline_ms));
         lines.push(format!(" late {} window {}", class.late_value_ratio, class.deduplication_window_ms));
         lines.push(format!(" idempotency {idempotency} scope {scope}"));
-        lines.push(format!(" number {:?}", site.names.class(&class.name)));
+        lines.push(format!(" number {:?}", deployment.names.class_index(&class.name)));
     }
     for tenant in &settings.tenants {
-        let number = site.names.tenant(&tenant.name);
+        let number = deployment.names.tenant_index(&tenant.name);
         lines.push(format!("tenant {} quota {} number {number:?}", tenant.name, tenant.quota_per_s));
     }
     lines.push(format!(
@@ -69,17 +69,17 @@
     lines.push(format!("removal not binding {}", settings.removal_is_advisory));
     lines
         .push(format!("nines {} top {:?}", settings.availability_weight, settings.availability_target_nines));
-    lines.push(format!("dial {} open {}", site.dial_timeout_ms, site.max_open));
-    let mut names = site.names.clone();
+    lines.push(format!("dial {} open {}", deployment.connect_timeout_ms, deployment.max_open_requests));
+    let mut names = deployment.names.clone();
     for zone in ["east", "west", "north", "new", "east", "newer"] {
-        lines.push(format!("zone {zone} {}", names.zone(zone)));
+        lines.push(format!("zone {zone} {}", names.zone_number(zone)));
     }
-    lines.push(format!("unknown {:?} {:?}", names.class("unknown"), names.tenant("unknown")));
+    lines.push(format!("unknown {:?} {:?}", names.class_index("unknown"), names.tenant_index("unknown")));
     lines.join("\n") + "\n"
 }
 
 fn told(conf: &Value) -> String {
-    match read(conf) {
+    match Deployment::from_json(conf) {
         Ok(_) => "taken".into(),
         Err(error) => error.to_string(),
     }
@@ -87,18 +87,18 @@
 
 #[test]
 fn every_key_is_read_to_its_value() {
-    assert_eq!(values(&read(&json(ALL_KEYS)).expect("sound settings")), ALL_VALUES);
+    assert_eq!(values(&Deployment::from_json(&json(ALL_KEYS)).expect("sound settings")), ALL_VALUES);
 }
 
 #[test]
 fn what_is_left_out_gets_its_default() {
-    assert_eq!(values(&read(&json(LEAST)).expect("sound settings")), DEFAULT_VALUES);
+    assert_eq!(values(&Deployment::from_json(&json(LEAST)).expect("sound settings")), DEFAULT_VALUES);
 }
 
 #[test]
 fn every_key_of_the_fixture_counts() {
     let all = json(ALL_KEYS);
-    let unchanged = values(&read(&all).expect("sound settings"));
+    let unchanged = values(&Deployment::from_json(&all).expect("sound settings"));
     let mut paths = Vec::new();
     walk(&all, "", &mut paths);
     assert!(paths.len() >= 40, "{} keys", paths.len());
@@ -110,7 +110,7 @@
         if was == Some(Value::Bool(true)) {
             keys.insert(key.into(), Value::Bool(false)); // Where true is the default.
         }
-        let seen = read(&without).map(|site| values(&site)).unwrap_or_default();
+        let seen = Deployment::from_json(&without).map(|deployment| values(&deployment)).unwrap_or_default();
         assert_ne!(seen, unchanged, "{path} changes nothing");
     }
 }
@@ -148,11 +148,15 @@
         ("/weights", "live", "tick 2.5 live weights true"),
         ("/weights", "rough", "tick 2.5 live weights false"),
     ] {
-        let seen =
-            values(&read(&changed_settings(&format!("{pointer} \"{word}\""))).expect("sound settings"));
+        let seen = values(
+            &Deployment::from_json(&changed_settings(&format!("{pointer} \"{word}\"")))
+                .expect("sound settings"),
+        );
         assert!(seen.lines().any(|line| line == wanted), "{pointer} {word}: {seen}");
     }
-    let seen = values(&read(&changed_settings("/limits/retry_after false")).expect("sound settings"));
+    let seen = values(
+        &Deployment::from_json(&changed_settings("/limits/retry_after false")).expect("sound settings"),
+    );
     assert!(seen.lines().any(|line| line == "retry after 0"), "{seen}");
 }
 
@@ -165,8 +169,8 @@
     if std::env::var("SETTINGS").is_ok_and(|wanted| wanted == "print") {
         println!(
             "{}\n{}\n{seen}",
-            values(&read(&json(ALL_KEYS)).unwrap()),
-            values(&read(&json(LEAST)).unwrap())
+            values(&Deployment::from_json(&json(ALL_KEYS)).unwrap()),
+            values(&Deployment::from_json(&json(LEAST)).unwrap())
         );
     }
     assert_eq!(seen, FAULTY);
@@ -184,6 +188,6 @@
 
 #[test]
 fn a_host_name_has_the_same_number_everywhere() {
-    assert_eq!(spread(""), 0xcbf2_9ce4_8422_2325);
-    assert_eq!(spread("10.0.0.1:80"), 0x529f_5a4b_643f_a605);
+    assert_eq!(stable_hash(""), 0xcbf2_9ce4_8422_2325);
+    assert_eq!(stable_hash("10.0.0.1:80"), 0x529f_5a4b_643f_a605);
 }
--- a/simulator-adapter/src/fields.rs
+++ b/simulator-adapter/src/fields.rs
@@ -1,52 +1,69 @@
-//! The `name=value` parts of a line.
+//! The `name=value` fields of a line.
 
+use crate::error::FieldError;
 use std::str::FromStr;
 
-/// The parts of one line, in the order given. A line has few, so they are looked up by a walk.
+/// The number of fields that most lines have at most.
+const USUAL_FIELD_COUNT: usize = 8;
+
+/// The fields of one line, in the order given. A line has few, so a linear search finds them fastest.
 pub struct Fields<'a> {
     pairs: Vec<(&'a str, &'a str)>,
 }
 
 impl<'a> Fields<'a> {
-    pub fn new(rest: &'a str) -> Result<Self, String> {
-        let mut pairs = Vec::with_capacity(8);
-        for part in rest.split(' ').filter(|part| !part.is_empty()) {
-            pairs.push(part.split_once('=').ok_or_else(|| format!("{part} is no name=value part"))?);
+    /// Splits what follows the line's word.
+    pub fn parse(text: &'a str) -> Result<Self, FieldError> {
+        let mut pairs = Vec::with_capacity(USUAL_FIELD_COUNT);
+        for part in text.split(' ').filter(|part| !part.is_empty()) {
+            let pair = part.split_once('=').ok_or_else(|| FieldError::NotAPair { part: part.to_string() })?;
+            pairs.push(pair);
         }
         Ok(Fields { pairs })
     }
 
-    fn get(&self, name: &str) -> Option<&'a str> {
-        self.pairs.iter().find(|(n, _)| *n == name).map(|(_, v)| *v)
-    }
-
+    /// Whether the field is there.
     pub fn has(&self, name: &str) -> bool {
         self.get(name).is_some()
     }
 
-    pub fn text(&self, name: &str) -> Result<&'a str, String> {
-        self.get(name).ok_or_else(|| format!("{name} is missing"))
+    /// A required text.
+    pub fn text(&self, name: &'static str) -> Result<&'a str, FieldError> {
+        self.get(name).ok_or(FieldError::Missing { name })
     }
 
+    /// A text, or the default where it is absent.
     pub fn text_or(&self, name: &str, default: &'a str) -> &'a str {
         self.get(name).unwrap_or(default)
     }
 
-    pub fn parsed<T: FromStr>(&self, name: &str) -> Result<T, String> {
-        let text = self.text(name)?;
-        text.parse().map_err(|_| format!("{name}={text} cannot be read as a number"))
+    /// A required number of any type.
+    pub fn parsed<T: FromStr>(&self, name: &'static str) -> Result<T, FieldError> {
+        let value = self.text(name)?;
+        value.parse().map_err(|_| FieldError::NotANumber { name, value: value.to_string() })
     }
 
-    pub fn number(&self, name: &str) -> Result<f64, String> {
-        let value: f64 = self.parsed(name)?;
-        if value.is_finite() {
-            Ok(value)
+    /// A number of any type, or the default where it is absent.
+    pub fn parsed_or<T: FromStr>(&self, name: &'static str, default: T) -> Result<T, FieldError> {
+        if self.has(name) {
+            self.parsed(name)
         } else {
-            Err(format!("{name}={value} is no finite number"))
+            Ok(default)
         }
     }
 
-    pub fn number_or(&self, name: &str, default: f64) -> Result<f64, String> {
+    /// A required finite number.
+    pub fn number(&self, name: &'static str) -> Result<f64, FieldError> {
+        let number: f64 = self.parsed(name)?;
+        if number.is_finite() {
+            Ok(number)
+        } else {
+            Err(FieldError::NotFinite { name, value: number.to_string() })
+        }
+    }
+
+    /// A finite number, or the default where it is absent.
+    pub fn number_or(&self, name: &'static str, default: f64) -> Result<f64, FieldError> {
         if self.has(name) {
             self.number(name)
         } else {
@@ -54,11 +71,16 @@
         }
     }
 
-    pub fn flag(&self, name: &str) -> Result<bool, String> {
+    /// A flag, 0 or 1; 0 where it is absent.
+    pub fn flag(&self, name: &'static str) -> Result<bool, FieldError> {
         match self.get(name) {
             None | Some("0") => Ok(false),
             Some("1") => Ok(true),
-            Some(other) => Err(format!("{name}={other} is neither 0 nor 1")),
+            Some(other) => Err(FieldError::NotAFlag { name, value: other.to_string() }),
         }
     }
+
+    fn get(&self, name: &str) -> Option<&'a str> {
+        self.pairs.iter().find(|(known, _)| *known == name).map(|(_, value)| *value)
+    }
 }
--- a/simulator-adapter/src/main.rs
+++ b/simulator-adapter/src/main.rs
@@ -1,16 +1,19 @@
-//! Speaks the bench's line protocol on standard input and output. It translates and decides nothing.
+//! Speaks the simulator's line protocol on standard input and output.
 #![forbid(unsafe_code)]
 
 use std::io::{self, BufReader, BufWriter};
 use std::process::ExitCode;
 
+/// Buffer for each direction: holds a usual batch whole.
+const BUFFER_BYTES: usize = 1 << 16;
+
 fn main() -> ExitCode {
-    let input = BufReader::with_capacity(1 << 16, io::stdin().lock());
-    let output = BufWriter::with_capacity(1 << 16, io::stdout().lock());
+    let input = BufReader::with_capacity(BUFFER_BYTES, io::stdin().lock());
+    let output = BufWriter::with_capacity(BUFFER_BYTES, io::stdout().lock());
     match ternstack_simulator_adapter::run(input, output) {
         Ok(()) => ExitCode::SUCCESS,
-        Err(problem) => {
-            eprintln!("ternstack-simulator-adapter: {problem}");
+        Err(error) => {
+            eprintln!("ternstack-simulator-adapter: {error}");
             ExitCode::FAILURE
         }
     }
--- a/simulator-adapter/tests/transcripts.rs
+++ b/simulator-adapter/tests/transcripts.rs
@@ -10,7 +10,7 @@
 
 fn play(text: &str) -> Result<String, String> {
     let mut out = Vec::new();
-    run(text.as_bytes(), &mut out)?;
+    run(text.as_bytes(), &mut out).map_err(|error| error.to_string())?;
     Ok(String::from_utf8(out).expect("UTF-8"))
 }
 
