--- a/gateway/src/config.rs
+++ b/gateway/src/config.rs
@@ -7,7 +7,7 @@
 use std::env;
 use std::io;
 use std::net::SocketAddr;
-use ternstack_settings::Site;
+use ternstack_settings::Deployment;
 use thiserror::Error;
 use tracing::level_filters::LevelFilter;
 
@@ -34,7 +34,7 @@
     /// The cached endpoint list.
     pub known: EndpointList,
     /// The settings.
-    pub site: Site,
+    pub site: Deployment,
     /// The least severe level that is logged.
     pub log: LevelFilter,
 }
@@ -170,7 +170,8 @@
             seed: parse_seed(file.get("seed"))?,
             sockets: usize::try_from(sockets).unwrap_or(usize::MAX),
             known,
-            site: ternstack_settings::read(settings).map_err(|e| ConfigError::Settings(e.to_string()))?,
+            site: ternstack_settings::Deployment::from_json(settings)
+                .map_err(|e| ConfigError::Settings(e.to_string()))?,
             log,
         })
     }
--- a/gateway/src/event_loop/mod.rs
+++ b/gateway/src/event_loop/mod.rs
@@ -20,7 +20,7 @@
 use ternstack_balancer::{
     Action, Arrival, Balancer, EndpointId, Event, RequestClass, RequestId, SettingsError, UpdateKind,
 };
-use ternstack_settings::Site;
+use ternstack_settings::Deployment;
 use timers::{Timer, Timers};
 use tokio::sync::{mpsc, oneshot};
 use tokio::time::{sleep_until, Instant};
@@ -75,7 +75,7 @@
     /// # Errors
     /// Fails on settings that the balancer cannot work with.
     pub fn new(
-        site: Site, seed: u64, cached_list: EndpointList, dependencies: Dependencies,
+        site: Deployment, seed: u64, cached_list: EndpointList, dependencies: Dependencies,
     ) -> Result<Self, SettingsError> {
         let Dependencies { upstream, watch_requests, violations, lag } = dependencies;
         let clock = Clock::start();
@@ -85,7 +85,7 @@
             .clamp(MIN_HEALTH_CHECK_TIMEOUT_S, MAX_HEALTH_CHECK_TIMEOUT_S);
         let mut event_loop = EventLoop {
             max_attempts: site.balancer.max_attempts as usize,
-            max_open: site.max_open,
+            max_open: site.max_open_requests,
             classes: site.balancer.classes.clone(),
             violations,
             lag,
