--- a/control-plane/src/asking.rs
+++ b/control-plane/src/asking.rs
@@ -10,10 +10,10 @@
 use std::pin::Pin;
 use std::sync::{Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
-use ternstack_replication::distributor::Distributor;
-use ternstack_replication::follower::{Follower, News, Refused};
-use ternstack_replication::store::Keeps;
-use ternstack_replication::wire::{Ask, Grant, Message};
+use ternstack_replication::follower::{Follower, FollowerEvent, ResponseError};
+use ternstack_replication::replica::Replica;
+use ternstack_replication::store::Storage;
+use ternstack_replication::wire::{Message, PollRequest, PollResponse};
 use tokio::net::TcpStream;
 use tokio::sync::Notify;
 use tokio::time::{sleep, sleep_until, timeout, timeout_at};
@@ -22,32 +22,32 @@
 /// A core that asks. Times are ms of the drive's clock.
 pub(crate) trait Asking {
     /// When the next ask is due, if nothing comes until then.
-    fn next_ask(&mut self, now: f64) -> f64;
+    fn next_poll(&mut self, now: f64) -> f64;
     /// The next ask, if it is due.
-    fn ask(&mut self, now: f64) -> Option<Ask>;
+    fn ask(&mut self, now: f64) -> Option<PollRequest>;
     /// Takes an answer.
-    fn granted(&mut self, now: f64, grant: Grant) -> Result<Vec<News>, Refused>;
+    fn granted(&mut self, now: f64, grant: PollResponse) -> Result<Vec<FollowerEvent>, ResponseError>;
     /// The connection is another one.
     fn moved(&mut self);
     /// Until when its lease lasts.
     fn lease_until(&self) -> f64;
 }
 
-impl<K: Keeps> Asking for Follower<K> {
-    fn next_ask(&mut self, _: f64) -> f64 {
-        Follower::next_ask(self)
+impl<K: Storage> Asking for Follower<K> {
+    fn next_poll(&mut self, _: f64) -> f64 {
+        Follower::next_poll(self)
     }
 
-    fn ask(&mut self, now: f64) -> Option<Ask> {
-        Follower::ask(self, now)
+    fn ask(&mut self, now: f64) -> Option<PollRequest> {
+        Follower::poll(self, now)
     }
 
-    fn granted(&mut self, now: f64, grant: Grant) -> Result<Vec<News>, Refused> {
-        Follower::granted(self, now, grant)
+    fn granted(&mut self, now: f64, grant: PollResponse) -> Result<Vec<FollowerEvent>, ResponseError> {
+        Follower::handle_response(self, now, grant)
     }
 
     fn moved(&mut self) {
-        Follower::moved(self);
+        Follower::reconnected(self);
     }
 
     fn lease_until(&self) -> f64 {
@@ -55,21 +55,21 @@
     }
 }
 
-impl Asking for Distributor {
-    fn next_ask(&mut self, now: f64) -> f64 {
-        Distributor::next_ask(self, now)
+impl Asking for Replica {
+    fn next_poll(&mut self, now: f64) -> f64 {
+        Replica::next_poll(self, now)
     }
 
-    fn ask(&mut self, now: f64) -> Option<Ask> {
-        Distributor::ask(self, now)
+    fn ask(&mut self, now: f64) -> Option<PollRequest> {
+        Replica::poll(self, now)
     }
 
-    fn granted(&mut self, now: f64, grant: Grant) -> Result<Vec<News>, Refused> {
-        Distributor::granted(self, now, grant)
+    fn granted(&mut self, now: f64, grant: PollResponse) -> Result<Vec<FollowerEvent>, ResponseError> {
+        Replica::handle_response(self, now, grant)
     }
 
     fn moved(&mut self) {
-        Distributor::moved(self);
+        Replica::reconnected(self);
     }
 
     fn lease_until(&self) -> f64 {
@@ -120,7 +120,7 @@
     /// Calls one machine after another, for as long as it is polled. `called` hears of each connection, `tell` of news.
     pub async fn run(
         &self, mut choice: Choice, mut called: impl FnMut(Option<usize>),
-        mut tell: impl FnMut(f64, Vec<News>),
+        mut tell: impl FnMut(f64, Vec<FollowerEvent>),
     ) -> Infallible {
         let mut better = None;
         loop {
@@ -156,7 +156,7 @@
     }
 
     async fn talk(
-        &self, mut stream: TcpStream, choice: &mut Choice, tell: &mut impl FnMut(f64, Vec<News>),
+        &self, mut stream: TcpStream, choice: &mut Choice, tell: &mut impl FnMut(f64, Vec<FollowerEvent>),
     ) -> End {
         let (reader, mut writer) = stream.split();
         let (mut frames, mut scratch, mut asked) = (Frames::new(reader), Vec::new(), None);
@@ -178,19 +178,19 @@
             }
             let ask = lock(self.core).ask(now);
             if let Some(ask) = ask {
-                let message = Message::Ask(ask);
+                let message = Message::PollRequest(ask);
                 let by = self.clock.at(choice.leave_at());
                 match timeout_at(by, write(&mut writer, &message, &mut scratch)).await {
                     Ok(Ok(bytes)) => self.counter.written(&message, bytes, None),
                     Ok(Err(why)) => return End::Left(why.to_string()),
                     Err(_) => return End::Left("it does not read".into()),
                 }
-                if let Message::Ask(ask) = message {
+                if let Message::PollRequest(ask) = message {
                     asked = Some(ask);
                 }
             }
             let now = self.clock.now();
-            let next = lock(self.core).next_ask(now).min(now + self.look_ms);
+            let next = lock(self.core).next_poll(now).min(now + self.look_ms);
             let until = next.min(choice.leave_at()).min(choice.better_at());
             let dialled = async {
                 match &mut better {
@@ -200,10 +200,10 @@
             };
             tokio::select! {
                 read = frames.next() => match read {
-                    Ok(Some((Message::Grant(grant), bytes))) => {
-                        let message = Message::Grant(grant);
+                    Ok(Some((Message::PollResponse(grant), bytes))) => {
+                        let message = Message::PollResponse(grant);
                         self.counter.read(&message, bytes, asked.as_ref());
-                        if let Message::Grant(grant) = message {
+                        if let Message::PollResponse(grant) = message {
                             self.take(grant, choice, tell);
                         }
                     }
@@ -226,7 +226,7 @@
         }
     }
 
-    fn take(&self, grant: Grant, choice: &mut Choice, tell: &mut impl FnMut(f64, Vec<News>)) {
+    fn take(&self, grant: PollResponse, choice: &mut Choice, tell: &mut impl FnMut(f64, Vec<FollowerEvent>)) {
         let now = self.clock.now();
         let mut core = lock(self.core);
         let before = core.lease_until();
--- a/control-plane/src/follow.rs
+++ b/control-plane/src/follow.rs
@@ -13,12 +13,12 @@
 use std::sync::atomic::{AtomicU64, AtomicUsize, Ordering::Relaxed};
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
-use ternstack_replication::follower::{Acting, Follower, News};
-use ternstack_replication::lease::Terms;
-use ternstack_replication::placing;
-use ternstack_replication::scope::{Entry, Key, Number, Scope};
+use ternstack_replication::follower::{Follower, FollowerEvent, ScopeMode};
+use ternstack_replication::lease::LeaseConfig;
+use ternstack_replication::placement;
+use ternstack_replication::scope::{Entry, Key, Revision, Scope};
 use ternstack_replication::tables::Tables;
-use ternstack_replication::wire::{Counts, Member};
+use ternstack_replication::wire::{Member, Traffic};
 use tokio::sync::Notify;
 use tokio::task::spawn_blocking;
 use tokio::time::{sleep, sleep_until};
@@ -60,7 +60,7 @@
     /// The machines that it may call, in any order.
     pub machines: Vec<Machine>,
     /// The figures of the agreement, the same at all members.
-    pub terms: Terms,
+    pub terms: LeaseConfig,
     /// Where its snapshot is, if it keeps one.
     pub beside: Option<Beside>,
     /// The scopes that it wants from the start on, with their heat: the hottest come first.
@@ -71,7 +71,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Told {
     /// The core's news, from an answer.
-    News(News),
+    News(FollowerEvent),
     /// It holds a lease, and held none.
     Leased,
     /// Its lease has run out: the neutral rules hold.
@@ -87,7 +87,7 @@
     wake: Notify,
     machines: Vec<SocketAddr>,
     order: Vec<usize>,
-    terms: Terms,
+    terms: LeaseConfig,
     beside: Option<Beside>,
     connected: AtomicUsize, // The machine, or NONE.
     moves: AtomicU64,
@@ -109,20 +109,20 @@
             }
         });
         let mut core = match kept {
-            Some(kept) => Follower::restored(terms, member, kept),
+            Some(kept) => Follower::restore(terms, member, kept),
             None => Follower::new(terms, member, Tables::new()),
         };
-        wanted.into_iter().for_each(|(scope, heat)| core.want(scope, heat));
-        let places: Vec<placing::Machine> = machines
+        wanted.into_iter().for_each(|(scope, heat)| core.subscribe(scope, heat));
+        let places: Vec<placement::ReplicaLocation> = machines
             .iter()
-            .map(|m| placing::Machine {
+            .map(|m| placement::ReplicaLocation {
                 name: m.name.clone(),
                 zone: m.zone.clone(),
                 region: m.region.clone(),
             })
             .collect();
         Arc::new(Following {
-            order: placing::order(&name, &zone, &region, &places),
+            order: placement::preference_order(&name, &zone, &region, &places),
             name,
             core: Mutex::new(core),
             clock: Clock::start(),
@@ -149,14 +149,14 @@
             counter: &self.counter,
             wake: &self.wake,
             look_ms: f64::INFINITY,
-            dial: Duration::from_secs_f64(self.terms.answer_within_ms() / 2000.0),
+            dial: Duration::from_secs_f64(self.terms.response_timeout_ms() / 2000.0),
         };
-        let choice = Choice::new(self.order.clone(), self.terms.answer_within_ms(), seed(&self.name));
+        let choice = Choice::new(self.order.clone(), self.terms.response_timeout_ms(), seed(&self.name));
         let called = |machine: Option<usize>| {
             self.connected.store(machine.unwrap_or(NONE), Relaxed);
             self.moves.fetch_add(u64::from(machine.is_some()), Relaxed);
         };
-        let news = |now: f64, news: Vec<News>| {
+        let news = |now: f64, news: Vec<FollowerEvent>| {
             let leased = now < lock(&self.core).lease_until();
             let mut teller = lock(&teller);
             if teller.lease(now, leased) && leased {
@@ -192,7 +192,7 @@
         let mut saved = None;
         loop {
             sleep(beside.every).await;
-            let now = self.with(|core, _| (core.in_force(), core.whole().count()));
+            let now = self.with(|core, _| (core.in_force(), core.complete_scopes().count()));
             if saved == Some(now) || now.0 == 0 {
                 continue;
             }
@@ -217,13 +217,13 @@
 
     /// A request needs a scope, which is so hot.
     pub fn want(&self, scope: Scope, heat: f64) {
-        lock(&self.core).want(scope, heat);
+        lock(&self.core).subscribe(scope, heat);
         self.wake.notify_one();
     }
 
     /// A scope is needed no more.
     pub fn forget(&self, scope: Scope) {
-        lock(&self.core).forget(scope);
+        lock(&self.core).unsubscribe(scope);
     }
 
     /// The member's name.
@@ -232,8 +232,8 @@
     }
 
     /// What to act by in a scope, now.
-    pub fn acting(&self, scope: Scope) -> Acting {
-        self.with(|core, now| core.acting(now, scope))
+    pub fn acting(&self, scope: Scope) -> ScopeMode {
+        self.with(|core, now| core.scope_mode(now, scope))
     }
 
     /// What holds under a key, now.
@@ -242,7 +242,7 @@
     }
 
     /// The version that came into force last here.
-    pub fn in_force(&self) -> Number {
+    pub fn in_force(&self) -> Revision {
         lock(&self.core).in_force()
     }
 
@@ -262,7 +262,7 @@
     }
 
     /// Messages and bytes so far, in both directions.
-    pub fn counts(&self) -> Counts {
+    pub fn counts(&self) -> Traffic {
         self.counter.counts()
     }
 
--- a/control-plane/src/frames.rs
+++ b/control-plane/src/frames.rs
@@ -3,7 +3,8 @@
 use std::io;
 use std::sync::atomic::{AtomicU64, Ordering::Relaxed};
 use ternstack_replication::wire::{
-    decode, encode, Ask, Causes, Counts, Grant, Malformed, Message, Tally, LONGEST,
+    decode, encode, FrameError, Message, PollRequest, PollResponse, Traffic, TrafficByCause, TrafficCount,
+    MAX_FRAME_BYTES,
 };
 use tokio::io::{AsyncRead, AsyncReadExt, AsyncWrite, AsyncWriteExt};
 
@@ -16,7 +17,7 @@
 #[derive(Debug)]
 pub enum Broken {
     /// The other end speaks something else. The connection cannot go on: nothing tells where the next frame begins.
-    Malformed(Malformed),
+    Malformed(FrameError),
     /// It ended after so many bytes of a frame.
     Cut(usize),
     /// It failed.
@@ -37,7 +38,7 @@
 
 impl std::error::Error for Broken {}
 
-/// Messages that come on a stream. It holds at most [`LONGEST`] bytes.
+/// Messages that come on a stream. It holds at most [`MAX_FRAME_BYTES`] bytes.
 #[derive(Debug)]
 pub struct Frames<R> {
     stream: R,
@@ -66,7 +67,7 @@
                 self.buffer.reserve(self.buffer.len().clamp(KEPT / 4, GROWTH));
             }
             // A frame that is not whole is shorter than this: there is always room for a byte.
-            let room = LONGEST.saturating_sub(self.buffer.len());
+            let room = MAX_FRAME_BYTES.saturating_sub(self.buffer.len());
             let read = self.stream.read_buf(&mut (&mut self.buffer).limit(room)).await;
             match read.map_err(Broken::Failed)? {
                 0 if self.buffer.is_empty() => return Ok(None),
@@ -102,7 +103,7 @@
     written: Side,
 }
 
-/// Messages and bytes, in the order of the fields of [`Causes`].
+/// Messages and bytes, in the order of the fields of [`TrafficByCause`].
 #[derive(Debug, Default)]
 struct Side([(AtomicU64, AtomicU64); 5]);
 
@@ -118,10 +119,10 @@
         self.0[cause].1.fetch_add(bytes as u64, Relaxed);
     }
 
-    fn take(&self, message: &Message, bytes: usize, asked: Option<&Ask>) {
+    fn take(&self, message: &Message, bytes: usize, asked: Option<&PollRequest>) {
         match message {
-            Message::Ask(_) => self.add(ASKS, 1, bytes),
-            Message::Grant(grant) => {
+            Message::PollRequest(_) => self.add(ASKS, 1, bytes),
+            Message::PollResponse(grant) => {
                 let (changes, starts) = parted(grant, asked);
                 let cause = match (starts > 0, changes > 0) {
                     (true, _) => STARTS,
@@ -137,47 +138,47 @@
         }
     }
 
-    fn causes(&self) -> Causes {
-        let tally = |cause: usize| Tally {
+    fn causes(&self) -> TrafficByCause {
+        let tally = |cause: usize| TrafficCount {
             messages: self.0[cause].0.load(Relaxed),
             bytes: self.0[cause].1.load(Relaxed),
         };
-        Causes {
-            asks: tally(ASKS),
+        TrafficByCause {
+            polls: tally(ASKS),
             leases: tally(LEASES),
             changes: tally(CHANGES),
-            starts: tally(STARTS),
-            staff: tally(STAFF),
+            fetches: tally(STARTS),
+            admin: tally(STAFF),
         }
     }
 }
 
 impl Counter {
     /// A message was read; where it answers an ask, this one.
-    pub fn read(&self, message: &Message, bytes: usize, asked: Option<&Ask>) {
+    pub fn read(&self, message: &Message, bytes: usize, asked: Option<&PollRequest>) {
         self.read.take(message, bytes, asked);
     }
 
     /// A message was written; where it answers an ask, this one.
-    pub fn written(&self, message: &Message, bytes: usize, asked: Option<&Ask>) {
+    pub fn written(&self, message: &Message, bytes: usize, asked: Option<&PollRequest>) {
         self.written.take(message, bytes, asked);
     }
 
     /// All so far.
-    pub fn counts(&self) -> Counts {
-        Counts { read: self.read.causes(), written: self.written.causes() }
+    pub fn counts(&self) -> Traffic {
+        Traffic { read: self.read.causes(), written: self.written.causes() }
     }
 }
 
 /// The bytes of an answer that are changes, and those that are pieces of what was fetched: also all that a machine between
 /// is sent which has nothing yet.
-fn parted(grant: &Grant, asked: Option<&Ask>) -> (usize, usize) {
+fn parted(grant: &PollResponse, asked: Option<&PollRequest>) -> (usize, usize) {
     let starts_all = asked.is_some_and(|ask| ask.known == 0);
     let is_fetched = |scope| asked.is_some_and(|ask| ask.fetch.iter().any(|(fetched, _)| *fetched == scope));
     let (mut changes, mut starts) = (0, 0);
     changes += grant.pending.iter().map(size).sum::<usize>();
-    changes += grant.behind.iter().map(size).sum::<usize>();
-    for part in &grant.parts {
+    changes += grant.stale.iter().map(size).sum::<usize>();
+    for part in &grant.chunks {
         match starts_all || is_fetched(part.scope) {
             true => starts += size(part),
             false => changes += size(part),
--- a/control-plane/src/main.rs
+++ b/control-plane/src/main.rs
@@ -7,9 +7,9 @@
 use ternstack_control_plane::operator::{changes, member, Operator, Role};
 use ternstack_control_plane::serve::Machine;
 use ternstack_control_plane::staff;
-use ternstack_replication::scope::Number;
+use ternstack_replication::scope::Revision;
 use ternstack_replication::store::Store;
-use ternstack_replication::wire::Causes;
+use ternstack_replication::wire::TrafficByCause;
 use tokio::net::TcpListener;
 use tokio::signal::unix::{signal, SignalKind};
 use tokio::time::{sleep, Instant};
@@ -155,7 +155,7 @@
     Err(Problem::Met(problem))
 }
 
-async fn in_force(at: SocketAddr, version: Number, until: Instant) -> Result<(), Problem> {
+async fn in_force(at: SocketAddr, version: Revision, until: Instant) -> Result<(), Problem> {
     loop {
         let left = until.saturating_duration_since(Instant::now());
         if left.is_zero() {
@@ -185,7 +185,7 @@
                 let line = serde_json::json!({
                     "name": status.name, "in_force": status.in_force, "known": status.through,
                     "followers": status.followers, "lease_ms": status.lease_ms,
-                    "state": format!("{:032x}", status.sum.0), "counts": status.counts,
+                    "state": format!("{:032x}", status.digest.0), "counts": status.traffic,
                 });
                 println!("{line}");
             }
@@ -196,9 +196,9 @@
                 s.through,
                 s.followers,
                 s.lease_ms.map_or("-".into(), |ms| ms.to_string()),
-                bytes(&s.counts.read),
-                bytes(&s.counts.written),
-                s.sum.0
+                bytes(&s.traffic.read),
+                bytes(&s.traffic.written),
+                s.digest.0
             ),
             Err(why) => {
                 silent += 1;
@@ -213,6 +213,6 @@
     Ok(())
 }
 
-fn bytes(causes: &Causes) -> u64 {
-    [causes.asks, causes.leases, causes.changes, causes.starts, causes.staff].iter().map(|t| t.bytes).sum()
+fn bytes(causes: &TrafficByCause) -> u64 {
+    [causes.polls, causes.leases, causes.changes, causes.fetches, causes.admin].iter().map(|t| t.bytes).sum()
 }
--- a/control-plane/src/operator.rs
+++ b/control-plane/src/operator.rs
@@ -8,9 +8,9 @@
 use std::ops::Range;
 use std::path::{Path, PathBuf};
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
-use ternstack_replication::lease::Terms;
+use ternstack_replication::lease::LeaseConfig;
+use ternstack_replication::rules::RetryPolicy;
 use ternstack_replication::scope::{Change, Entry, Host, Key, Route, Scope};
-use ternstack_replication::version::Repeat;
 use ternstack_replication::wire::Member;
 use toml::de::{DeTable, DeValue};
 
@@ -87,7 +87,7 @@
 pub struct Operator {
     /// The figures of the agreement, the same at all members.
     #[serde(default)]
-    pub terms: Terms,
+    pub terms: LeaseConfig,
     /// The control machines.
     pub machine: Vec<Control>,
     /// The zones.
@@ -231,11 +231,11 @@
         let terms = &self.terms;
         for (key, value, least, most) in [
             ("lease_ms", terms.lease_ms, 100.0, 3_600_000.0),
-            ("drift", terms.drift, 0.0, 0.2),
+            ("drift", terms.clock_drift_ratio, 0.0, 0.2),
             ("batch_ms", terms.batch_ms, 0.0, 60_000.0),
             ("round_trip_ms", terms.round_trip_ms, 0.0, 60_000.0),
             ("bytes_per_s", terms.bytes_per_s, 1000.0, 1e9),
-            ("between_bytes_per_s", terms.between_bytes_per_s, 1000.0, 1e10),
+            ("between_bytes_per_s", terms.replica_bytes_per_s, 1000.0, 1e10),
             ("burst_s", terms.burst_s, 0.1, 60.0),
         ] {
             if !(least..=most).contains(&value) {
@@ -355,14 +355,14 @@
     #[serde(default)]
     removed: bool,
     class: Option<u16>,
-    repeat: Option<Repeat>,
+    repeat: Option<RetryPolicy>,
 }
 
 #[derive(Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 struct ClassChange {
     number: u16,
-    repeat: Repeat,
+    repeat: RetryPolicy,
 }
 
 #[derive(Debug, Deserialize)]
@@ -398,7 +398,7 @@
             Some(Entry::Host(Host {
                 address,
                 zone: zone.ok_or_else(|| not("zone", &zones()))?.number,
-                drains: host.state == State::Draining,
+                draining: host.state == State::Draining,
                 weight_milli: (host.weight * 1000.0).round() as u32,
                 started_s: host.started_s,
             }))
@@ -408,7 +408,7 @@
     for (n, zone) in read.zone.iter().enumerate() {
         let found = operator.zone_of(&zone.name);
         let number = found.ok_or_else(|| text.not(&[K("zone"), At(n), K("name")], &zones()))?.number;
-        let key = Key::numbered(u32::from(number));
+        let key = Key::from_number(u32::from(number));
         changes.push(Change { scope: Scope::Zones, key, entry: Some(Entry::Zone(zone.serves)) });
     }
     for quota in &read.quota {
@@ -423,14 +423,14 @@
         } else {
             Some(Entry::Route(Route {
                 class: route.class.ok_or_else(|| not("class", "a class' number, of a route that stays"))?,
-                repeat: route.repeat.unwrap_or(Repeat::Never),
+                retry_policy: route.repeat.unwrap_or(RetryPolicy::Never),
             }))
         };
         changes.push(Change { scope: Scope::Routes(service.number), key: Key::of(&route.name), entry });
     }
     for class in &read.class {
-        let key = Key::numbered(u32::from(class.number));
-        changes.push(Change { scope: Scope::Fleet, key, entry: Some(Entry::Repeat(class.repeat)) });
+        let key = Key::from_number(u32::from(class.number));
+        changes.push(Change { scope: Scope::Fleet, key, entry: Some(Entry::RetryPolicy(class.repeat)) });
     }
     if changes.is_empty() {
         return Err(text.not(&[], "host, zone, quota, route or class at least once"));
--- a/control-plane/src/serve.rs
+++ b/control-plane/src/serve.rs
@@ -10,12 +10,12 @@
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
-use ternstack_replication::distributor::Distributor;
-use ternstack_replication::lease::Terms;
-use ternstack_replication::origin::{Happened, Origin, Proposer, Unfit};
-use ternstack_replication::scope::{Change, Number};
+use ternstack_replication::lease::LeaseConfig;
+use ternstack_replication::primary::{Primary, PrimaryEvent, ProposalError, Proposer};
+use ternstack_replication::replica::Replica;
+use ternstack_replication::scope::{Change, Revision};
 use ternstack_replication::store::Store;
-use ternstack_replication::wire::{Ask, Counts, Grant, Malformed, Member, Message, Status};
+use ternstack_replication::wire::{FrameError, Member, Message, PollRequest, PollResponse, Status, Traffic};
 use tokio::net::tcp::WriteHalf;
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::{mpsc, Notify};
@@ -41,7 +41,7 @@
 /// A core that answers followers. Times are ms of the machine's clock.
 pub trait Granting: Send + 'static {
     /// The answer to an ask; `None` where there is none, and the follower tries elsewhere.
-    fn asked(&mut self, now: f64, ask: &Ask) -> Option<Grant>;
+    fn asked(&mut self, now: f64, ask: &PollRequest) -> Option<PollResponse>;
     /// What it has.
     fn store(&self) -> &Store;
     /// How many hold leases by it.
@@ -51,22 +51,22 @@
     /// Takes a proposal and numbers it; an error for whoever does not.
     fn propose(&mut self, proposer: Proposer, changes: Vec<Change>) -> Result<u64, String>;
     /// Forgets what was removed before a version.
-    fn forget(&mut self, before: Number);
+    fn forget(&mut self, before: Revision);
 }
 
-impl Granting for Origin {
-    fn asked(&mut self, now: f64, ask: &Ask) -> Option<Grant> {
+impl Granting for Primary {
+    fn asked(&mut self, now: f64, ask: &PollRequest) -> Option<PollResponse> {
         // A single process is its own majority, until voters are there.
-        self.confirmed(now);
-        Origin::asked(self, now, ask)
+        self.confirm_leadership(now);
+        Primary::handle_poll(self, now, ask)
     }
 
     fn store(&self) -> &Store {
-        Origin::store(self)
+        Primary::store(self)
     }
 
     fn leases(&self, now: f64) -> usize {
-        self.grantor().holders(now).count()
+        self.lessor().holders(now).count()
     }
 
     fn lease_ms(&self, _: f64) -> Option<f64> {
@@ -74,25 +74,25 @@
     }
 
     fn propose(&mut self, proposer: Proposer, changes: Vec<Change>) -> Result<u64, String> {
-        Origin::propose(self, proposer, changes).map_err(|unfit: Unfit| unfit.to_string())
+        Primary::propose(self, proposer, changes).map_err(|unfit: ProposalError| unfit.to_string())
     }
 
-    fn forget(&mut self, before: Number) {
-        Origin::forget(self, before);
+    fn forget(&mut self, before: Revision) {
+        Primary::compact(self, before);
     }
 }
 
-impl Granting for Distributor {
-    fn asked(&mut self, now: f64, ask: &Ask) -> Option<Grant> {
-        Distributor::asked(self, now, ask)
+impl Granting for Replica {
+    fn asked(&mut self, now: f64, ask: &PollRequest) -> Option<PollResponse> {
+        Replica::handle_poll(self, now, ask)
     }
 
     fn store(&self) -> &Store {
-        Distributor::store(self)
+        Replica::store(self)
     }
 
     fn leases(&self, now: f64) -> usize {
-        self.grantor().holders(now).count()
+        self.lessor().holders(now).count()
     }
 
     fn lease_ms(&self, now: f64) -> Option<f64> {
@@ -103,13 +103,13 @@
         Err("a distributor takes no proposals, expected an origin".into())
     }
 
-    fn forget(&mut self, before: Number) {
-        self.forget_removed(before);
+    fn forget(&mut self, before: Revision) {
+        self.purge_tombstones(before);
     }
 }
 
 /// The way back for a proposal's answer: to its connection, with the number that it has there.
-type Reply = (mpsc::Sender<(u64, Number)>, u64);
+type Reply = (mpsc::Sender<(u64, Revision)>, u64);
 
 /// A control machine. It runs for as long as the future of its `run` is polled; dropping that closes its connections.
 pub struct Machine<C> {
@@ -141,17 +141,17 @@
         let store = core.store();
         Status {
             name: self.name.clone(),
-            in_force: store.number(),
+            in_force: store.in_force(),
             through: store.through(),
-            sum: store.sum(),
+            digest: store.total_digest(),
             followers: core.leases(now) as u64,
             lease_ms: core.lease_ms(now).map(|ms| ms as u64),
-            counts: self.counter.counts(),
+            traffic: self.counter.counts(),
         }
     }
 
     /// Messages and bytes so far, in both directions.
-    pub fn counts(&self) -> Counts {
+    pub fn counts(&self) -> Traffic {
         self.counter.counts()
     }
 
@@ -191,7 +191,7 @@
         // Made for who proposes only; so many of its proposals are out.
         let (mut replies, mut out) = (None, 0);
         // The last ask, where there is no answer to it yet: better a late one than a follower that calls around.
-        let mut held: Option<Ask> = None;
+        let mut held: Option<PollRequest> = None;
         loop {
             let again = async {
                 match &held {
@@ -208,7 +208,7 @@
             let message = tokio::select! {
                 Some((number, version)) = reply => {
                     out -= 1;
-                    Some(Message::Proposed { number, version: Ok(version) })
+                    Some(Message::Proposed { proposal_id: number, revision: Ok(version) })
                 }
                 () = again => {
                     self.grant(&mut held, &mut writer, &mut scratch).await?;
@@ -219,25 +219,25 @@
                     let Some((message, bytes)) = read? else { return Ok(()) };
                     self.counter.read(&message, bytes, None);
                     match message {
-                        Message::Ask(ask) => {
+                        Message::PollRequest(ask) => {
                             held = Some(ask);
                             self.grant(&mut held, &mut writer, &mut scratch).await?;
                             None
                         }
-                        Message::Propose { number, changes } => {
+                        Message::Propose { proposal_id: number, changes } => {
                             let (reply, _) = replies.get_or_insert_with(|| mpsc::channel(PROPOSALS));
                             match self.take(from, changes, (reply.clone(), number)) {
                                 Ok(()) => {
                                     out += 1;
                                     None
                                 }
-                                Err(why) => Some(Message::Proposed { number, version: Err(why) }),
+                                Err(why) => Some(Message::Proposed { proposal_id: number, revision: Err(why) }),
                             }
                         }
-                        Message::Look => Some(Message::Status(self.status())),
-                        Message::Grant(_) | Message::Proposed { .. } | Message::Status(_) => {
+                        Message::GetStatus => Some(Message::Status(self.status())),
+                        Message::PollResponse(_) | Message::Proposed { .. } | Message::Status(_) => {
                             let what = "an answer, expected an ask, a proposal or a look";
-                            return Err(Broken::Malformed(Malformed::Content(what.into())));
+                            return Err(Broken::Malformed(FrameError::Content(what.into())));
                         }
                     }
                 }
@@ -251,13 +251,13 @@
 
     /// Answers the ask that is held, if there is an answer. The lease counts from here on, at its holder from the ask.
     async fn grant(
-        &self, held: &mut Option<Ask>, writer: &mut WriteHalf<'_>, scratch: &mut Vec<u8>,
+        &self, held: &mut Option<PollRequest>, writer: &mut WriteHalf<'_>, scratch: &mut Vec<u8>,
     ) -> Result<(), Broken> {
         let Some(ask) = held else { return Ok(()) };
         let grant = lock(&self.core).asked(self.clock.now(), ask);
         self.wake.notify_one();
         let Some(grant) = grant else { return Ok(()) };
-        let grant = Message::Grant(grant);
+        let grant = Message::PollResponse(grant);
         let bytes = unread(write(writer, &grant, scratch)).await?;
         self.counter.written(&grant, bytes, Some(ask));
         *held = None;
@@ -278,12 +278,12 @@
 
     /// Forgets what was removed long ago.
     async fn forget(&self) -> Infallible {
-        let mut past: VecDeque<(f64, Number)> = VecDeque::new();
+        let mut past: VecDeque<(f64, Revision)> = VecDeque::new();
         loop {
             sleep(Duration::from_secs_f64(FORGET_MS / 1000.0)).await;
             let now = self.clock.now();
             let mut core = lock(&self.core);
-            past.push_back((now, core.store().number()));
+            past.push_back((now, core.store().in_force()));
             let mut before = None;
             while past.front().is_some_and(|(at, _)| now - at > REMOVED_MS) {
                 before = past.pop_front().map(|(_, number)| number);
@@ -302,15 +302,15 @@
         .unwrap_or_else(|_| Err(Broken::Failed(std::io::ErrorKind::TimedOut.into())))
 }
 
-impl Machine<Origin> {
+impl Machine<Primary> {
     /// An origin that leads from now on, with all agreed versions, in force or to come.
-    pub fn origin(name: &str, terms: Terms, store: Store) -> Arc<Self> {
+    pub fn origin(name: &str, terms: LeaseConfig, store: Store) -> Arc<Self> {
         let clock = Clock::start();
-        Self::make(name, clock, Origin::new(terms, clock.now(), 1, store))
+        Self::make(name, clock, Primary::new(terms, clock.now(), 1, store))
     }
 
     /// Takes a proposal from within the process; the number that the origin gave it.
-    pub fn propose(&self, changes: Vec<Change>) -> Result<u64, Unfit> {
+    pub fn propose(&self, changes: Vec<Change>) -> Result<u64, ProposalError> {
         let since = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
         let proposer = Proposer { name: self.name.clone(), proposed_ms: since.as_millis() as u64 };
         let number = lock(&self.core).propose(proposer, changes);
@@ -336,12 +336,12 @@
                 let happened = core.tick(now);
                 // Guards against a version that waits for nobody but a lease to run out.
                 let store = core.store();
-                let until = (store.through() > store.number()).then_some(now + LOOK_MS);
+                let until = (store.through() > store.in_force()).then_some(now + LOOK_MS);
                 (happened, core.next_tick().unwrap_or(f64::INFINITY).min(until.unwrap_or(f64::INFINITY)))
             };
             for what in happened {
                 match what {
-                    Happened::Agreed { version, proposals } => {
+                    PrimaryEvent::Agreed { revision: version, proposals } => {
                         info!(name = self.name, version, proposals = proposals.len(), "agreed");
                         let mut waiting = lock(&self.waiting);
                         for (reply, number) in proposals.iter().filter_map(|n| waiting.remove(n)) {
@@ -349,7 +349,7 @@
                             let _ = reply.try_send((number, version));
                         }
                     }
-                    Happened::InForce(version) => info!(name = self.name, version, "in force"),
+                    PrimaryEvent::InForce(version) => info!(name = self.name, version, "in force"),
                 }
             }
             tokio::select! {
@@ -363,17 +363,17 @@
 /// How often an origin looks whether a version may come into force, where no ask makes it look.
 const LOOK_MS: f64 = 25.0;
 
-impl Machine<Distributor> {
+impl Machine<Replica> {
     /// A distributor that knows nothing yet, and so answers nobody.
-    pub fn distributor(member: Member, terms: Terms) -> Arc<Self> {
+    pub fn distributor(member: Member, terms: LeaseConfig) -> Arc<Self> {
         let clock = Clock::start();
         let name = member.name.clone();
-        Self::make(&name, clock, Distributor::new(terms, member, clock.now()))
+        Self::make(&name, clock, Replica::new(terms, member, clock.now()))
     }
 
     /// Serves on a listener, and follows the first of `grantors` that gives it leases, for as long as it is polled.
     pub async fn run(
-        self: Arc<Self>, listener: TcpListener, grantors: Vec<SocketAddr>, terms: Terms,
+        self: Arc<Self>, listener: TcpListener, grantors: Vec<SocketAddr>, terms: LeaseConfig,
     ) -> Infallible {
         let never = Notify::new();
         let line = Line {
@@ -384,10 +384,11 @@
             counter: &self.counter,
             // It is looked at often enough; asks come by the hundreds a second.
             wake: &never,
-            look_ms: terms.ask_soon_ms() / 2.0,
-            dial: Duration::from_secs_f64(terms.answer_within_ms() / 2000.0),
+            look_ms: terms.prompt_poll_delay_ms() / 2.0,
+            dial: Duration::from_secs_f64(terms.response_timeout_ms() / 2000.0),
         };
-        let choice = Choice::new((0..grantors.len()).collect(), terms.answer_within_ms(), seed(&self.name));
+        let choice =
+            Choice::new((0..grantors.len()).collect(), terms.response_timeout_ms(), seed(&self.name));
         tokio::select! {
             never = self.clone().accept(listener) => never,
             never = line.run(choice, |_| {}, |_, _| {}) => never,
--- a/control-plane/src/staff.rs
+++ b/control-plane/src/staff.rs
@@ -2,7 +2,7 @@
 use crate::frames::{write, Frames};
 use std::net::SocketAddr;
 use std::time::Duration;
-use ternstack_replication::scope::{Change, Number};
+use ternstack_replication::scope::{Change, Revision};
 use ternstack_replication::wire::{Message, Status};
 use tokio::net::TcpStream;
 use tokio::time::timeout;
@@ -21,16 +21,18 @@
 
 /// How it is at a machine.
 pub async fn status(at: SocketAddr, within: Duration) -> Result<Status, String> {
-    match call(at, &Message::Look, within).await? {
+    match call(at, &Message::GetStatus, within).await? {
         Message::Status(status) => Ok(status),
         _ => Err(format!("{at}: expected a status")),
     }
 }
 
 /// Proposes changes to an origin: the version that they are part of. It is in force later.
-pub async fn propose(at: SocketAddr, changes: Vec<Change>, within: Duration) -> Result<Number, String> {
-    match call(at, &Message::Propose { number: 1, changes }, within).await? {
-        Message::Proposed { number: 1, version } => version.map_err(|why| format!("{at}: refused: {why}")),
+pub async fn propose(at: SocketAddr, changes: Vec<Change>, within: Duration) -> Result<Revision, String> {
+    match call(at, &Message::Propose { proposal_id: 1, changes }, within).await? {
+        Message::Proposed { proposal_id: 1, revision } => {
+            revision.map_err(|why| format!("{at}: refused: {why}"))
+        }
         _ => Err(format!("{at}: expected a version, or why there is none")),
     }
 }
--- a/control-plane/tests/common/mod.rs
+++ b/control-plane/tests/common/mod.rs
@@ -8,10 +8,10 @@
 use std::time::Duration;
 use ternstack_control_plane::follow::{Beside, Follow, Following, Machine, Told};
 use ternstack_control_plane::serve;
-use ternstack_replication::distributor::Distributor;
-use ternstack_replication::lease::Terms;
-use ternstack_replication::origin::Origin;
-use ternstack_replication::scope::{Change, Entry, Host, Key, Number, Scope, Version};
+use ternstack_replication::lease::LeaseConfig;
+use ternstack_replication::primary::Primary;
+use ternstack_replication::replica::Replica;
+use ternstack_replication::scope::{Change, ChangeSet, Entry, Host, Key, Revision, Scope};
 use ternstack_replication::store::Store;
 use ternstack_replication::wire::Member;
 use tokio::net::TcpListener;
@@ -25,13 +25,13 @@
 pub const SERVICE: Scope = Scope::Hosts(7);
 
 /// Short leases, so that what waits for one to run out does not wait long.
-pub fn terms() -> Terms {
-    Terms { lease_ms: 700.0, batch_ms: 20.0, ..Terms::default() }
+pub fn terms() -> LeaseConfig {
+    LeaseConfig { lease_ms: 700.0, batch_ms: 20.0, ..LeaseConfig::default() }
 }
 
 pub fn host(n: u64, drains: bool) -> Change {
     let address = SocketAddrV4::new(Ipv4Addr::LOCALHOST, 1000 + n as u16);
-    let host = Host { address, zone: 1, drains, weight_milli: 1000, started_s: 0 };
+    let host = Host { address, zone: 1, draining: drains, weight_milli: 1000, started_s: 0 };
     Change { scope: SERVICE, key: Key(n), entry: Some(Entry::Host(host)) }
 }
 
@@ -39,9 +39,9 @@
 pub fn store(hosts: u64) -> Store {
     let mut store = Store::new();
     let mut changes: Vec<Change> = (0..hosts).map(|n| host(n, false)).collect();
-    changes.push(Change { scope: Scope::Zones, key: Key::numbered(1), entry: Some(Entry::Zone(true)) });
-    store.pending(Version { number: 1, changes });
-    store.in_force(1);
+    changes.push(Change { scope: Scope::Zones, key: Key::from_number(1), entry: Some(Entry::Zone(true)) });
+    store.add_pending(ChangeSet { revision: 1, changes });
+    store.advance_to(1);
     store
 }
 
@@ -72,14 +72,14 @@
     }
 }
 
-pub async fn origin(hosts: u64) -> Running<Origin> {
+pub async fn origin(hosts: u64) -> Running<Primary> {
     let (listener, at) = listener().await;
     let machine = serve::Machine::origin("o", terms(), store(hosts));
     let run = machine.clone().run(listener);
     Running { machine, at, task: tokio::spawn(async move { match run.await {} }) }
 }
 
-pub async fn distributor(name: &str, grantor: SocketAddr) -> Running<Distributor> {
+pub async fn distributor(name: &str, grantor: SocketAddr) -> Running<Replica> {
     let (listener, at) = listener().await;
     let machine = serve::Machine::distributor(Member { name: name.into(), incarnation: 1 }, terms());
     let run = machine.clone().run(listener, vec![grantor], terms());
@@ -158,7 +158,7 @@
     }
 
     /// Waits until it acts on a version, or a later one, by a lease.
-    pub async fn acts_on(&mut self, number: Number) {
+    pub async fn acts_on(&mut self, number: Revision) {
         let acts = |f: &Following| f.in_force() >= number && f.is_leased();
         self.until(&format!("version {number}"), acts).await;
     }
@@ -171,5 +171,5 @@
 }
 
 pub fn drains(following: &Following, n: u64) -> bool {
-    matches!(following.entry(SERVICE, Key(n)), Some(Entry::Host(host)) if host.drains)
+    matches!(following.entry(SERVICE, Key(n)), Some(Entry::Host(host)) if host.draining)
 }
--- a/control-plane/tests/faults.rs
+++ b/control-plane/tests/faults.rs
@@ -6,8 +6,10 @@
 use ternstack_control_plane::frames::{write, Frames};
 use ternstack_control_plane::staff;
 use ternstack_replication::scope::{Change, Entry, Key, Scope};
-use ternstack_replication::store::Keeps;
-use ternstack_replication::wire::{encode, Ask, Cursor, Interest, Member, Message, HEADER, LONGEST};
+use ternstack_replication::store::Storage;
+use ternstack_replication::wire::{
+    encode, Cursor, Member, Message, PollRequest, Subscription, HEADER_BYTES, MAX_FRAME_BYTES,
+};
 use tokio::io::{copy_bidirectional, AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
 use tokio::sync::oneshot;
@@ -50,13 +52,13 @@
 }
 
 fn ask(number: u64, fetch: Vec<(Scope, Cursor)>) -> Message {
-    Message::Ask(Ask {
+    Message::PollRequest(PollRequest {
         member: Member { name: "foreign".into(), incarnation: 1 },
-        number,
-        heard: 0,
+        sequence: number,
+        acknowledged: 0,
         known: 0,
         in_force: 0,
-        interest: Interest::Whole { revision: 1, scopes: vec![] },
+        subscription: Subscription::Complete { generation: 1, scopes: vec![] },
         fetch,
     })
 }
@@ -65,16 +67,16 @@
 fn malformed() -> Vec<(Vec<u8>, &'static str)> {
     let sound = frame(&ask(1, vec![]));
     let mut swapped = sound.clone();
-    swapped[HEADER + 3] ^= 4;
+    swapped[HEADER_BYTES + 3] ^= 4;
     let mut format = sound.clone();
     format[4] = 9;
-    let mut content = Vec::from(((HEADER + 20 - 4) as u32).to_be_bytes());
+    let mut content = Vec::from(((HEADER_BYTES + 20 - 4) as u32).to_be_bytes());
     content.push(1);
     content.extend(crc32fast::hash(&[0xff; 20]).to_be_bytes());
     content.extend([0xff; 20]);
-    let mut oversized = Vec::from(((LONGEST - 3) as u32).to_be_bytes());
+    let mut oversized = Vec::from(((MAX_FRAME_BYTES - 3) as u32).to_be_bytes());
     oversized.push(1);
-    let answer = Message::Proposed { number: 1, version: Ok(1) };
+    let answer = Message::Proposed { proposal_id: 1, revision: Ok(1) };
     vec![
         (sound[..sound.len() - 2].to_vec(), "expected all of it"),
         (swapped, "checksum is not that of its bytes"),
@@ -109,7 +111,7 @@
         }
     }
     let is = origin.machine.status();
-    assert_eq!((is.in_force, is.through, is.sum), (was.in_force, was.through, was.sum));
+    assert_eq!((is.in_force, is.through, is.digest), (was.in_force, was.through, was.digest));
     assert_eq!(is.followers, 1);
     // Whoever was connected still is, and hears of what comes.
     let number = staff::propose(origin.at, vec![host(3, true)], LONG).await.expect("it is taken");
@@ -131,7 +133,7 @@
         for (bytes, _) in malformed() {
             let (mut stream, _) = between.accept().await.expect("one comes");
             let (reader, mut writer) = stream.split();
-            assert!(matches!(Frames::new(reader).next().await, Ok(Some((Message::Ask(_), _)))));
+            assert!(matches!(Frames::new(reader).next().await, Ok(Some((Message::PollRequest(_), _)))));
             let _ = writer.write_all(&bytes).await;
         }
         let (mut stream, _) = between.accept().await.expect("one comes");
@@ -149,7 +151,7 @@
     assert_eq!(log.lines("it sent something else than an answer"), 1);
     assert_eq!(told.await.expect("it was told"), [], "not one of them told it anything");
     assert_eq!(gateway.following.in_force(), 1);
-    let sum = gateway.following.with(|core, _| core.keeps().digest(SERVICE));
+    let sum = gateway.following.with(|core, _| core.storage().digest(SERVICE));
     assert_eq!(sum, origin.machine.with(|core, _| core.store().digest(SERVICE)));
     playing.abort();
 }
@@ -192,14 +194,16 @@
     // Several on one connection, before any answer is read: each gets its own.
     let mut stream = TcpStream::connect(origin.at).await.expect("it listens");
     for number in 10..15 {
-        let message = Message::Propose { number, changes: vec![host(0, true)] };
+        let message = Message::Propose { proposal_id: number, changes: vec![host(0, true)] };
         write(&mut stream, &message, &mut Vec::new()).await.expect("it reads");
     }
     let mut frames = Frames::new(&mut stream);
     let mut answered = Vec::new();
     for _ in 0..5 {
         match timeout(LONG, frames.next()).await.expect("an answer") {
-            Ok(Some((Message::Proposed { number, version: Ok(_) }, _))) => answered.push(number),
+            Ok(Some((Message::Proposed { proposal_id: number, revision: Ok(_) }, _))) => {
+                answered.push(number)
+            }
             other => panic!("{other:?}"),
         }
     }
--- a/control-plane/tests/frames.rs
+++ b/control-plane/tests/frames.rs
@@ -1,27 +1,29 @@
 //! Frames on a stream: cut anywhere, joined anyhow, and none that is malformed gets through.
 use ternstack_control_plane::frames::{write, Broken, Counter, Frames};
-use ternstack_replication::scope::{Change, Digest, Entry, Key, Scope, Version};
+use ternstack_replication::scope::{Change, ChangeSet, Digest, Entry, Key, Scope};
 use ternstack_replication::wire::{
-    Ask, Cursor, Grant, Interest, Malformed, Member, Message, Part, HEADER, LONGEST,
+    ChunkEntry, Cursor, FrameError, Member, Message, PollRequest, PollResponse, ScopeChunk, Subscription,
+    HEADER_BYTES, MAX_FRAME_BYTES,
 };
 use tokio::io::{duplex, AsyncWriteExt};
 
-fn grant(parts: Vec<Part>, pending: Vec<Version>) -> Message {
-    Message::Grant(Grant {
-        number: 7,
-        interest: 1,
+fn grant(parts: Vec<ScopeChunk>, pending: Vec<ChangeSet>) -> Message {
+    Message::PollResponse(PollResponse {
+        sequence: 7,
+        generation: 1,
         lease_us: 1_900_000,
         in_force: 3,
         through: 4,
-        parts,
-        behind: Vec::new(),
+        chunks: parts,
+        stale: Vec::new(),
         pending,
     })
 }
 
-fn part(scope: Scope, entries: u64) -> Part {
-    let entries = (0..entries).map(|n| (1, Key(n), Some(Entry::Quota(9)))).collect();
-    Part { scope, anew: true, entries, whole: Some(Digest(1)) }
+fn part(scope: Scope, entries: u64) -> ScopeChunk {
+    let entries =
+        (0..entries).map(|n| ChunkEntry { revision: 1, key: Key(n), entry: Some(Entry::Quota(9)) }).collect();
+    ScopeChunk { scope, restart: true, entries, complete: Some(Digest(1)) }
 }
 
 async fn bytes(message: &Message) -> Vec<u8> {
@@ -33,7 +35,8 @@
 
 #[tokio::test]
 async fn messages_come_whole_however_their_bytes_come() {
-    let messages = [Message::Look, grant(vec![part(Scope::Tenants(1), 5000)], vec![]), Message::Look];
+    let messages =
+        [Message::GetStatus, grant(vec![part(Scope::Tenants(1), 5000)], vec![]), Message::GetStatus];
     let mut all = Vec::new();
     for message in &messages {
         all.extend(bytes(message).await);
@@ -54,12 +57,12 @@
 
 #[tokio::test]
 async fn what_is_no_frame_is_told_by_what_was_expected() {
-    let sound = bytes(&Message::Look).await;
+    let sound = bytes(&Message::GetStatus).await;
     let mut swapped = sound.clone();
     *swapped.last_mut().expect("a byte") ^= 1;
-    let long = ((LONGEST - 3) as u32).to_be_bytes();
+    let long = ((MAX_FRAME_BYTES - 3) as u32).to_be_bytes();
     for (given, told) in [
-        (&sound[..HEADER], "ended after 9 bytes"),
+        (&sound[..HEADER_BYTES], "ended after 9 bytes"),
         (&swapped, "checksum"),
         (&long, "expected 9 to 1048576"),
         (b"GET / HTTP/1.1\r\n\r\n", "expected 9 to 1048576"),
@@ -76,29 +79,29 @@
 #[tokio::test]
 async fn a_frame_of_the_longest_length_is_read_and_a_byte_more_is_not() {
     // Content that is no message, of a length that is allowed: the whole of it is read before that is told.
-    let content = vec![0xff; LONGEST - HEADER];
-    let mut longest = ((LONGEST - 4) as u32).to_be_bytes().to_vec();
+    let content = vec![0xff; MAX_FRAME_BYTES - HEADER_BYTES];
+    let mut longest = ((MAX_FRAME_BYTES - 4) as u32).to_be_bytes().to_vec();
     longest.push(1);
     longest.extend(crc32fast::hash(&content).to_be_bytes());
     longest.extend(content);
     let mut frames = Frames::new(&longest[..]);
-    assert!(matches!(frames.next().await, Err(Broken::Malformed(Malformed::Content(_)))));
-    assert_eq!(frames.received(), LONGEST as u64);
+    assert!(matches!(frames.next().await, Err(Broken::Malformed(FrameError::Content(_)))));
+    assert_eq!(frames.received(), MAX_FRAME_BYTES as u64);
 }
 
 #[tokio::test]
 async fn bytes_are_counted_by_cause_and_none_is_lost() {
     let counter = Counter::default();
     let change = Change { scope: Scope::Zones, key: Key(1), entry: Some(Entry::Zone(false)) };
-    let version = Version { number: 4, changes: vec![change] };
+    let version = ChangeSet { revision: 4, changes: vec![change] };
     let (news, fetched) = (part(Scope::Hosts(1), 2), part(Scope::Hosts(2), 50));
-    let ask = |known, fetch| Ask {
+    let ask = |known, fetch| PollRequest {
         member: Member { name: "g".into(), incarnation: 1 },
-        number: 7,
-        heard: 6,
+        sequence: 7,
+        acknowledged: 6,
         known,
         in_force: known,
-        interest: Interest::Same { revision: 1 },
+        subscription: Subscription::Unchanged { generation: 1 },
         fetch,
     };
     let (quiet, fetches) = (ask(3, vec![]), ask(3, vec![(Scope::Hosts(2), Cursor::default())]));
@@ -110,7 +113,7 @@
         (grant(vec![news.clone()], vec![]), Some(&begins)),
         (grant(vec![], vec![version.clone()]), Some(&quiet)),
         (grant(vec![news, fetched], vec![version]), Some(&fetches)),
-        (Message::Look, None),
+        (Message::GetStatus, None),
     ] {
         let n = bytes(&message).await.len();
         counter.written(&message, n, asked);
@@ -118,9 +121,9 @@
     }
     let counts = counter.counts();
     let written = counts.written;
-    let tallies = [written.asks, written.leases, written.changes, written.starts, written.staff];
+    let tallies = [written.polls, written.leases, written.changes, written.fetches, written.admin];
     assert_eq!(tallies.map(|t| t.messages), [0, 1, 2, 2, 1]);
     assert_eq!(tallies.iter().map(|t| t.bytes).sum::<u64>(), all);
-    assert!(written.starts.bytes > 100 && written.changes.bytes > 20 && written.leases.bytes > 40);
+    assert!(written.fetches.bytes > 100 && written.changes.bytes > 20 && written.leases.bytes > 40);
     assert_eq!(counts.read, Default::default());
 }
--- a/control-plane/tests/machines.rs
+++ b/control-plane/tests/machines.rs
@@ -2,13 +2,13 @@
 mod common;
 use common::*;
 use ternstack_control_plane::follow::Told;
-use ternstack_replication::follower::News;
-use ternstack_replication::scope::{Change, Entry, Key, Number, Scope};
+use ternstack_replication::follower::FollowerEvent;
+use ternstack_replication::scope::{Change, Entry, Key, Revision, Scope};
 use tokio::io::copy_bidirectional;
 use tokio::net::TcpStream;
 
 /// Waits until a proposal from within is agreed on: the number of its version follows the last one.
-fn propose(origin: &Running<ternstack_replication::origin::Origin>, changes: Vec<Change>) -> Number {
+fn propose(origin: &Running<ternstack_replication::primary::Primary>, changes: Vec<Change>) -> Revision {
     let next = origin.machine.with(|core, _| core.store().through()) + 1;
     origin.machine.propose(changes).expect("it is sound");
     next
@@ -25,27 +25,27 @@
         gateway.whole().await;
         assert!(!drains(&gateway.following, 3));
     }
-    let zone = Change { scope: Scope::Zones, key: Key::numbered(2), entry: Some(Entry::Zone(false)) };
+    let zone = Change { scope: Scope::Zones, key: Key::from_number(2), entry: Some(Entry::Zone(false)) };
     let number = propose(&origin, vec![host(3, true), zone]);
     for gateway in &mut gateways {
         gateway.acts_on(number).await;
         assert!(drains(&gateway.following, 3) && !drains(&gateway.following, 4));
-        let zone = gateway.following.entry(Scope::Zones, Key::numbered(2));
+        let zone = gateway.following.entry(Scope::Zones, Key::from_number(2));
         assert_eq!(zone, Some(Entry::Zone(false)));
         // It was told of as to come before it came into force.
         let heard = gateway.all.lock().expect("no panic").clone();
         let at = |what| heard.iter().position(|told| *told == Told::News(what)).expect("it was told");
-        assert!(at(News::Known(number)) < at(News::InForce(number)));
+        assert!(at(FollowerEvent::Known(number)) < at(FollowerEvent::InForce(number)));
         assert_eq!(gateway.following.connected(), Some(0), "the one of its zone");
     }
     let status = origin.machine.status();
     assert_eq!((status.name.as_str(), status.in_force, status.lease_ms), ("o", number, None));
     assert_eq!(status.followers, 2);
-    assert!(status.counts.read.asks.messages > 0 && status.counts.written.starts.messages > 0);
+    assert!(status.traffic.read.polls.messages > 0 && status.traffic.written.fetches.messages > 0);
     // The distributor may hear of it a little later than those that it answers.
     let held = d[0].machine.status();
     assert_eq!(held.followers, 6);
-    assert!(held.in_force == number && held.sum == status.sum && held.lease_ms.is_some());
+    assert!(held.in_force == number && held.digest == status.digest && held.lease_ms.is_some());
 }
 
 #[tokio::test]
@@ -79,7 +79,7 @@
     first.beside = beside(&path);
     let mut gateway = Gateway::start(first.clone());
     gateway.whole().await;
-    let start = gateway.following.counts().read.starts;
+    let start = gateway.following.counts().read.fetches;
     assert!(start.messages > 0 && start.bytes > 400 * 15, "{start:?}");
     gateway.following.save().await.expect("it is written");
     drop(gateway);
@@ -94,8 +94,8 @@
     assert!(drains(&back.following, 5) && !drains(&back.following, 6));
     let counts = back.following.counts().read;
     // A scope without entries is in no snapshot, and told anew.
-    assert!(counts.starts.bytes < 100 && counts.changes.bytes < 100, "{counts:?}");
-    let digest = |g: &Gateway| g.following.with(|core, _| core.keeps().sum());
+    assert!(counts.fetches.bytes < 100 && counts.changes.bytes < 100, "{counts:?}");
+    let digest = |g: &Gateway| g.following.with(|core, _| core.storage().total_digest());
     watcher.whole().await;
     assert_eq!(digest(&back), digest(&watcher));
     drop(back);
@@ -108,7 +108,7 @@
     first.member.incarnation = 3;
     let mut again = Gateway::start(first);
     again.whole().await;
-    assert!(again.following.counts().read.starts.bytes > 400 * 15);
+    assert!(again.following.counts().read.fetches.bytes > 400 * 15);
     assert_eq!(digest(&again), digest(&watcher));
 }
 
--- a/control-plane/tests/operator.rs
+++ b/control-plane/tests/operator.rs
@@ -1,8 +1,8 @@
 //! The operators' file and the staff's: read whole, or told by line, key and what was expected.
 use ternstack_control_plane::operator::{changes, Operator, Role};
-use ternstack_replication::lease::Terms;
+use ternstack_replication::lease::LeaseConfig;
+use ternstack_replication::rules::RetryPolicy;
 use ternstack_replication::scope::{Entry, Key, Scope};
-use ternstack_replication::version::Repeat;
 
 const EXAMPLE: &str = include_str!("../../deploy/operator.example.toml");
 
@@ -18,7 +18,7 @@
 #[test]
 fn the_example_is_read_and_has_the_defaults() {
     let operator = example();
-    assert_eq!(operator.terms, Terms::default());
+    assert_eq!(operator.terms, LeaseConfig::default());
     assert_eq!(
         operator.control("origin-1", Role::Origin).map(|m| m.address),
         Ok("10.1.0.5:7411".parse().unwrap())
@@ -130,15 +130,15 @@
     let entry =
         |scope, key| changes.iter().find(|c| c.scope == scope && c.key == key).expect("it is there").entry;
     let Some(Entry::Host(host)) = entry(Scope::Hosts(7), Key::of("s-17")) else { panic!("a host") };
-    assert_eq!((host.drains, host.zone, host.weight_milli), (true, 2, 500));
+    assert_eq!((host.draining, host.zone, host.weight_milli), (true, 2, 500));
     assert_eq!(entry(Scope::Hosts(7), Key::of("s-18")), None);
-    assert_eq!(entry(Scope::Zones, Key::numbered(2)), Some(Entry::Zone(false)));
+    assert_eq!(entry(Scope::Zones, Key::from_number(2)), Some(Entry::Zone(false)));
     let (acme, umbrella) = (Key::of("acme"), Key::of("umbrella"));
     assert_eq!(entry(Scope::of_tenant(acme), acme), Some(Entry::Quota(500)));
     assert_eq!(entry(Scope::of_tenant(umbrella), umbrella), None);
-    assert_eq!(entry(Scope::Fleet, Key::numbered(1)), Some(Entry::Repeat(Repeat::Never)));
+    assert_eq!(entry(Scope::Fleet, Key::from_number(1)), Some(Entry::RetryPolicy(RetryPolicy::Never)));
     let Some(Entry::Route(route)) = entry(Scope::Routes(7), Key::of("/api/desks")) else { panic!("a route") };
-    assert_eq!((route.class, route.repeat), (1, Repeat::Within(800)));
+    assert_eq!((route.class, route.retry_policy), (1, RetryPolicy::Within(800)));
 }
 
 #[test]
--- a/control-plane/tests/recorded_bytes.rs
+++ b/control-plane/tests/recorded_bytes.rs
@@ -8,14 +8,15 @@
 use ternstack_control_plane::frames::{write, Frames};
 use ternstack_control_plane::{serve, staff};
 use ternstack_replication::follower::Follower;
-use ternstack_replication::lease::Terms;
-use ternstack_replication::scope::{Change, Digest, Entry, Host, Key, Route, Scope, Version};
+use ternstack_replication::lease::LeaseConfig;
+use ternstack_replication::rules::RetryPolicy;
+use ternstack_replication::scope::{Change, ChangeSet, Digest, Entry, Host, Key, Route, Scope};
 use ternstack_replication::snapshot::Snapshot;
-use ternstack_replication::store::Keeps;
+use ternstack_replication::store::Storage;
 use ternstack_replication::tables::Tables;
-use ternstack_replication::version::Repeat;
 use ternstack_replication::wire::{
-    Ask, Causes, Counts, Cursor, Grant, Interest, Member, Message, Part, Status, Tally,
+    ChunkEntry, Cursor, Member, Message, PollRequest, PollResponse, ScopeChunk, Status, Subscription,
+    Traffic, TrafficByCause, TrafficCount,
 };
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
@@ -23,15 +24,19 @@
 
 fn entries() -> Vec<(Scope, Key, Entry)> {
     let address = SocketAddrV4::new(Ipv4Addr::new(10, 2, 0, 4), 8080);
-    let host = Host { address, zone: 2, drains: true, weight_milli: 2500, started_s: 1_700_000_001 };
+    let host = Host { address, zone: 2, draining: true, weight_milli: 2500, started_s: 1_700_000_001 };
     let acme = Key::of("acme");
     vec![
-        (Scope::Zones, Key::numbered(2), Entry::Zone(false)),
-        (Scope::Fleet, Key::numbered(1), Entry::Repeat(Repeat::Never)),
-        (Scope::Fleet, Key::numbered(3), Entry::Repeat(Repeat::Always)),
+        (Scope::Zones, Key::from_number(2), Entry::Zone(false)),
+        (Scope::Fleet, Key::from_number(1), Entry::RetryPolicy(RetryPolicy::Never)),
+        (Scope::Fleet, Key::from_number(3), Entry::RetryPolicy(RetryPolicy::Always)),
         (Scope::Hosts(7), Key::of("s-17"), Entry::Host(host)),
-        (Scope::Hosts(300), Key::of("s-18"), Entry::Host(Host { drains: false, ..host })),
-        (Scope::Routes(7), Key::of("/"), Entry::Route(Route { class: 400, repeat: Repeat::Within(800) })),
+        (Scope::Hosts(300), Key::of("s-18"), Entry::Host(Host { draining: false, ..host })),
+        (
+            Scope::Routes(7),
+            Key::of("/"),
+            Entry::Route(Route { class: 400, retry_policy: RetryPolicy::Within(800) }),
+        ),
         (Scope::of_tenant(acme), acme, Entry::Quota(70_000)),
     ]
 }
@@ -43,26 +48,26 @@
 
 fn asks() -> Vec<Message> {
     let interests = [
-        Interest::Same { revision: 5 },
-        Interest::Changed {
+        Subscription::Unchanged { generation: 5 },
+        Subscription::Delta {
             from: 5,
-            revision: 300,
-            more: vec![Scope::Hosts(7), Scope::Zones],
-            fewer: vec![Scope::Routes(7)],
+            generation: 300,
+            added: vec![Scope::Hosts(7), Scope::Zones],
+            removed: vec![Scope::Routes(7)],
         },
-        Interest::Whole { revision: 6, scopes: vec![Scope::Fleet, Scope::Tenants(4095)] },
-        Interest::Everything { revision: 7 },
+        Subscription::Complete { generation: 6, scopes: vec![Scope::Fleet, Scope::Tenants(4095)] },
+        Subscription::AllScopes { generation: 7 },
     ];
     let ask = |interest| {
-        Message::Ask(Ask {
+        Message::PollRequest(PollRequest {
             member: Member { name: "gateway-1".into(), incarnation: 1_700_000_000_000_001 },
-            number: 77,
-            heard: 76,
+            sequence: 77,
+            acknowledged: 76,
             known: 12,
             in_force: 11,
-            interest,
+            subscription: interest,
             fetch: vec![
-                (Scope::Hosts(7), Cursor { changed: 4, key: u64::MAX }),
+                (Scope::Hosts(7), Cursor { revision: 4, key: u64::MAX }),
                 (Scope::Tenants(1), Cursor::default()),
             ],
         })
@@ -70,45 +75,48 @@
     interests.into_iter().map(ask).collect()
 }
 
-fn grant() -> Grant {
-    let part = |(scope, key, entry): (Scope, Key, Entry)| Part {
+fn grant() -> PollResponse {
+    let part = |(scope, key, entry): (Scope, Key, Entry)| ScopeChunk {
         scope,
-        anew: scope == Scope::Zones,
-        entries: vec![(3, key, Some(entry)), (4, Key(8), None)],
-        whole: (scope != Scope::Fleet).then_some(Digest(u128::MAX - 5)),
+        restart: scope == Scope::Zones,
+        entries: vec![
+            ChunkEntry { revision: 3, key, entry: Some(entry) },
+            ChunkEntry { revision: 4, key: Key(8), entry: None },
+        ],
+        complete: (scope != Scope::Fleet).then_some(Digest(u128::MAX - 5)),
     };
-    Grant {
-        number: 77,
-        interest: 300,
+    PollResponse {
+        sequence: 77,
+        generation: 300,
         lease_us: 1_900_000,
         in_force: 12,
         through: 14,
-        parts: entries().into_iter().map(part).collect(),
-        behind: vec![Scope::Hosts(300)],
+        chunks: entries().into_iter().map(part).collect(),
+        stale: vec![Scope::Hosts(300)],
         pending: vec![
-            Version { number: 13, changes: changes() },
-            Version { number: 14, changes: Vec::new() },
+            ChangeSet { revision: 13, changes: changes() },
+            ChangeSet { revision: 14, changes: Vec::new() },
         ],
     }
 }
 
 fn status() -> Status {
-    let tally = |n: u64| Tally { messages: n, bytes: n * 1000 };
-    let causes = |n: u64| Causes {
-        asks: tally(n),
+    let tally = |n: u64| TrafficCount { messages: n, bytes: n * 1000 };
+    let causes = |n: u64| TrafficByCause {
+        polls: tally(n),
         leases: tally(n + 1),
         changes: tally(n + 2),
-        starts: tally(n + 3),
-        staff: tally(n + 4),
+        fetches: tally(n + 3),
+        admin: tally(n + 4),
     };
     Status {
         name: "origin-1".into(),
         in_force: 12,
         through: 14,
-        sum: Digest(0x0123_4567_89ab_cdef_0011_2233_4455_6677),
+        digest: Digest(0x0123_4567_89ab_cdef_0011_2233_4455_6677),
         followers: 70_000,
         lease_ms: Some(1234),
-        counts: Counts { read: causes(1), written: causes(100) },
+        traffic: Traffic { read: causes(1), written: causes(100) },
     }
 }
 
@@ -116,11 +124,11 @@
 fn messages() -> Vec<Message> {
     let mut all = asks();
     all.extend([
-        Message::Grant(grant()),
-        Message::Propose { number: 9, changes: changes() },
-        Message::Proposed { number: 9, version: Ok(15) },
-        Message::Proposed { number: 9, version: Err("it changes nothing".into()) },
-        Message::Look,
+        Message::PollResponse(grant()),
+        Message::Propose { proposal_id: 9, changes: changes() },
+        Message::Proposed { proposal_id: 9, revision: Ok(15) },
+        Message::Proposed { proposal_id: 9, revision: Err("it changes nothing".into()) },
+        Message::GetStatus,
         Message::Status(status()),
         Message::Status(Status { lease_ms: None, ..status() }),
     ]);
@@ -166,18 +174,18 @@
     let (server, at) = listener().await;
     let mut settings = follow("gateway-1", 12345, vec![machine("d1", at, "a")]);
     // Long enough that no poll is repeated here for want of an answer.
-    settings.terms = Terms { lease_ms: 8000.0, ..terms() };
+    settings.terms = LeaseConfig { lease_ms: 8000.0, ..terms() };
     let gateway = Gateway::start(settings);
     let (mut stream, _) = server.accept().await.expect("it calls");
     let mut all = frame(&mut stream).await;
-    let answer = Message::Grant(Grant {
-        number: 1,
-        interest: 1,
+    let answer = Message::PollResponse(PollResponse {
+        sequence: 1,
+        generation: 1,
         lease_us: 8_000_000,
         in_force: 3,
         through: 3,
-        parts: Vec::new(),
-        behind: Vec::new(),
+        chunks: Vec::new(),
+        stale: Vec::new(),
         pending: Vec::new(),
     });
     stream.write_all(&encoded(&answer).await).await.expect("it reads");
@@ -194,32 +202,32 @@
 async fn a_servers_answers_have_the_recorded_bytes() {
     let (server, at) = listener().await;
     // No lease runs out here.
-    let terms = Terms { lease_ms: 600_000.0, ..terms() };
+    let terms = LeaseConfig { lease_ms: 600_000.0, ..terms() };
     let run = serve::Machine::origin("o", terms, store(5)).run(server);
     let serving = tokio::spawn(async move { match run.await {} });
     let mut stream = TcpStream::connect(at).await.expect("it listens");
     let member = Member { name: "gateway-1".into(), incarnation: 12345 };
     let ask = |number, known, fetch| {
-        Message::Ask(Ask {
+        Message::PollRequest(PollRequest {
             member: member.clone(),
-            number,
-            heard: number - 1,
+            sequence: number,
+            acknowledged: number - 1,
             known,
             in_force: known,
-            interest: Interest::Whole { revision: 1, scopes: vec![] },
+            subscription: Subscription::Complete { generation: 1, scopes: vec![] },
             fetch,
         })
     };
     let wrong = Change { scope: Scope::Zones, key: Key(1), entry: Some(Entry::Quota(1)) };
     let mut all = Vec::new();
     for message in [
-        Message::Look,
+        Message::GetStatus,
         ask(1, 0, vec![(SERVICE, Cursor::default()), (Scope::Zones, Cursor::default())]),
         ask(2, 1, vec![]),
-        Message::Propose { number: 3, changes: vec![wrong] },
-        Message::Propose { number: 4, changes: vec![] },
-        Message::Propose { number: 5, changes: vec![host(9, true)] },
-        Message::Look,
+        Message::Propose { proposal_id: 3, changes: vec![wrong] },
+        Message::Propose { proposal_id: 4, changes: vec![] },
+        Message::Propose { proposal_id: 5, changes: vec![host(9, true)] },
+        Message::GetStatus,
     ] {
         stream.write_all(&encoded(&message).await).await.expect("it reads");
         all.extend(frame(&mut stream).await);
@@ -233,10 +241,10 @@
     let (server, at) = listener().await;
     let answers = [
         Message::Status(status()),
-        Message::Proposed { number: 1, version: Ok(15) },
-        Message::Proposed { number: 1, version: Err("it changes nothing".into()) },
-        Message::Look,
-        Message::Look,
+        Message::Proposed { proposal_id: 1, revision: Ok(15) },
+        Message::Proposed { proposal_id: 1, revision: Err("it changes nothing".into()) },
+        Message::GetStatus,
+        Message::GetStatus,
     ];
     let serving = tokio::spawn(async move {
         let mut all = Vec::new();
@@ -290,7 +298,7 @@
     // It acts on the tables, so it counts as known what they are of; later versions are sent again.
     let restored = Snapshot { known: 12, ..snapshot() };
     assert_eq!((known, kept), (12, restored.clone()));
-    let again = Follower::restored(terms(), Member { name: "g".into(), incarnation: 1 }, snapshot());
+    let again = Follower::restore(terms(), Member { name: "g".into(), incarnation: 1 }, snapshot());
     assert_eq!(again.snapshot(), restored);
 }
 
--- a/control-plane/tests/recorded_settings.rs
+++ b/control-plane/tests/recorded_settings.rs
@@ -4,8 +4,8 @@
 use common::fixtures;
 use std::fmt::Debug;
 use ternstack_control_plane::operator::{changes, Operator, Role};
+use ternstack_replication::rules::RetryPolicy;
 use ternstack_replication::scope::{Change, Entry, Scope};
-use ternstack_replication::version::Repeat;
 
 /// A line for a value: what it is, and the value as it is written for people.
 fn line(what: &str, value: impl Debug) -> String {
@@ -16,11 +16,11 @@
     let t = &operator.terms;
     [
         ("lease_ms", t.lease_ms),
-        ("drift", t.drift),
+        ("drift", t.clock_drift_ratio),
         ("batch_ms", t.batch_ms),
         ("round_trip_ms", t.round_trip_ms),
         ("bytes_per_s", t.bytes_per_s),
-        ("between_bytes_per_s", t.between_bytes_per_s),
+        ("between_bytes_per_s", t.replica_bytes_per_s),
         ("burst_s", t.burst_s),
     ]
     .map(|(what, value)| line(what, (value, value.to_bits())))
@@ -70,11 +70,11 @@
     }
 }
 
-fn repeat(repeat: Repeat) -> String {
+fn repeat(repeat: RetryPolicy) -> String {
     match repeat {
-        Repeat::Never => "never".into(),
-        Repeat::Within(ms) => format!("within {ms} ms"),
-        Repeat::Always => "always".into(),
+        RetryPolicy::Never => "never".into(),
+        RetryPolicy::Within(ms) => format!("within {ms} ms"),
+        RetryPolicy::Always => "always".into(),
     }
 }
 
@@ -89,11 +89,11 @@
     let entry = match change.entry {
         None => "removed".into(),
         Some(Entry::Host(h)) => {
-            format!("host {} {} {} {} {}", h.address, h.zone, h.drains, h.weight_milli, h.started_s)
+            format!("host {} {} {} {} {}", h.address, h.zone, h.draining, h.weight_milli, h.started_s)
         }
-        Some(Entry::Route(r)) => format!("route {} {}", r.class, repeat(r.repeat)),
+        Some(Entry::Route(r)) => format!("route {} {}", r.class, repeat(r.retry_policy)),
         Some(Entry::Quota(per_s)) => format!("quota {per_s}"),
-        Some(Entry::Repeat(r)) => format!("repeat {}", repeat(r)),
+        Some(Entry::RetryPolicy(r)) => format!("repeat {}", repeat(r)),
         Some(Entry::Zone(serves)) => format!("zone {serves}"),
     };
     format!("{scope} / {:016x}: {entry}", change.key.0)
--- a/fleet-simulator/src/capacity/measure.rs
+++ b/fleet-simulator/src/capacity/measure.rs
@@ -13,10 +13,12 @@
 use std::net::SocketAddr;
 use std::path::Path;
 use std::time::Duration;
-use ternstack_replication::list::{look, Seen};
+use ternstack_replication::endpoint_list::{validate, EndpointList};
+use ternstack_replication::rules::{conflicts, Host, Rules, VersionedRules};
 use ternstack_replication::scope::{self, Change, Digest, Entry, Scope};
-use ternstack_replication::version::{contradictions, Host, Rules, Version};
-use ternstack_replication::wire::{encode, Ask, Grant, Interest, Message, Part};
+use ternstack_replication::wire::{
+    encode, ChunkEntry, Message, PollRequest, PollResponse, ScopeChunk, Subscription,
+};
 
 /// What can be measured.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, ValueEnum)]
@@ -373,7 +375,7 @@
         let mut add = |name, value| slopes.entry(name).or_default().push([count as f64, value]);
         let host = |n: usize| {
             let address = format!("10.{}.{}.{}:8080", n >> 16, n >> 8 & 255, n & 255);
-            (format!("server-{n:06}"), Host { address, drains: false })
+            (format!("server-{n:06}"), Host { address, draining: false })
         };
         let many = (count as f64 * TENANTS_A_HOST) as usize;
         let rules = Rules {
@@ -383,20 +385,28 @@
             ..Rules::default()
         };
         let mut other = rules.clone();
-        other.hosts.entry("server-000001".into()).and_modify(|h| h.drains = true);
+        other.hosts.entry("server-000001".into()).and_modify(|h| h.draining = true);
         let uid = String::from("server-000001");
-        let seen =
-            Seen { rev: 2, whole: false, hosts: [(uid.clone(), other.hosts.get(&uid).cloned())].into() };
-        let version =
-            Version { number: 2, epoch: 1, proposer: "g1".into(), proposed_ms: 0, rules: rules.clone() };
+        let seen = EndpointList {
+            revision: 2,
+            complete: false,
+            hosts: [(uid.clone(), other.hosts.get(&uid).cloned())].into(),
+        };
+        let version = VersionedRules {
+            number: 2,
+            epoch: 1,
+            proposer: "g1".into(),
+            proposed_ms: 0,
+            rules: rules.clone(),
+        };
         let text = serde_json::to_vec(&version).map_err(|e| e.to_string())?;
         add("whole_state_bytes", text.len() as f64 / 1e6);
         add(
             "whole_state_look",
-            each_us(runs, || drop(std::hint::black_box(look(&rules, &seen, false))))? / 1e3,
+            each_us(runs, || drop(std::hint::black_box(validate(&rules, &seen, false))))? / 1e3,
         );
         add("whole_state_digest", each_us(runs, || drop(std::hint::black_box(rules.digest())))? / 1e3);
-        let compare = || drop(std::hint::black_box(contradictions(&rules, &other)));
+        let compare = || drop(std::hint::black_box(conflicts(&rules, &other)));
         add("whole_state_compare", each_us(runs, compare)? / 1e3);
     }
     for (name, points) in &slopes {
@@ -416,41 +426,43 @@
     };
     let member =
         ternstack_replication::wire::Member { name: "gateway-4711".into(), incarnation: 1_790_000_000 };
-    let interest = Interest::Same { revision: 1_000 };
-    let ask = Ask {
+    let interest = Subscription::Unchanged { generation: 1_000 };
+    let ask = PollRequest {
         member,
-        number: 1 << 20,
+        sequence: 1 << 20,
         known: NUMBER,
         in_force: NUMBER,
-        heard: 1 << 20,
-        interest,
+        acknowledged: 1 << 20,
+        subscription: interest,
         fetch: Vec::new(),
     };
-    let grant = Grant {
-        number: 1 << 20,
-        interest: 1_000,
+    let grant = PollResponse {
+        sequence: 1 << 20,
+        generation: 1_000,
         lease_us: 1_900_000,
         in_force: NUMBER,
         through: NUMBER,
-        parts: Vec::new(),
-        behind: Vec::new(),
+        chunks: Vec::new(),
+        stale: Vec::new(),
         pending: Vec::new(),
     };
-    let quiet = bytes(Message::Ask(ask))? + bytes(Message::Grant(grant.clone()))?;
+    let quiet = bytes(Message::PollRequest(ask))? + bytes(Message::PollResponse(grant.clone()))?;
     note.value("wire_quiet", "bytes of an ask and a grant with nothing in it", quiet);
     let (mut changes, mut hosts, mut quotas) = (Vec::new(), Vec::new(), Vec::new());
     for count in [1, 10, 100, 1000_u32] {
         let change =
             |n: u32| Change { scope: Scope::Hosts(n % 3700), key: key(n), entry: Some(control::host(n)) };
         // Each in a version of its own, as on an ordinary second.
-        let version = |n: u32| scope::Version { number: NUMBER + u64::from(n), changes: vec![change(n)] };
+        let version = |n: u32| scope::ChangeSet { revision: NUMBER + u64::from(n), changes: vec![change(n)] };
         let pending = (0..count).map(version).collect();
-        let of = bytes(Message::Grant(Grant { pending, ..grant.clone() }))?;
+        let of = bytes(Message::PollResponse(PollResponse { pending, ..grant.clone() }))?;
         changes.push([f64::from(count), of]);
         let piece = |scope, entry: &dyn Fn(u32) -> Entry, to: &mut Vec<[f64; 2]>| -> Result<(), String> {
-            let entries = (0..count).map(|n| (NUMBER, key(n), Some(entry(n)))).collect();
-            let parts = vec![Part { scope, anew: true, entries, whole: Some(Digest(u128::MAX)) }];
-            let of = bytes(Message::Grant(Grant { parts, ..grant.clone() }))?;
+            let entries = (0..count)
+                .map(|n| ChunkEntry { revision: NUMBER, key: key(n), entry: Some(entry(n)) })
+                .collect();
+            let parts = vec![ScopeChunk { scope, restart: true, entries, complete: Some(Digest(u128::MAX)) }];
+            let of = bytes(Message::PollResponse(PollResponse { chunks: parts, ..grant.clone() }))?;
             to.push([f64::from(count), of]);
             Ok(())
         };
--- a/gateway/src/control.rs
+++ b/gateway/src/control.rs
@@ -11,9 +11,9 @@
 use std::sync::{Arc, Mutex, PoisonError};
 use ternstack_control_plane::follow::{Follow, Following, Told};
 use ternstack_control_plane::operator::Operator;
-use ternstack_replication::follower::{Acting, Follower, News as Agreed};
+use ternstack_replication::follower::{Follower, FollowerEvent as Agreed, ScopeMode};
 use ternstack_replication::scope::{Entry, Host, Key, Scope};
-use ternstack_replication::store::Keeps;
+use ternstack_replication::store::Storage;
 use ternstack_replication::tables::Tables;
 use tokio::sync::{mpsc, Notify};
 use tracing::{debug, info, warn};
@@ -64,12 +64,12 @@
 impl Dirty {
     fn hear(&mut self, told: Told) {
         match told {
-            Told::News(Agreed::Changed(Scope::Hosts(_), key)) => {
+            Told::News(Agreed::EntryChanged(Scope::Hosts(_), key)) => {
                 self.keys.insert(key);
                 // Guards against a set that grows while nobody takes it.
                 self.all |= self.keys.len() > ONE_BY_ONE;
             }
-            Told::News(Agreed::Changed(Scope::Zones, _) | Agreed::Whole(_) | Agreed::Behind(_)) => {
+            Told::News(Agreed::EntryChanged(Scope::Zones, _) | Agreed::Complete(_) | Agreed::Stale(_)) => {
                 self.all = true;
             }
             Told::Leased => {
@@ -110,13 +110,13 @@
     fn host(&self, core: &Follower<Tables>, now: f64, key: Key) -> Option<Option<Endpoint>> {
         let (mut seen, mut unknown) = (None, false);
         for &scope in &self.services {
-            let acting = core.acting(now, scope);
+            let acting = core.scope_mode(now, scope);
             let entry = core.entry(now, scope, key);
             match (acting, entry) {
-                (Acting::Unknown, _) => unknown = true,
+                (ScopeMode::Unknown, _) => unknown = true,
                 (_, Some(Entry::Host(host))) => {
                     let mut endpoint = self.endpoint(core, now, key, &host);
-                    if acting == Acting::Neutral && self.complete && !self.first {
+                    if acting == ScopeMode::Conservative && self.complete && !self.first {
                         // Versions in force may be heard of without a lease: nothing takes work by these that took none.
                         let Some(told) = self.told.get(&key) else { continue };
                         if told.state == State::Draining || told.endpoint != endpoint.endpoint {
@@ -130,7 +130,7 @@
                     seen = Some(endpoint);
                 }
                 // Some known version has it no more, and none is in force here: it is not gone, but gets nothing new.
-                (Acting::Neutral, _) if core.keeps().get(scope, key).is_some() => {
+                (ScopeMode::Conservative, _) if core.storage().get(scope, key).is_some() => {
                     let told = self.told.get(&key).cloned();
                     seen = told.map(|told| Endpoint { state: State::Draining, ..told }).or(seen);
                 }
@@ -142,9 +142,9 @@
     }
 
     fn endpoint(&self, core: &Follower<Tables>, now: f64, key: Key, host: &Host) -> Endpoint {
-        let zone = Key::numbered(u32::from(host.zone));
+        let zone = Key::from_number(u32::from(host.zone));
         let lost = core.entry(now, Scope::Zones, zone) == Some(Entry::Zone(false));
-        let state = if host.drains || lost { State::Draining } else { State::Serving };
+        let state = if host.draining || lost { State::Draining } else { State::Serving };
         Endpoint {
             uid: uid(key),
             endpoint: Some(SocketAddr::V4(host.address)),
@@ -159,14 +159,14 @@
 
     /// The keys that a service has or had.
     fn keys(&self, core: &Follower<Tables>) -> BTreeSet<Key> {
-        let there = self.services.iter().flat_map(|scope| core.keeps().entries(*scope)).map(|(key, _)| key);
+        let there = self.services.iter().flat_map(|scope| core.storage().entries(*scope)).map(|(key, _)| key);
         there.chain(self.told.keys().copied()).collect()
     }
 
     /// The lists that make the module see what is there now, in their order.
     fn look(&mut self, core: &Follower<Tables>, now: f64, dirty: Dirty) -> Vec<EndpointList> {
         let rev = core.in_force();
-        let known = |scope: &Scope| core.acting(now, *scope) != Acting::Unknown;
+        let known = |scope: &Scope| core.scope_mode(now, *scope) != ScopeMode::Unknown;
         self.first = !self.complete && self.services.iter().all(known);
         self.complete |= self.first;
         let first = self.first;
--- a/gateway/tests/control.rs
+++ b/gateway/tests/control.rs
@@ -14,8 +14,8 @@
 use ternstack_control_plane::serve::Machine;
 use ternstack_control_plane::staff;
 use ternstack_gateway::control::Control;
-use ternstack_replication::grantor::Grantor;
-use ternstack_replication::scope::Version;
+use ternstack_replication::lessor::Lessor;
+use ternstack_replication::scope::ChangeSet;
 use ternstack_replication::store::Store;
 use ternstack_replication::wire::Message;
 use tokio::net::TcpListener;
@@ -226,7 +226,7 @@
 /// A control machine that the test plays: what it has, and whether it gives leases.
 struct Played {
     store: Store,
-    grantor: Grantor,
+    grantor: Lessor,
     leases: bool,
 }
 
@@ -236,8 +236,8 @@
         let changes = changes(operator, "changes.toml", text).expect("they are sound");
         let mut played = played.lock().expect("no panic");
         let number = played.store.through() + 1;
-        played.store.pending(Version { number, changes });
-        played.store.in_force(number);
+        played.store.add_pending(ChangeSet { revision: number, changes });
+        played.store.advance_to(number);
     }
 
     async fn serve(played: Arc<Mutex<Played>>, listener: TcpListener) {
@@ -245,12 +245,12 @@
         while let Ok((mut stream, _)) = listener.accept().await {
             let (reader, mut writer) = stream.split();
             let mut frames = Frames::new(reader);
-            while let Ok(Some((Message::Ask(ask), _))) = frames.next().await {
+            while let Ok(Some((Message::PollRequest(ask), _))) = frames.next().await {
                 let grant = {
                     let Played { store, grantor, leases } = &mut *played.lock().expect("no panic");
-                    grantor.asked(clock.now(), store, if *leases { 700.0 } else { 0.0 }, &ask)
+                    grantor.handle_poll(clock.now(), store, if *leases { 700.0 } else { 0.0 }, &ask)
                 };
-                if write(&mut writer, &Message::Grant(grant), &mut Vec::new()).await.is_err() {
+                if write(&mut writer, &Message::PollResponse(grant), &mut Vec::new()).await.is_err() {
                     break;
                 }
             }
@@ -264,7 +264,7 @@
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a free port");
     let at = listener.local_addr().expect("an address");
     let operator = Operator::read("op.toml", &operator(at, None)).expect("it is sound");
-    let played = Played { store: Store::new(), grantor: Grantor::new(operator.terms, 0.0), leases: true };
+    let played = Played { store: Store::new(), grantor: Lessor::new(operator.terms, 0.0), leases: true };
     let played = Arc::new(Mutex::new(played));
     let (mut one, mut two) = (Server::start(SERVED).await, Server::start(SERVED).await);
     let (mut three, mut four) = (Server::start(SERVED).await, Server::start(SERVED).await);
--- a/replication/benches/state.rs
+++ b/replication/benches/state.rs
@@ -10,11 +10,11 @@
 use std::net::{Ipv4Addr, SocketAddrV4};
 use std::process::{Command, ExitCode};
 use std::time::Instant;
-use ternstack_replication::list::{look, Seen};
-use ternstack_replication::scope::{Change, Digest, Entry, Host, Key, Number, Route, Scope, Version};
-use ternstack_replication::store::{Keeps, Store};
+use ternstack_replication::endpoint_list::{validate, EndpointList};
+use ternstack_replication::rules::{self, conflicts, RetryPolicy, Rules};
+use ternstack_replication::scope::{Change, ChangeSet, Digest, Entry, Host, Key, Revision, Route, Scope};
+use ternstack_replication::store::{Storage, Store};
 use ternstack_replication::tables::Tables;
-use ternstack_replication::version::{self, contradictions, Repeat, Rules};
 use ternstack_replication::wire::Cursor;
 
 const SIZES: [usize; 4] = [2_000, 20_000, 100_000, 200_000];
@@ -53,15 +53,15 @@
             let host = Host {
                 address: SocketAddrV4::new(Ipv4Addr::from(0x0a00_0000 + n as u32), 8080),
                 zone: rng.random_range(0..15),
-                drains: false,
+                draining: false,
                 weight_milli: 1000,
                 started_s: 1_790_000_000 + n as u32,
             };
             entries.push((Scope::Hosts(service as u32), Key::of(&format!("host-{n}")), Entry::Host(host)));
         }
         for n in 0..part(ROUTES) {
-            let repeat = Repeat::Within(rng.random_range(0..9000));
-            let route = Route { class: rng.random_range(0..40), repeat };
+            let repeat = RetryPolicy::Within(rng.random_range(0..9000));
+            let route = Route { class: rng.random_range(0..40), retry_policy: repeat };
             let scope = Scope::Routes((n % services) as u32);
             entries.push((scope, Key::of(&format!("route-{n}")), Entry::Route(route)));
         }
@@ -79,9 +79,9 @@
         let mut store = Store::new();
         for (n, chunk) in self.entries.chunks(100).enumerate() {
             let change = |e: &(Scope, Key, Entry)| Change { scope: e.0, key: e.1, entry: Some(e.2) };
-            let number = n as Number + 1;
-            store.pending(Version { number, changes: chunk.iter().map(change).collect() });
-            store.in_force(number);
+            let number = n as Revision + 1;
+            store.add_pending(ChangeSet { revision: number, changes: chunk.iter().map(change).collect() });
+            store.advance_to(number);
         }
         store
     }
@@ -97,7 +97,7 @@
         let (scope, key, entry) = self.entries[self.rng.random_range(0..self.entries.len())];
         let entry = match entry {
             Entry::Host(host) => {
-                Entry::Host(Host { drains: !host.drains, started_s: self.rng.random(), ..host })
+                Entry::Host(Host { draining: !host.draining, started_s: self.rng.random(), ..host })
             }
             Entry::Quota(_) => Entry::Quota(self.rng.random_range(1..500)),
             other => other,
@@ -111,7 +111,7 @@
         for (_, key, entry) in &self.entries {
             match entry {
                 Entry::Host(host) => {
-                    let host = version::Host { address: host.address.to_string(), drains: host.drains };
+                    let host = rules::Host { address: host.address.to_string(), draining: host.draining };
                     rules.hosts.insert(format!("host-{:016x}", key.0), host);
                 }
                 Entry::Quota(quota) => drop(rules.quotas.insert(format!("{:010x}", key.0 >> 24), *quota)),
@@ -147,12 +147,12 @@
     let mut store = fleet.store();
     let mut next = changes.iter().cycle().copied();
     let mut step = |store: &mut Store| {
-        let number = store.number() + 1;
-        store.pending(Version { number, changes: next.by_ref().take(1).collect() });
-        store.in_force(number);
+        let number = store.in_force() + 1;
+        store.add_pending(ChangeSet { revision: number, changes: next.by_ref().take(1).collect() });
+        store.advance_to(number);
     };
     let mut figures = vec![("store_change_us", us(4_000, || step(&mut store)))];
-    let last = store.number() - 1;
+    let last = store.in_force() - 1;
     let since = us(20_000, || {
         black_box(store.changed_since(black_box(last)).count());
     });
@@ -161,18 +161,18 @@
     let scopes: Vec<Scope> = store.scopes().filter(|scope| matches!(scope, Scope::Hosts(_))).collect();
     let largest = scopes.iter().copied().max_by_key(|scope| store.len(*scope)).unwrap_or(Scope::Fleet);
     figures.push(("hosts_of_largest_service", store.len(largest) as f64));
-    let first = us(500, || drop(black_box(store.piece(largest, Cursor::default(), 4096))));
+    let first = us(500, || drop(black_box(store.chunk(largest, Cursor::default(), 4096))));
     figures.push(("store_piece_first_4_kb_us", first));
     // From the middle of what there is on; nothing was removed, so that it goes on from there.
-    let after = Cursor::after(fleet.entries.len() as Number / 200);
-    let later = us(500, || drop(black_box(store.piece(largest, after, 4096))));
+    let after = Cursor::after(fleet.entries.len() as Revision / 200);
+    let later = us(500, || drop(black_box(store.chunk(largest, after, 4096))));
     figures.push(("store_piece_later_4_kb_us", later));
     let mut n = 0;
     let last = us(500, || {
         n += 1;
-        drop(black_box(store.piece(
+        drop(black_box(store.chunk(
             scopes[n * 7919 % scopes.len()],
-            Cursor::after(store.number() - 1),
+            Cursor::after(store.in_force() - 1),
             4096,
         )));
     });
@@ -217,7 +217,7 @@
 /// Whole rules in each version.
 fn before(fleet: &Fleet) -> Result<Figures, Failed> {
     let rules = fleet.rules();
-    let version = version::Version {
+    let version = rules::VersionedRules {
         number: 1,
         epoch: 1,
         proposer: "one".into(),
@@ -227,15 +227,19 @@
     let bytes = serde_json::to_vec(&version)?.len() as f64;
     let rules = &version.rules;
     let (uid, host) = rules.hosts.iter().nth(rules.hosts.len() / 2).ok_or("no host")?;
-    let drained = version::Host { drains: true, ..host.clone() };
-    let seen = Seen { rev: 2, whole: false, hosts: BTreeMap::from([(uid.clone(), Some(drained.clone()))]) };
+    let drained = rules::Host { draining: true, ..host.clone() };
+    let seen = EndpointList {
+        revision: 2,
+        complete: false,
+        hosts: BTreeMap::from([(uid.clone(), Some(drained.clone()))]),
+    };
     let mut other = rules.clone();
     other.hosts.insert(uid.clone(), drained);
     Ok(vec![
         ("before_version_json_bytes", bytes),
         ("before_digest_ms", us(1, || drop(black_box(rules.digest()))) / 1e3),
-        ("before_look_one_host_ms", us(1, || drop(black_box(look(rules, &seen, false)))) / 1e3),
-        ("before_contradictions_ms", us(1, || drop(black_box(contradictions(rules, &other)))) / 1e3),
+        ("before_look_one_host_ms", us(1, || drop(black_box(validate(rules, &seen, false)))) / 1e3),
+        ("before_contradictions_ms", us(1, || drop(black_box(conflicts(rules, &other)))) / 1e3),
     ])
 }
 
@@ -246,11 +250,11 @@
     let (held, account) = match kind {
         "store" => {
             let store = fleet.store();
-            (resident()? - idle, store.bytes())
+            (resident()? - idle, store.memory_bytes())
         }
         "tables" => {
             let tables = fleet.tables();
-            (resident()? - idle, tables.bytes())
+            (resident()? - idle, tables.memory_bytes())
         }
         // After as many changes as there are entries, each fifth a removal that comes back.
         "worn" => {
@@ -262,7 +266,7 @@
                 }
                 tables.set(change.scope, change.key, 1, change.entry);
             }
-            (resident()? - idle, tables.bytes())
+            (resident()? - idle, tables.memory_bytes())
         }
         "rules" => {
             let rules = fleet.rules();
--- a/replication/src/list.rs
+++ b/replication/src/endpoint_list.rs
@@ -1,15 +1,15 @@
 //! Which of discovery's lists may be proposed. Discovery at any gateway may be behind, ahead, back in revision, or empty by
 //! mistake.
-use crate::version::{Host, Rules};
+use crate::rules::{Host, Rules};
 use std::collections::BTreeMap;
 
 /// A list, or changes in one, as a gateway has read it.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Seen {
+pub struct EndpointList {
     /// Its revision.
-    pub rev: u64,
+    pub revision: u64,
     /// The whole list: who is not in it is gone.
-    pub whole: bool,
+    pub complete: bool,
     /// Hosts by uid; `None` for one that is said to be gone.
     pub hosts: BTreeMap<String, Option<Host>>,
 }
@@ -18,12 +18,12 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum Verdict {
     /// It says nothing new.
-    Old,
+    Outdated,
     /// These rules are to be proposed.
     Propose(Rules),
     /// More than half of the hosts would go without a word about each: a second gateway has to have read the same, or
     /// staff to confirm it. Explicit drains and removals in it are to be proposed meanwhile.
-    Confirm {
+    NeedsConfirmation {
         /// The rules with the explicit changes only.
         meanwhile: Rules,
         /// The rules with all of it.
@@ -32,26 +32,26 @@
 }
 
 /// Looks at a list against the rules in force. `confirmed` once somebody else has read the same.
-pub fn look(in_force: &Rules, seen: &Seen, confirmed: bool) -> Verdict {
+pub fn validate(in_force: &Rules, list: &EndpointList, confirmed: bool) -> Verdict {
     // An older list never takes the place of a newer one.
-    if seen.rev <= in_force.list_rev {
-        return Verdict::Old;
+    if list.revision <= in_force.list_rev {
+        return Verdict::Outdated;
     }
     let mut meanwhile = in_force.clone();
-    for (uid, host) in &seen.hosts {
+    for (uid, host) in &list.hosts {
         match host {
             Some(host) => drop(meanwhile.hosts.insert(uid.clone(), host.clone())),
             None => drop(meanwhile.hosts.remove(uid)),
         }
     }
     let mut all = meanwhile.clone();
-    if seen.whole {
-        all.hosts.retain(|uid, _| seen.hosts.contains_key(uid));
+    if list.complete {
+        all.hosts.retain(|uid, _| list.hosts.contains_key(uid));
     }
-    all.list_rev = seen.rev;
+    all.list_rev = list.revision;
     let unsaid = meanwhile.hosts.len() - all.hosts.len();
     if 2 * unsaid > in_force.hosts.len() && !confirmed {
-        return Verdict::Confirm { meanwhile, all };
+        return Verdict::NeedsConfirmation { meanwhile, all };
     }
     Verdict::Propose(all)
 }
--- a/replication/src/follower.rs
+++ b/replication/src/follower.rs
@@ -2,15 +2,15 @@
 //!
 //! It has one ask out and takes the answer to its last ask and no other, whole or not at all. A lease counts from the moment
 //! of the ask. Whoever acts has to ask with the time of the act: a process that slept wakes without a lease.
-use crate::lease::Terms;
-use crate::scope::{stricter, Change, Entry, Key, Number, Scope};
+use crate::lease::LeaseConfig;
+use crate::scope::{stricter, Change, Entry, Key, Revision, Scope};
 use crate::snapshot::Snapshot;
-use crate::store::Keeps;
+use crate::store::Storage;
 use crate::tables::Tables;
-use crate::wire::{Ask, Cursor, Grant, Interest, Member};
+use crate::wire::{Cursor, Member, PollRequest, PollResponse, Subscription};
 use std::collections::BTreeMap;
 
-mod taking;
+mod apply;
 
 /// Scopes that one ask tells to be wanted, at most: more than an answer within the bytes of half a second holds.
 const FETCHED_AT_ONCE: usize = 64;
@@ -19,61 +19,63 @@
 
 /// What a gateway acts by in a scope.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Acting {
+pub enum ScopeMode {
     /// The version in force.
-    Agreed(Number),
+    Agreed(Revision),
     /// Neutral rules: the stricter of all that it knows of each entry.
-    Neutral,
+    Conservative,
     /// The scope is not there.
     Unknown,
 }
 
 /// What an answer has changed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum News {
+pub enum FollowerEvent {
     /// This version is in force.
-    InForce(Number),
+    InForce(Revision),
     /// All versions up to this one are known.
-    Known(Number),
+    Known(Revision),
     /// A scope is whole.
-    Whole(Scope),
-    /// A scope that was whole is behind: neutral rules hold in it.
-    Behind(Scope),
+    Complete(Scope),
+    /// A scope that was whole is stale: neutral rules hold in it.
+    Stale(Scope),
     /// A scope did not sum up to what its grantor has. It is forgotten, and fetched from the start.
-    Anew(Scope),
+    Restarted(Scope),
     /// What to act by under this key may be another: a version in force or one to come touches it.
-    Changed(Scope, Key),
+    EntryChanged(Scope, Key),
 }
 
 /// Why an answer was not taken.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Refused {
+pub enum ResponseError {
     /// It answers no ask that is out: it is doubled, late, or another's.
-    Unasked,
+    Unsolicited,
     /// The grantor does not know which scopes are whole here. The next ask tells.
-    Interest,
-    /// The grantor is behind: it knows, or has in force, less than is known, or in force, here.
-    Past {
+    SubscriptionMismatch,
+    /// The grantor is stale: it knows, or has in force, less than is known, or in force, here.
+    Outdated {
         /// What is in force there.
-        in_force: Number,
+        in_force: Revision,
         /// What is known there.
-        through: Number,
+        through: Revision,
     },
 }
 
-impl std::fmt::Display for Refused {
+impl std::fmt::Display for ResponseError {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         match self {
-            Refused::Unasked => write!(f, "an answer to no ask that is out"),
-            Refused::Interest => write!(f, "an answer by who does not know which scopes are whole here"),
-            Refused::Past { in_force, through } => {
-                write!(f, "an answer by who is behind: {in_force} in force there, {through} known")
+            ResponseError::Unsolicited => write!(f, "an answer to no ask that is out"),
+            ResponseError::SubscriptionMismatch => {
+                write!(f, "an answer by who does not know which scopes are whole here")
+            }
+            ResponseError::Outdated { in_force, through } => {
+                write!(f, "an answer by who is stale: {in_force} in force there, {through} known")
             }
         }
     }
 }
 
-impl std::error::Error for Refused {}
+impl std::error::Error for ResponseError {}
 
 /// A scope that is not whole.
 #[derive(Clone, Debug)]
@@ -81,7 +83,7 @@
     since: Cursor, // Where it began.
     cursor: Cursor,
     heat: f64,
-    /// `Some` where the scope is behind: what has come so far. Where it is starting, this goes to what is kept at once.
+    /// `Some` where the scope is stale: what has come so far. Where it is starting, this goes to what is kept at once.
     staged: Option<Staged>,
 }
 
@@ -95,12 +97,12 @@
 #[derive(Clone, Debug, Default)]
 struct Staged {
     /// It takes the place of all that was there.
-    anew: bool,
-    entries: BTreeMap<Key, (Number, Option<Entry>)>,
+    restart: bool,
+    entries: BTreeMap<Key, (Revision, Option<Entry>)>,
 }
 
 impl Staged {
-    fn put(&mut self, key: Key, changed: Number, entry: Option<Entry>) {
+    fn put(&mut self, key: Key, changed: Revision, entry: Option<Entry>) {
         let there = self.entries.entry(key).or_insert((changed, entry));
         if there.0 <= changed {
             *there = (changed, entry);
@@ -112,8 +114,8 @@
 #[derive(Clone, Debug)]
 pub(crate) struct Asked {
     at: f64,
-    known: Number,
-    in_force: Number,
+    known: Revision,
+    in_force: Revision,
     revision: u64,
     first: bool, // As far as is known, of this grantor.
     fetch: BTreeMap<Scope, Cursor>,
@@ -122,15 +124,15 @@
 /// A follower. Times are ms of the caller's clock; memory is by what it follows.
 #[derive(Clone, Debug)]
 pub struct Follower<K> {
-    terms: Terms,
+    terms: LeaseConfig,
     member: Member,
-    keeps: K,
+    storage: K,
     everything: bool,
     whole: BTreeMap<Scope, f64>, // With its heat.
     fetching: BTreeMap<Scope, Fetch>,
-    pending: BTreeMap<Number, Vec<Change>>, // After `in_force`; in scopes that are whole or behind.
-    known: Number,
-    in_force: Number,
+    pending: BTreeMap<Revision, Vec<Change>>, // After `in_force`; in scopes that are whole or behind.
+    known: Revision,
+    in_force: Revision,
     until: f64,
     last: u64,
     heard: u64,
@@ -143,13 +145,13 @@
     later: BTreeMap<Scope, bool>,   // The same since the last ask.
 }
 
-impl<K: Keeps> Follower<K> {
-    /// A gateway that knows nothing; `keeps` has to be empty.
-    pub fn new(terms: Terms, member: Member, keeps: K) -> Self {
+impl<K: Storage> Follower<K> {
+    /// A gateway that knows nothing; `storage` has to be empty.
+    pub fn new(terms: LeaseConfig, member: Member, storage: K) -> Self {
         let mut follower = Follower {
             terms,
             member,
-            keeps,
+            storage,
             everything: false,
             whole: BTreeMap::new(),
             fetching: BTreeMap::new(),
@@ -161,28 +163,28 @@
             heard: 0,
             asked: None,
             due: f64::NEG_INFINITY,
-            patience_ms: terms.ask_every_ms(),
+            patience_ms: terms.poll_interval_ms(),
             revision: 1,
             told: None,
             changed: BTreeMap::new(),
             later: BTreeMap::new(),
         };
-        [Scope::Zones, Scope::Fleet].into_iter().for_each(|scope| follower.want(scope, f64::INFINITY));
+        [Scope::Zones, Scope::Fleet].into_iter().for_each(|scope| follower.subscribe(scope, f64::INFINITY));
         follower
     }
 
     /// A machine between: it follows every scope there is. Versions to come are for its owner to keep.
-    pub fn everything(terms: Terms, member: Member, keeps: K) -> Self {
-        let mut follower = Follower::new(terms, member, keeps);
+    pub fn following_all(terms: LeaseConfig, member: Member, storage: K) -> Self {
+        let mut follower = Follower::new(terms, member, storage);
         follower.everything = true;
-        follower.patience_ms = terms.between_every_ms();
+        follower.patience_ms = terms.replica_poll_interval_ms();
         follower.fetching.clear();
         follower
     }
 
     /// A request needs a scope, which is so hot: the hottest ones are fetched first.
-    pub fn want(&mut self, scope: Scope, heat: f64) {
-        let heat = if scope.is_for_all() { f64::INFINITY } else { heat };
+    pub fn subscribe(&mut self, scope: Scope, heat: f64) {
+        let heat = if scope.is_global() { f64::INFINITY } else { heat };
         if let Some(whole) = self.whole.get_mut(&scope) {
             *whole = heat;
         } else if !self.everything {
@@ -191,8 +193,8 @@
     }
 
     /// A scope is needed no more. Those that all follow stay.
-    pub fn forget(&mut self, scope: Scope) {
-        if scope.is_for_all() || self.everything {
+    pub fn unsubscribe(&mut self, scope: Scope) {
+        if scope.is_global() || self.everything {
             return;
         }
         self.drop_scope(scope);
@@ -205,36 +207,36 @@
         self.fetching.remove(&scope);
         self.pending.values_mut().for_each(|changes| changes.retain(|c| c.scope != scope));
         self.pending.retain(|_, changes| !changes.is_empty());
-        self.keeps.forget(scope);
+        self.storage.remove_scope(scope);
     }
 
     /// The next ask goes to another grantor, or over another connection: it tells the whole, and may go out at once.
-    pub fn moved(&mut self) {
+    pub fn reconnected(&mut self) {
         (self.told, self.asked) = (None, None);
         self.due = f64::NEG_INFINITY;
     }
 
     fn every_ms(&self) -> f64 {
         if self.everything {
-            self.terms.between_every_ms()
+            self.terms.replica_poll_interval_ms()
         } else {
-            self.terms.ask_every_ms()
+            self.terms.poll_interval_ms()
         }
     }
 
     /// When the next ask is due; in the past where it is at once. Without an answer it is after as long as with one, so that
     /// a lost message is made good soon; once answers have come too late, after twice as long, up to half a lease.
-    pub fn next_ask(&self) -> f64 {
+    pub fn next_poll(&self) -> f64 {
         self.asked.as_ref().map_or(self.due, |asked| asked.at + self.patience_ms)
     }
 
     /// The next ask, if it is due at `now`. The answer to the one before will not be taken any more.
-    pub fn ask(&mut self, now: f64) -> Option<Ask> {
-        (now >= self.next_ask()).then(|| self.ask_for(now, self.known, self.in_force))
+    pub fn poll(&mut self, now: f64) -> Option<PollRequest> {
+        (now >= self.next_poll()).then(|| self.poll_for(now, self.known, self.in_force))
     }
 
     /// An ask on behalf of others, too, who know and act on no less than this.
-    pub(crate) fn ask_for(&mut self, now: f64, known: Number, in_force: Number) -> Ask {
+    pub(crate) fn poll_for(&mut self, now: f64, known: Revision, in_force: Revision) -> PollRequest {
         self.last += 1;
         if !self.later.is_empty() {
             self.revision += 1;
@@ -252,13 +254,13 @@
             first: self.told.is_none(),
             fetch: fetch.iter().copied().collect(),
         });
-        Ask {
+        PollRequest {
             member: self.member.clone(),
-            number: self.last,
-            heard: self.heard,
+            sequence: self.last,
+            acknowledged: self.heard,
             known,
             in_force,
-            interest: self.interest(),
+            subscription: self.subscription(),
             fetch,
         }
     }
@@ -268,27 +270,27 @@
     fn begin_again(&mut self) {
         for (scope, fetch) in &mut self.fetching {
             if fetch.staged.is_none() && fetch.cursor != fetch.since {
-                self.keeps.clear(*scope);
+                self.storage.clear(*scope);
             }
             fetch.cursor = fetch.since;
         }
     }
 
-    fn interest(&self) -> Interest {
-        let revision = self.revision;
+    fn subscription(&self) -> Subscription {
+        let generation = self.revision;
         match self.told {
-            _ if self.everything => Interest::Everything { revision },
-            Some(told) if told == revision => Interest::Same { revision },
+            _ if self.everything => Subscription::AllScopes { generation },
+            Some(told) if told == generation => Subscription::Unchanged { generation },
             Some(from) => {
                 let these = |whole| self.changed.iter().filter(move |c| *c.1 == whole).map(|c| *c.0);
-                Interest::Changed {
+                Subscription::Delta {
                     from,
-                    revision,
-                    more: these(true).collect(),
-                    fewer: these(false).collect(),
+                    generation,
+                    added: these(true).collect(),
+                    removed: these(false).collect(),
                 }
             }
-            None => Interest::Whole { revision, scopes: self.whole.keys().copied().collect() },
+            None => Subscription::Complete { generation, scopes: self.whole.keys().copied().collect() },
         }
     }
 
@@ -304,61 +306,63 @@
     }
 
     /// Takes an answer that came at `now`.
-    pub fn granted(&mut self, now: f64, grant: Grant) -> Result<Vec<News>, Refused> {
+    pub fn handle_response(
+        &mut self, now: f64, grant: PollResponse,
+    ) -> Result<Vec<FollowerEvent>, ResponseError> {
         let asked = self.accept(&grant)?;
-        Ok(self.take(now, asked, grant))
+        Ok(self.apply_response(now, asked, grant))
     }
 
     /// Whether an answer may be taken. If so no other one will be.
-    pub(crate) fn accept(&mut self, grant: &Grant) -> Result<Asked, Refused> {
-        if grant.number != self.last {
+    pub(crate) fn accept(&mut self, grant: &PollResponse) -> Result<Asked, ResponseError> {
+        if grant.sequence != self.last {
             // One that was not waited for: the way is longer than the patience.
-            if self.asked.is_some() && (self.heard + 1..self.last).contains(&grant.number) {
-                self.patience_ms = (2.0 * self.patience_ms).min(self.terms.answer_within_ms());
+            if self.asked.is_some() && (self.heard + 1..self.last).contains(&grant.sequence) {
+                self.patience_ms = (2.0 * self.patience_ms).min(self.terms.response_timeout_ms());
             }
-            return Err(Refused::Unasked);
+            return Err(ResponseError::Unsolicited);
         }
-        let asked = self.asked.take().ok_or(Refused::Unasked)?;
-        self.heard = grant.number;
-        if grant.interest != asked.revision {
+        let asked = self.asked.take().ok_or(ResponseError::Unsolicited)?;
+        self.heard = grant.sequence;
+        if grant.generation != asked.revision {
             self.told = None;
-            self.due = asked.at + self.terms.ask_soon_ms();
-            return Err(Refused::Interest);
+            self.due = asked.at + self.terms.prompt_poll_delay_ms();
+            return Err(ResponseError::SubscriptionMismatch);
         }
         // Guards against a grantor of the past. Had it less of what is to come than is known here, a scope that becomes
         // whole by its answer would lack the rest.
         if grant.in_force < self.in_force || grant.through < self.known.max(grant.in_force) {
             self.due = asked.at + self.every_ms();
-            return Err(Refused::Past { in_force: grant.in_force, through: grant.through });
+            return Err(ResponseError::Outdated { in_force: grant.in_force, through: grant.through });
         }
         Ok(asked)
     }
 
     /// What to act by in a scope at `now`, which has to be the time of the act.
-    pub fn acting(&self, now: f64, scope: Scope) -> Acting {
+    pub fn scope_mode(&self, now: f64, scope: Scope) -> ScopeMode {
         match self.fetching.get(&scope) {
-            Some(fetch) if fetch.staged.is_some() => Acting::Neutral,
+            Some(fetch) if fetch.staged.is_some() => ScopeMode::Conservative,
             None if self.whole.contains_key(&scope) => {
                 if now < self.until {
-                    Acting::Agreed(self.in_force)
+                    ScopeMode::Agreed(self.in_force)
                 } else {
-                    Acting::Neutral
+                    ScopeMode::Conservative
                 }
             }
-            _ => Acting::Unknown,
+            _ => ScopeMode::Unknown,
         }
     }
 
-    /// What holds under a key at `now`, by [`Follower::acting`].
+    /// What holds under a key at `now`, by [`Follower::scope_mode`].
     pub fn entry(&self, now: f64, scope: Scope, key: Key) -> Option<Entry> {
-        match self.acting(now, scope) {
-            Acting::Agreed(_) => self.keeps.get(scope, key),
-            Acting::Unknown => None,
-            Acting::Neutral => {
+        match self.scope_mode(now, scope) {
+            ScopeMode::Agreed(_) => self.storage.get(scope, key),
+            ScopeMode::Unknown => None,
+            ScopeMode::Conservative => {
                 let staged = self.fetching.get(&scope).and_then(|f| f.staged.as_ref()?.entries.get(&key));
                 let to_come = self.pending.values().flatten().filter(|c| c.scope == scope && c.key == key);
                 let others = staged.map(|(_, entry)| *entry).into_iter().chain(to_come.map(|c| c.entry));
-                others.fold(self.keeps.get(scope, key), |strict, entry| stricter(scope, strict, entry))
+                others.fold(self.storage.get(scope, key), |strict, entry| stricter(scope, strict, entry))
             }
         }
     }
@@ -369,12 +373,12 @@
     }
 
     /// All versions up to this one are known to it, in its scopes.
-    pub fn known(&self) -> Number {
+    pub fn known(&self) -> Revision {
         self.known
     }
 
     /// The version that came into force last here.
-    pub fn in_force(&self) -> Number {
+    pub fn in_force(&self) -> Revision {
         self.in_force
     }
 
@@ -383,27 +387,27 @@
         &self.member
     }
 
-    /// What it keeps its state in, at the version in force. Scopes that are starting are in there in part.
-    pub fn keeps(&self) -> &K {
-        &self.keeps
+    /// What it storage its state in, at the version in force. Scopes that are starting are in there in part.
+    pub fn storage(&self) -> &K {
+        &self.storage
     }
 
-    pub(crate) fn keeps_mut(&mut self) -> &mut K {
-        &mut self.keeps
+    pub(crate) fn storage_mut(&mut self) -> &mut K {
+        &mut self.storage
     }
 
     /// Whether an ask is out whose answer would still be taken.
-    pub fn is_asking(&self) -> bool {
+    pub fn is_polling(&self) -> bool {
         self.asked.is_some()
     }
 
     /// The scopes that it has whole, with their heat.
-    pub fn whole(&self) -> impl Iterator<Item = (Scope, f64)> + '_ {
+    pub fn complete_scopes(&self) -> impl Iterator<Item = (Scope, f64)> + '_ {
         self.whole.iter().map(|(scope, heat)| (*scope, *heat))
     }
 
     /// The scopes that are starting or behind.
-    pub fn fetching(&self) -> impl Iterator<Item = Scope> + '_ {
+    pub fn fetching_scopes(&self) -> impl Iterator<Item = Scope> + '_ {
         self.fetching.keys().copied()
     }
 
@@ -415,7 +419,7 @@
 
 impl Follower<Tables> {
     /// A gateway in a new life that has kept a snapshot. The scopes in it are whole, as of the version in force then.
-    pub fn restored(terms: Terms, member: Member, snapshot: Snapshot) -> Self {
+    pub fn restore(terms: LeaseConfig, member: Member, snapshot: Snapshot) -> Self {
         let scopes: Vec<Scope> = snapshot.tables.scopes().collect();
         let mut follower = Follower::new(terms, member, snapshot.tables);
         // What was to come is not in there: it has to be told again.
@@ -429,8 +433,8 @@
 
     /// What to keep for the next life: the scopes that are whole, as of the version in force. Costs a copy of them.
     pub fn snapshot(&self) -> Snapshot {
-        let mut tables = self.keeps.clone();
-        self.fetching.keys().for_each(|scope| tables.forget(*scope));
+        let mut tables = self.storage.clone();
+        self.fetching.keys().for_each(|scope| tables.remove_scope(*scope));
         Snapshot { known: self.in_force, in_force: self.in_force, tables }
     }
 }
--- a/replication/src/follower/taking.rs
+++ b/replication/src/follower/apply.rs
@@ -1,36 +1,38 @@
 //! Taking an answer: what was known comes into force, pieces go where they belong, and what is to come is kept.
-use super::{Asked, Fetch, Follower, News, Staged};
-use crate::scope::{Change, Number, Scope};
-use crate::store::Keeps;
-use crate::wire::{Cursor, Grant, Part};
+use super::{Asked, Fetch, Follower, FollowerEvent, Staged};
+use crate::scope::{Change, Revision, Scope};
+use crate::store::Storage;
+use crate::wire::{Cursor, PollResponse, ScopeChunk};
 use std::collections::BTreeMap;
 
-impl<K: Keeps> Follower<K> {
+impl<K: Storage> Follower<K> {
     /// Takes an answer that was accepted.
-    pub(crate) fn take(&mut self, now: f64, asked: Asked, grant: Grant) -> Vec<News> {
+    pub(crate) fn apply_response(
+        &mut self, now: f64, asked: Asked, grant: PollResponse,
+    ) -> Vec<FollowerEvent> {
         let mut news = Vec::new();
         (self.told, self.changed) = (Some(asked.revision), BTreeMap::new());
         // What was known comes into force before what has come, which is younger.
         let later = self.pending.split_off(&(grant.in_force + 1));
         for (number, changes) in std::mem::replace(&mut self.pending, later) {
-            self.bring_in(number, &changes, &mut news);
+            self.apply_revision(number, &changes, &mut news);
         }
-        for part in &grant.parts {
-            self.piece(part, &asked, &mut news);
+        for part in &grant.chunks {
+            self.apply_chunk(part, &asked, &mut news);
         }
-        for scope in &grant.behind {
-            self.fall_behind(*scope, asked.known, &mut news);
+        for scope in &grant.stale {
+            self.mark_stale(*scope, asked.known, &mut news);
         }
         if !self.everything {
-            for version in grant.pending.iter().filter(|v| v.number > grant.in_force) {
-                self.coming(version.number, &version.changes, &mut news);
+            for version in grant.pending.iter().filter(|v| v.revision > grant.in_force) {
+                self.stage_pending_revision(version.revision, &version.changes, &mut news);
             }
         }
         if grant.in_force > self.in_force {
-            news.push(News::InForce(grant.in_force));
+            news.push(FollowerEvent::InForce(grant.in_force));
         }
         if grant.through > self.known {
-            news.push(News::Known(grant.through));
+            news.push(FollowerEvent::Known(grant.through));
         }
         (self.known, self.in_force) = (grant.through, grant.in_force);
         if grant.lease_us > 0 {
@@ -44,17 +46,17 @@
         let starts = self.everything && !self.fetching.is_empty();
         // The first answer gives no lease: that it was heard has to be told first.
         let tells = starts || asked.first || self.known > asked.known || self.in_force > asked.in_force;
-        let pause = if tells { self.terms.ask_soon_ms() } else { self.every_ms() };
+        let pause = if tells { self.terms.prompt_poll_delay_ms() } else { self.every_ms() };
         self.due = (asked.at + pause).max(now.min(asked.at + self.every_ms()));
         news
     }
 
     /// A version that was known is in force.
-    fn bring_in(&mut self, number: Number, changes: &[Change], news: &mut Vec<News>) {
+    fn apply_revision(&mut self, number: Revision, changes: &[Change], news: &mut Vec<FollowerEvent>) {
         for change in changes {
             if self.whole.contains_key(&change.scope) {
-                self.keeps.set(change.scope, change.key, number, change.entry);
-                news.push(News::Changed(change.scope, change.key));
+                self.storage.set(change.scope, change.key, number, change.entry);
+                news.push(FollowerEvent::EntryChanged(change.scope, change.key));
             } else if let Some(staged) = self.fetching.get_mut(&change.scope).and_then(|f| f.staged.as_mut())
             {
                 staged.put(change.key, number, change.entry);
@@ -63,7 +65,9 @@
     }
 
     /// A version that is to come. Of one that is known it may tell more: what it changes in a scope that is whole only now.
-    fn coming(&mut self, number: Number, changes: &[Change], news: &mut Vec<News>) {
+    fn stage_pending_revision(
+        &mut self, number: Revision, changes: &[Change], news: &mut Vec<FollowerEvent>,
+    ) {
         let mut mine = Vec::new();
         for change in changes {
             let behind = self.fetching.get(&change.scope).is_some_and(|f| f.staged.is_some());
@@ -78,17 +82,17 @@
         for change in mine {
             if !known.contains(&change) {
                 known.push(change);
-                news.push(News::Changed(change.scope, change.key));
+                news.push(FollowerEvent::EntryChanged(change.scope, change.key));
             }
         }
     }
 
     /// A piece of a scope.
-    fn piece(&mut self, part: &Part, asked: &Asked, news: &mut Vec<News>) {
+    fn apply_chunk(&mut self, part: &ScopeChunk, asked: &Asked, news: &mut Vec<FollowerEvent>) {
         let scope = part.scope;
         let Some(fetch) = self.fetching.get_mut(&scope) else {
             if self.everything || self.whole.contains_key(&scope) {
-                self.changes(part, asked, news);
+                self.apply_changes(part, asked, news);
             }
             return;
         };
@@ -96,86 +100,86 @@
         if asked.fetch.get(&scope) != Some(&fetch.cursor) {
             return;
         }
-        if let Some((changed, key, _)) = part.entries.last() {
-            fetch.cursor = Cursor { changed: *changed, key: key.0 };
+        if let Some(last) = part.entries.last() {
+            fetch.cursor = Cursor { revision: last.revision, key: last.key.0 };
         }
         if let Some(staged) = &mut fetch.staged {
-            if part.anew {
+            if part.restart {
                 // What was staged stays known to the neutral rules.
                 for (key, (changed, entry)) in std::mem::take(&mut staged.entries) {
-                    self.keeps.set(scope, key, changed, entry);
+                    self.storage.set(scope, key, changed, entry);
                 }
-                staged.anew = true;
+                staged.restart = true;
             }
-            for (changed, key, entry) in &part.entries {
-                staged.put(*key, *changed, *entry);
+            for one in &part.entries {
+                staged.put(one.key, one.revision, one.entry);
             }
         } else {
-            if part.anew {
-                self.keeps.clear(scope);
+            if part.restart {
+                self.storage.clear(scope);
             }
-            for (changed, key, entry) in &part.entries {
-                self.keeps.set(scope, *key, *changed, *entry);
+            for one in &part.entries {
+                self.storage.set(scope, one.key, one.revision, one.entry);
             }
         }
-        let Some(digest) = part.whole else { return };
+        let Some(digest) = part.complete else { return };
         let Some(fetch) = self.fetching.remove(&scope) else { return };
         if let Some(staged) = fetch.staged {
-            if staged.anew {
-                self.keeps.clear(scope);
+            if staged.restart {
+                self.storage.clear(scope);
             }
             for (key, (changed, entry)) in staged.entries {
-                self.keeps.set(scope, key, changed, entry);
+                self.storage.set(scope, key, changed, entry);
             }
         }
         self.whole.insert(scope, fetch.heat);
         self.later.insert(scope, true);
-        if self.keeps.digest(scope) == digest {
-            news.push(News::Whole(scope));
+        if self.storage.digest(scope) == digest {
+            news.push(FollowerEvent::Complete(scope));
         } else {
-            self.start_anew(scope, news);
+            self.restart_fetch(scope, news);
         }
     }
 
     /// What has changed in a scope that is whole.
-    fn changes(&mut self, part: &Part, asked: &Asked, news: &mut Vec<News>) {
+    fn apply_changes(&mut self, part: &ScopeChunk, asked: &Asked, news: &mut Vec<FollowerEvent>) {
         let scope = part.scope;
-        let Some(digest) = part.whole else {
+        let Some(digest) = part.complete else {
             // No grantor tells half of the changes; the rest is to be fetched.
-            return self.fall_behind(scope, asked.known, news);
+            return self.mark_stale(scope, asked.known, news);
         };
-        if part.anew {
-            self.keeps.clear(scope);
+        if part.restart {
+            self.storage.clear(scope);
         }
-        for (changed, key, entry) in &part.entries {
-            self.keeps.set(scope, *key, *changed, *entry);
+        for one in &part.entries {
+            self.storage.set(scope, one.key, one.revision, one.entry);
             if !self.everything {
-                news.push(News::Changed(scope, *key));
+                news.push(FollowerEvent::EntryChanged(scope, one.key));
             }
         }
         self.whole.entry(scope).or_default();
-        if self.keeps.digest(scope) != digest {
-            self.start_anew(scope, news);
-        } else if part.anew {
-            news.push(News::Whole(scope));
+        if self.storage.digest(scope) != digest {
+            self.restart_fetch(scope, news);
+        } else if part.restart {
+            news.push(FollowerEvent::Complete(scope));
         }
     }
 
-    fn start_anew(&mut self, scope: Scope, news: &mut Vec<News>) {
+    fn restart_fetch(&mut self, scope: Scope, news: &mut Vec<FollowerEvent>) {
         let heat = self.whole.get(&scope).copied().unwrap_or_default();
         self.drop_scope(scope);
         self.fetching.insert(scope, Fetch::starting(heat));
-        news.push(News::Anew(scope));
+        news.push(FollowerEvent::Restarted(scope));
     }
 
     /// A scope's changes since `known` did not fit in.
-    fn fall_behind(&mut self, scope: Scope, known: Number, news: &mut Vec<News>) {
+    fn mark_stale(&mut self, scope: Scope, known: Revision, news: &mut Vec<FollowerEvent>) {
         if let Some(heat) = self.whole.remove(&scope) {
             let since = Cursor::after(known);
             let staged = Some(Staged::default());
             self.fetching.insert(scope, Fetch { since, cursor: since, heat, staged });
             self.later.insert(scope, false);
-            news.push(News::Behind(scope));
+            news.push(FollowerEvent::Stale(scope));
         } else if self.everything {
             self.fetching.entry(scope).or_insert_with(|| Fetch::starting(0.0));
         }
--- a/replication/src/grantor.rs
+++ b/replication/src/lessor.rs
@@ -1,17 +1,19 @@
 //! The answering side, for an origin and for machines between: news, pieces within a budget of bytes, leases.
 //!
 //! It has no queue for anybody: an answer is worked out from the store and from what the ask tells, and costs what has
-//! changed since. Of each follower it keeps the scopes that it has whole, its lease, and its budget.
-use crate::lease::Terms;
-use crate::scope::{Change, Number, Scope, Version};
+//! changed since. Of each follower it storage the scopes that it has whole, its lease, and its budget.
+use crate::lease::LeaseConfig;
+use crate::scope::{Change, ChangeSet, Revision, Scope};
 use crate::store::Store;
-use crate::wire::{Ask, Cursor, Grant, Interest, Member, Part, HEADER, LONGEST};
+use crate::wire::{
+    Cursor, Member, PollRequest, PollResponse, ScopeChunk, Subscription, HEADER_BYTES, MAX_FRAME_BYTES,
+};
 use postcard::ser_flavors::Size;
 use serde::Serialize;
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
 /// What an answer's versions to come, and its pieces, may take each, in bytes: both fit a frame together with the rest.
-const MOST: usize = LONGEST / 3;
+const MOST: usize = MAX_FRAME_BYTES / 3;
 /// A piece is not begun with less left, in bytes: its frame would outweigh it.
 const LEAST: usize = 64;
 /// What a piece takes besides its entries, in bytes, at most.
@@ -71,11 +73,11 @@
 /// A follower, as its grantor knows it.
 #[derive(Clone, Debug)]
 struct Followed {
-    revision: u64, // 0 where its scopes are not known.
+    generation: u64, // 0 where its scopes are not known.
     whole: Whole,
     until: f64, // Its lease, by the grantor's clock.
-    known: Number,
-    in_force: Number,
+    known: Revision,
+    in_force: Revision,
     asked_at: f64,
     /// The first answer of which it has not said that it came, nor any later one, and when it went out.
     unheard: Option<(u64, f64)>,
@@ -85,7 +87,7 @@
 impl Followed {
     fn new(now: f64, bytes: f64, first: u64) -> Self {
         Followed {
-            revision: 0,
+            generation: 0,
             whole: Whole::These(Bits::default()),
             until: f64::NEG_INFINITY,
             known: 0,
@@ -111,26 +113,26 @@
     }
 
     /// Takes in what it tells of its scopes; false where that does not follow from what is known here.
-    fn interested(&mut self, numbered: &mut Numbered, interest: &Interest) -> bool {
-        match interest {
-            Interest::Same { revision } => return self.revision == *revision,
-            Interest::Changed { from, revision, more, fewer } => {
+    fn subscribe(&mut self, numbered: &mut Numbered, subscription: &Subscription) -> bool {
+        match subscription {
+            Subscription::Unchanged { generation } => return self.generation == *generation,
+            Subscription::Delta { from, generation, added, removed } => {
                 // A revision in between is one whose answer was lost: all that has changed since `from` is told again.
                 let Whole::These(bits) = &mut self.whole else { return false };
-                if self.revision == 0 || !(*from..=*revision).contains(&self.revision) {
+                if self.generation == 0 || !(*from..=*generation).contains(&self.generation) {
                     return false;
                 }
-                more.iter().for_each(|scope| bits.set(numbered.of(*scope), true));
-                fewer.iter().for_each(|scope| bits.set(numbered.of(*scope), false));
-                self.revision = *revision;
+                added.iter().for_each(|scope| bits.set(numbered.of(*scope), true));
+                removed.iter().for_each(|scope| bits.set(numbered.of(*scope), false));
+                self.generation = *generation;
             }
-            Interest::Whole { revision, scopes } => {
+            Subscription::Complete { generation, scopes } => {
                 let mut bits = Bits::default();
                 scopes.iter().for_each(|scope| bits.set(numbered.of(*scope), true));
-                (self.whole, self.revision) = (Whole::These(bits), *revision);
+                (self.whole, self.generation) = (Whole::These(bits), *generation);
             }
-            Interest::Everything { revision } => {
-                (self.whole, self.revision) = (Whole::All, *revision);
+            Subscription::AllScopes { generation } => {
+                (self.whole, self.generation) = (Whole::All, *generation);
             }
         }
         true
@@ -140,24 +142,24 @@
 /// What a message takes as a frame, in bytes.
 fn bytes_of(message: &impl Serialize) -> usize {
     // One byte says which kind of message it is. Nothing of these types can fail to be written.
-    postcard::serialize_with_flavor::<_, Size, usize>(message, Size::default()).unwrap_or(LONGEST)
-        + HEADER
+    postcard::serialize_with_flavor::<_, Size, usize>(message, Size::default()).unwrap_or(MAX_FRAME_BYTES)
+        + HEADER_BYTES
         + 1
 }
 
 /// Answers followers. Times are ms of the caller's clock.
 #[derive(Clone, Debug)]
-pub struct Grantor {
-    terms: Terms,
+pub struct Lessor {
+    terms: LeaseConfig,
     followed: BTreeMap<Member, Followed>,
     numbered: Numbered,
     tidied: f64,
 }
 
-impl Grantor {
+impl Lessor {
     /// One that has given no lease yet.
-    pub fn new(terms: Terms, now: f64) -> Self {
-        Grantor { terms, followed: BTreeMap::new(), numbered: Numbered::default(), tidied: now }
+    pub fn new(terms: LeaseConfig, now: f64) -> Self {
+        Lessor { terms, followed: BTreeMap::new(), numbered: Numbered::default(), tidied: now }
     }
 
     /// The answer to an ask that came at `now`, from what is in the store. Its lease is no longer than `may_lease_ms`, which
@@ -166,34 +168,36 @@
     /// A lease never lasts past one lease's time after the first answer that its holder has not said to have heard: who asks
     /// and hears no answer, over a link that is cut one way, holds the others up no longer than if it had died then. For the
     /// same reason nobody gets one with the first answer here: it might go from one grantor to the next and hear none.
-    pub fn asked(&mut self, now: f64, store: &Store, may_lease_ms: f64, ask: &Ask) -> Grant {
+    pub fn handle_poll(
+        &mut self, now: f64, store: &Store, may_lease_ms: f64, ask: &PollRequest,
+    ) -> PollResponse {
         self.tidy(now);
-        let everything = matches!(ask.interest, Interest::Everything { .. });
-        let rate = if everything { self.terms.between_bytes_per_s } else { self.terms.bytes_per_s };
+        let everything = matches!(ask.subscription, Subscription::AllScopes { .. });
+        let rate = if everything { self.terms.replica_bytes_per_s } else { self.terms.bytes_per_s };
         let burst = rate * self.terms.burst_s;
-        let new = || Followed::new(now, burst, ask.number);
+        let new = || Followed::new(now, burst, ask.sequence);
         let follower = self.followed.entry(ask.member.clone()).or_insert_with(new);
-        let mut grant = Grant {
-            number: ask.number,
-            interest: follower.revision,
+        let mut grant = PollResponse {
+            sequence: ask.sequence,
+            generation: follower.generation,
             lease_us: 0,
-            in_force: store.number(),
+            in_force: store.in_force(),
             through: store.through(),
-            parts: Vec::new(),
-            behind: Vec::new(),
+            chunks: Vec::new(),
+            stale: Vec::new(),
             pending: Vec::new(),
         };
         follower.bytes = (follower.bytes + rate * (now - follower.asked_at).max(0.0) / 1000.0).min(burst);
         follower.asked_at = follower.asked_at.max(now);
-        if follower.unheard.is_some_and(|(number, _)| ask.heard >= number) {
+        if follower.unheard.is_some_and(|(number, _)| ask.acknowledged >= number) {
             follower.unheard = None;
         }
-        let (_, since) = *follower.unheard.get_or_insert((ask.number, now));
-        if !follower.interested(&mut self.numbered, &ask.interest) {
+        let (_, since) = *follower.unheard.get_or_insert((ask.sequence, now));
+        if !follower.subscribe(&mut self.numbered, &ask.subscription) {
             follower.spend(bytes_of(ask) + bytes_of(&grant), burst);
             return grant;
         }
-        grant.interest = follower.revision;
+        grant.generation = follower.generation;
         let most = (follower.bytes - bytes_of(ask) as f64).clamp(0.0, MOST as f64) as usize;
         changes(store, &self.numbered, follower, ask, most, &mut grant);
         fetched(store, ask, most, &mut grant);
@@ -202,7 +206,7 @@
         // Who is not told all that is to come must not be taken for one that knows it.
         if complete && lease_ms > 0.0 {
             grant.lease_us = (lease_ms * 1000.0) as u64;
-            follower.until = follower.until.max(now + self.terms.held(grant.lease_us as f64 / 1000.0));
+            follower.until = follower.until.max(now + self.terms.held_for_ms(grant.lease_us as f64 / 1000.0));
         }
         // What it is sent now counts as known only once it says so.
         follower.known = follower.known.max(ask.known);
@@ -213,7 +217,7 @@
 
     /// Forgets who has not asked for so long that its lease is over, and its budget full.
     fn tidy(&mut self, now: f64) {
-        let long = self.terms.held_ms().max(self.terms.burst_s * 1000.0) * 2.0;
+        let long = self.terms.max_held_ms().max(self.terms.burst_s * 1000.0) * 2.0;
         if now > self.tidied + long {
             self.tidied = now;
             self.followed.retain(|_, f| f.until > now || now - f.asked_at < long);
@@ -221,25 +225,28 @@
     }
 
     /// The least that is known to, and the least that is acted on by, all whose leases last at `now`; `None` where none do.
-    pub fn least(&self, now: f64) -> Option<(Number, Number)> {
+    pub fn min_progress(&self, now: f64) -> Option<(Revision, Revision)> {
         let all = self.holders(now).map(|(_, known, in_force)| (known, in_force));
         all.reduce(|a, b| (a.0.min(b.0), a.1.min(b.1)))
     }
 
     /// Who holds a lease at `now`, with what it said that it knows and that it acts on.
-    pub fn holders(&self, now: f64) -> impl Iterator<Item = (&Member, Number, Number)> {
+    pub fn holders(&self, now: f64) -> impl Iterator<Item = (&Member, Revision, Revision)> {
         self.followed.iter().filter(move |(_, f)| f.until > now).map(|(m, f)| (m, f.known, f.in_force))
     }
 
     /// How many followers are remembered.
-    pub fn followers(&self) -> usize {
+    pub fn follower_count(&self) -> usize {
         self.followed.len()
     }
 }
 
 /// What has changed in scopes that the follower has whole.
-fn changes(store: &Store, numbered: &Numbered, to: &Followed, ask: &Ask, most: usize, grant: &mut Grant) {
-    if ask.known >= store.number() {
+fn changes(
+    store: &Store, numbered: &Numbered, to: &Followed, ask: &PollRequest, most: usize,
+    grant: &mut PollResponse,
+) {
+    if ask.known >= store.in_force() {
         return;
     }
     let fetched: BTreeSet<Scope> = ask.fetch.iter().map(|(scope, _)| *scope).collect();
@@ -256,51 +263,53 @@
     let mut used = 0;
     for scope in changed {
         let left = most.saturating_sub(used + FRAME);
-        let part = (left >= LEAST).then(|| store.piece(scope, Cursor::after(ask.known), left));
+        let part = (left >= LEAST).then(|| store.chunk(scope, Cursor::after(ask.known), left));
         // One entry goes whatever its length.
-        match part.filter(|part| part.whole.is_some() && bytes_of(part) <= left + FRAME) {
+        match part.filter(|part| part.complete.is_some() && bytes_of(part) <= left + FRAME) {
             Some(part) => {
                 used += bytes_of(&part);
-                grant.parts.push(part);
+                grant.chunks.push(part);
             }
-            None => grant.behind.push(scope),
+            None => grant.stale.push(scope),
         }
     }
 }
 
 /// The pieces that the follower fetches, as far as the budget goes.
-fn fetched(store: &Store, ask: &Ask, most: usize, grant: &mut Grant) {
-    let mut used: usize = grant.parts.iter().map(bytes_of).sum();
+fn fetched(store: &Store, ask: &PollRequest, most: usize, grant: &mut PollResponse) {
+    let mut used: usize = grant.chunks.iter().map(bytes_of).sum();
     for (scope, cursor) in &ask.fetch {
         let left = most.saturating_sub(used + FRAME);
         if left < LEAST {
             return;
         }
-        let part: Part = store.piece(*scope, *cursor, left);
+        let part: ScopeChunk = store.chunk(*scope, *cursor, left);
         used += bytes_of(&part);
-        grant.parts.push(part);
+        grant.chunks.push(part);
     }
 }
 
 /// The versions that are to come; false where they do not all fit, and the answer tells of fewer.
-fn to_come(store: &Store, numbered: &Numbered, to: &Followed, ask: &Ask, grant: &mut Grant) -> bool {
+fn to_come(
+    store: &Store, numbered: &Numbered, to: &Followed, ask: &PollRequest, grant: &mut PollResponse,
+) -> bool {
     let fetched: BTreeSet<Scope> = ask.fetch.iter().map(|(scope, _)| *scope).collect();
-    let whole = |part: &&Part| part.whole.is_some() && fetched.contains(&part.scope);
-    let whole: BTreeSet<Scope> = grant.parts.iter().filter(whole).map(|part| part.scope).collect();
+    let whole = |part: &&ScopeChunk| part.complete.is_some() && fetched.contains(&part.scope);
+    let whole: BTreeSet<Scope> = grant.chunks.iter().filter(whole).map(|part| part.scope).collect();
     // A scope that is whole only now has none of them, not even those that are known.
-    let from = if whole.is_empty() { ask.known.max(store.number()) } else { store.number() };
+    let from = if whole.is_empty() { ask.known.max(store.in_force()) } else { store.in_force() };
     let mut used = 0;
     for version in store.pending_since(from) {
-        let new = version.number > ask.known;
+        let new = version.revision > ask.known;
         let touches = |c: &&Change| whole.contains(&c.scope) || new && to.has(numbered, c.scope);
         let changes: Vec<_> = version.changes.iter().filter(touches).copied().collect();
         if changes.is_empty() {
             continue;
         }
-        let version = Version { number: version.number, changes };
+        let version = ChangeSet { revision: version.revision, changes };
         used += bytes_of(&version);
         if used > MOST && new && !grant.pending.is_empty() {
-            grant.through = version.number - 1;
+            grant.through = version.revision - 1;
             return false;
         }
         grant.pending.push(version);
--- a/replication/src/placing.rs
+++ b/replication/src/placement.rs
@@ -4,7 +4,7 @@
 
 /// A machine between, and where it stands.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Machine {
+pub struct ReplicaLocation {
     /// Its name; no two have the same.
     pub name: String,
     /// Its zone.
@@ -18,7 +18,7 @@
 /// The first is one of its zone; without any there, of its region, and else any. From the second on one of the near (zone or
 /// region) and one of the far take turns, a draw says which begin: with two machines to a zone, the dead one's members would
 /// all meet at the other if its zone, or even its region, came first throughout.
-pub fn order(member: &str, zone: &str, region: &str, machines: &[Machine]) -> Vec<usize> {
+pub fn preference_order(member: &str, zone: &str, region: &str, machines: &[ReplicaLocation]) -> Vec<usize> {
     let draw = |of: &str| {
         let hash = Sha256::new().chain_update(member).chain_update([0]).chain_update(of).finalize();
         hash.iter().take(8).fold(0u64, |sum, byte| sum << 8 | u64::from(*byte))
--- a/replication/src/origin.rs
+++ b/replication/src/primary.rs
@@ -1,17 +1,17 @@
 //! Where versions begin: proposals are put together into versions, and these come into force in two steps.
 //!
 //! The order of versions, and that one is in force, are agreed among voters. Here this is one machine's word;
-//! [`Origin::confirmed`] is told when its leadership has last been confirmed.
-use crate::grantor::Grantor;
-use crate::lease::Terms;
-use crate::scope::{Change, Key, Number, Scope, Version};
+//! [`Primary::confirm_leadership`] is told when its leadership has last been confirmed.
+use crate::lease::LeaseConfig;
+use crate::lessor::Lessor;
+use crate::scope::{Change, ChangeSet, Key, Revision, Scope};
 use crate::store::Store;
-use crate::wire::{Ask, Grant};
+use crate::wire::{PollRequest, PollResponse};
 use sha2::{Digest as _, Sha256};
 use std::collections::BTreeMap;
 
 /// The most bytes of one proposal, as encoded: several fit a frame, with room for the rest.
-pub const LONGEST_PROPOSAL: usize = 64 * 1024;
+pub const MAX_PROPOSAL_BYTES: usize = 64 * 1024;
 
 /// Who proposed, and when.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -35,48 +35,48 @@
 
 /// Why a proposal is not taken.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Unfit {
+pub enum ProposalError {
     /// It changes nothing.
     Empty,
     /// An entry may not stand in that scope.
-    Entry {
+    MisplacedEntry {
         /// Where it was to stand.
         scope: Scope,
         /// Under which key.
         key: Key,
     },
-    /// It has so many bytes as encoded, which is over [`LONGEST_PROPOSAL`].
-    Long(usize),
+    /// It has so many bytes as encoded, which is over [`MAX_PROPOSAL_BYTES`].
+    TooLong(usize),
 }
 
-impl std::fmt::Display for Unfit {
+impl std::fmt::Display for ProposalError {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         match self {
-            Unfit::Empty => write!(f, "a proposal that changes nothing"),
-            Unfit::Entry { scope, key } => {
+            ProposalError::Empty => write!(f, "a proposal that changes nothing"),
+            ProposalError::MisplacedEntry { scope, key } => {
                 write!(f, "the entry under key {:016x} may not stand in {scope:?}", key.0)
             }
-            Unfit::Long(bytes) => {
-                write!(f, "a proposal of {bytes} bytes, expected {LONGEST_PROPOSAL} at most")
+            ProposalError::TooLong(bytes) => {
+                write!(f, "a proposal of {bytes} bytes, expected {MAX_PROPOSAL_BYTES} at most")
             }
         }
     }
 }
 
-impl std::error::Error for Unfit {}
+impl std::error::Error for ProposalError {}
 
 /// What has happened.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Happened {
-    /// Proposals, by the numbers that [`Origin::propose`] gave them, make up a version.
+pub enum PrimaryEvent {
+    /// Proposals, by the numbers that [`Primary::propose`] gave them, make up a version.
     Agreed {
         /// The version.
-        version: Number,
+        revision: Revision,
         /// The proposals.
         proposals: Vec<u64>,
     },
     /// All versions up to this one are in force.
-    InForce(Number),
+    InForce(Revision),
 }
 
 #[derive(Clone, Debug)]
@@ -89,29 +89,29 @@
 
 /// The origin, for as long as it leads. Times are ms of the caller's clock.
 #[derive(Clone, Debug)]
-pub struct Origin {
-    terms: Terms,
+pub struct Primary {
+    terms: LeaseConfig,
     epoch: u64,
     began: f64,
     confirmed: f64,
     store: Store,
-    grantor: Grantor,
+    lessor: Lessor,
     waiting: Vec<Waiting>,
     proposed: u64,
     batched: f64,
-    records: BTreeMap<Number, Record>,
+    records: BTreeMap<Revision, Record>,
 }
 
-impl Origin {
+impl Primary {
     /// A leader from `now` on, in a term of the consensus, with all agreed versions, in force or to come.
-    pub fn new(terms: Terms, now: f64, epoch: u64, store: Store) -> Self {
-        Origin {
+    pub fn new(terms: LeaseConfig, now: f64, epoch: u64, store: Store) -> Self {
+        Primary {
             terms,
             epoch,
             began: now,
             confirmed: now,
             store,
-            grantor: Grantor::new(terms, now),
+            lessor: Lessor::new(terms, now),
             waiting: Vec::new(),
             proposed: 0,
             batched: f64::NEG_INFINITY,
@@ -120,40 +120,40 @@
     }
 
     /// Takes a proposal, all of whose changes come into force in one version, and numbers it.
-    pub fn propose(&mut self, proposer: Proposer, changes: Vec<Change>) -> Result<u64, Unfit> {
+    pub fn propose(&mut self, proposer: Proposer, changes: Vec<Change>) -> Result<u64, ProposalError> {
         if changes.is_empty() {
-            return Err(Unfit::Empty);
+            return Err(ProposalError::Empty);
         }
         if let Some(c) = changes.iter().find(|c| c.entry.is_some_and(|entry| !entry.fits(c.scope))) {
-            return Err(Unfit::Entry { scope: c.scope, key: c.key });
+            return Err(ProposalError::MisplacedEntry { scope: c.scope, key: c.key });
         }
         // Nothing of these types can fail to be written.
         let bytes = postcard::to_allocvec(&changes).map_or(usize::MAX, |b| b.len());
-        if bytes > LONGEST_PROPOSAL {
-            return Err(Unfit::Long(bytes));
+        if bytes > MAX_PROPOSAL_BYTES {
+            return Err(ProposalError::TooLong(bytes));
         }
         self.proposed += 1;
         self.waiting.push(Waiting { number: self.proposed, proposer, changes, bytes });
         Ok(self.proposed)
     }
 
-    /// When [`Origin::tick`] has something to do by itself: the end of a batch, if proposals wait. Whatever is asked may give it more.
+    /// When [`Primary::tick`] has something to do by itself: the end of a batch, if proposals wait. Whatever is asked may give it more.
     pub fn next_tick(&self) -> Option<f64> {
         (!self.waiting.is_empty()).then_some(self.batched + self.terms.batch_ms)
     }
 
     /// Puts waiting proposals together where it is time, and brings into force what may be.
-    pub fn tick(&mut self, now: f64) -> Vec<Happened> {
+    pub fn tick(&mut self, now: f64) -> Vec<PrimaryEvent> {
         let mut happened: Vec<_> = self.batch(now).into_iter().collect();
         if let Some(number) = self.ready(now) {
-            self.in_force(number);
-            happened.push(Happened::InForce(number));
+            self.advance_to(number);
+            happened.push(PrimaryEvent::InForce(number));
         }
         happened
     }
 
     /// Puts the proposals that wait together into a version, unless the last one was just now.
-    pub fn batch(&mut self, now: f64) -> Option<Happened> {
+    pub fn batch(&mut self, now: f64) -> Option<PrimaryEvent> {
         if self.waiting.is_empty() || now < self.batched + self.terms.batch_ms {
             return None;
         }
@@ -161,7 +161,7 @@
         let mut bytes = 0;
         let fits = |w: &Waiting| {
             bytes += w.bytes;
-            bytes <= LONGEST_PROPOSAL
+            bytes <= MAX_PROPOSAL_BYTES
         };
         let count = self.waiting.iter().map(fits).take_while(|fits| *fits).count().max(1);
         let taken: Vec<Waiting> = self.waiting.drain(..count).collect();
@@ -180,19 +180,19 @@
             digest: Sha256::digest(bytes).into(),
         };
         self.records.insert(number, record);
-        self.store.pending(Version { number, changes });
-        Some(Happened::Agreed { version: number, proposals })
+        self.store.add_pending(ChangeSet { revision: number, changes });
+        Some(PrimaryEvent::Agreed { revision: number, proposals })
     }
 
     /// The version up to which all may come into force at `now`, if any: every lease is held by who knows it and acts on the
     /// one in force, or has run out. Guards against versions that follow each other so fast that somebody is always behind.
-    pub fn ready(&self, now: f64) -> Option<Number> {
-        let (number, through) = (self.store.number(), self.store.through());
+    pub fn ready(&self, now: f64) -> Option<Revision> {
+        let (number, through) = (self.store.in_force(), self.store.through());
         // Guards against leases of the leader before, of whom nothing is known here.
-        if through == number || number > 0 && now < self.began + self.terms.held_ms() {
+        if through == number || number > 0 && now < self.began + self.terms.max_held_ms() {
             return None;
         }
-        match self.grantor.least(now) {
+        match self.lessor.min_progress(now) {
             None => Some(through),
             Some((known, in_force)) => {
                 let next = known.min(through);
@@ -202,23 +202,23 @@
     }
 
     /// It has been agreed that all versions up to this one are in force.
-    pub fn in_force(&mut self, number: Number) {
-        self.store.in_force(number);
+    pub fn advance_to(&mut self, number: Revision) {
+        self.store.advance_to(number);
     }
 
     /// A majority has confirmed that this was the leader at `at`.
-    pub fn confirmed(&mut self, at: f64) {
+    pub fn confirm_leadership(&mut self, at: f64) {
         self.confirmed = self.confirmed.max(at);
     }
 
     /// A member asks at `now`. There is no answer unless a majority confirmed the leadership after the ask came (the caller
     /// holds it back so long), nor before there is a version in force.
-    pub fn asked(&mut self, now: f64, ask: &Ask) -> Option<Grant> {
+    pub fn handle_poll(&mut self, now: f64, ask: &PollRequest) -> Option<PollResponse> {
         // Guards against a leader that has been replaced and does not know: its confirmations are old.
-        if self.confirmed < now || self.store.number() == 0 {
+        if self.confirmed < now || self.store.in_force() == 0 {
             return None;
         }
-        Some(self.grantor.asked(now, &self.store, self.terms.lease_ms, ask))
+        Some(self.lessor.handle_poll(now, &self.store, self.terms.lease_ms, ask))
     }
 
     /// State in force, and versions to come.
@@ -227,23 +227,23 @@
     }
 
     /// Its side towards its followers.
-    pub fn grantor(&self) -> &Grantor {
-        &self.grantor
+    pub fn lessor(&self) -> &Lessor {
+        &self.lessor
     }
 
     /// How many proposals wait for their version.
-    pub fn waiting(&self) -> usize {
+    pub fn queued_proposals(&self) -> usize {
         self.waiting.len()
     }
 
     /// What is told of a version, if it was put together here and not forgotten.
-    pub fn record(&self, number: Number) -> Option<&Record> {
+    pub fn record(&self, number: Revision) -> Option<&Record> {
         self.records.get(&number)
     }
 
     /// Forgets records, and what was removed, before a version.
-    pub fn forget(&mut self, before: Number) {
+    pub fn compact(&mut self, before: Revision) {
         self.records = self.records.split_off(&before);
-        self.store.forget_removed(before);
+        self.store.purge_tombstones(before);
     }
 }
--- a/replication/src/version.rs
+++ b/replication/src/rules.rs
@@ -6,7 +6,7 @@
 /// How far a class may be repeated.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Repeat {
+pub enum RetryPolicy {
     /// Never once it may have run.
     Never,
     /// For so many ms.
@@ -22,8 +22,8 @@
     /// Where it listens.
     pub address: String,
     /// It gets nothing new.
-    #[serde(default)]
-    pub drains: bool,
+    #[serde(default, rename = "drains")]
+    pub draining: bool,
 }
 
 /// The rules that may change while gateways run.
@@ -33,7 +33,7 @@
     /// Each tenant's quota over all gateways, in messages a second; a tenant that is not here has none.
     pub quotas: BTreeMap<String, u32>,
     /// How far each class may be repeated; one that is not here never.
-    pub classes: BTreeMap<String, Repeat>,
+    pub classes: BTreeMap<String, RetryPolicy>,
     /// The list in force, by uid.
     pub hosts: BTreeMap<String, Host>,
     /// Discovery's revision of that list.
@@ -42,7 +42,7 @@
 
 /// Rules with their place in the order that all agree on.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Version {
+pub struct VersionedRules {
     /// Its place: 1 for the first. No two versions have the same.
     pub number: u64,
     /// The term of the consensus in which it was agreed.
@@ -68,19 +68,19 @@
     pub fn is_within(&self, other: &Rules) -> bool {
         let quotas =
             other.quotas.iter().all(|(tenant, most)| self.quotas.get(tenant).is_some_and(|q| q <= most));
-        let repeats = self.classes.iter().all(|(class, r)| *r <= other.repeat(class));
+        let repeats = self.classes.iter().all(|(class, r)| *r <= other.retry_policy(class));
         let hosts = self.serving().all(|(uid, host)| other.hosts.get(uid) == Some(host));
         quotas && repeats && hosts
     }
 
     /// How far a class may be repeated.
-    pub fn repeat(&self, class: &str) -> Repeat {
-        self.classes.get(class).copied().unwrap_or(Repeat::Never)
+    pub fn retry_policy(&self, class: &str) -> RetryPolicy {
+        self.classes.get(class).copied().unwrap_or(RetryPolicy::Never)
     }
 
     /// The hosts that take new work.
     pub fn serving(&self) -> impl Iterator<Item = (&String, &Host)> {
-        self.hosts.iter().filter(|(_, host)| !host.drains)
+        self.hosts.iter().filter(|(_, host)| !host.draining)
     }
 
     /// The stricter of each rule of two: within both.
@@ -89,7 +89,8 @@
         for (tenant, most) in &other.quotas {
             quotas.entry(tenant.clone()).and_modify(|q| *q = (*q).min(*most)).or_insert(*most);
         }
-        let classes = self.classes.iter().map(|(class, r)| (class.clone(), (*r).min(other.repeat(class))));
+        let classes =
+            self.classes.iter().map(|(class, r)| (class.clone(), (*r).min(other.retry_policy(class))));
         let both = self.serving().filter(|(uid, host)| other.hosts.get(*uid) == Some(*host));
         Rules {
             quotas,
@@ -103,11 +104,12 @@
 /// A rule on which two versions say what cannot both be kept.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Contradiction {
+pub enum Conflict {
     /// Two quotas of one tenant.
     Quota(String),
     /// A class that may be repeated further here than there.
-    Repeat(String),
+    #[serde(rename = "repeat")]
+    RetryPolicy(String),
     /// A host that takes work here and not there.
     Host(String),
     /// One host at two addresses.
@@ -115,7 +117,7 @@
 }
 
 /// All contradictions between two sets of rules, sorted.
-pub fn contradictions(a: &Rules, b: &Rules) -> Vec<Contradiction> {
+pub fn conflicts(a: &Rules, b: &Rules) -> Vec<Conflict> {
     let mut found = Vec::new();
     let keys = |x: Vec<&String>, y: Vec<&String>| {
         let mut all: Vec<String> = x.into_iter().chain(y).cloned().collect();
@@ -125,20 +127,20 @@
     };
     for tenant in keys(a.quotas.keys().collect(), b.quotas.keys().collect()) {
         if a.quotas.get(&tenant) != b.quotas.get(&tenant) {
-            found.push(Contradiction::Quota(tenant));
+            found.push(Conflict::Quota(tenant));
         }
     }
     for class in keys(a.classes.keys().collect(), b.classes.keys().collect()) {
-        if a.repeat(&class) != b.repeat(&class) {
-            found.push(Contradiction::Repeat(class));
+        if a.retry_policy(&class) != b.retry_policy(&class) {
+            found.push(Conflict::RetryPolicy(class));
         }
     }
     for uid in keys(a.hosts.keys().collect(), b.hosts.keys().collect()) {
-        let serves = |r: &Rules| r.hosts.get(&uid).is_some_and(|h| !h.drains);
+        let serves = |r: &Rules| r.hosts.get(&uid).is_some_and(|h| !h.draining);
         if serves(a) != serves(b) {
-            found.push(Contradiction::Host(uid));
+            found.push(Conflict::Host(uid));
         } else if serves(a) && a.hosts.get(&uid) != b.hosts.get(&uid) {
-            found.push(Contradiction::Address(uid));
+            found.push(Conflict::Address(uid));
         }
     }
     found.sort();
--- a/replication/src/scope.rs
+++ b/replication/src/scope.rs
@@ -2,16 +2,16 @@
 //!
 //! A gateway follows the scopes that its requests need, and a change costs what it changes, not what there is. All that is
 //! in one entry is of a fixed, small size; names are not kept, only [`Key`]s made of them.
-use crate::version::Repeat;
+use crate::rules::RetryPolicy;
 use serde::{Deserialize, Serialize};
 use sha2::{Digest as _, Sha256};
 use std::net::SocketAddrV4;
 
 /// A version's place in the one order that all agree on: 1 for the first, 0 for none.
-pub type Number = u64;
+pub type Revision = u64;
 
 /// How many scopes the tenants are spread over: about 160 of 670,000 in each.
-pub const TENANT_SCOPES: u32 = 4096;
+pub const TENANT_SCOPE_COUNT: u32 = 4096;
 
 /// A part of the state that is followed as a whole.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
@@ -24,18 +24,18 @@
     Hosts(u32),
     /// The routes that lead to a service, by the [`Key`] of their name.
     Routes(u32),
-    /// The tenants of one of [`TENANT_SCOPES`] shards, by the [`Key`] of their name.
+    /// The tenants of one of [`TENANT_SCOPE_COUNT`] shards, by the [`Key`] of their name.
     Tenants(u32),
 }
 
 impl Scope {
     /// The scope that holds a tenant.
     pub fn of_tenant(tenant: Key) -> Scope {
-        Scope::Tenants((tenant.0 % u64::from(TENANT_SCOPES)) as u32)
+        Scope::Tenants((tenant.0 % u64::from(TENANT_SCOPE_COUNT)) as u32)
     }
 
     /// Whether every member follows it, asked or not.
-    pub fn is_for_all(self) -> bool {
+    pub fn is_global(self) -> bool {
         matches!(self, Scope::Zones | Scope::Fleet)
     }
 }
@@ -53,7 +53,7 @@
     }
 
     /// The key of a number, as zones have.
-    pub fn numbered(number: u32) -> Key {
+    pub fn from_number(number: u32) -> Key {
         Key(u64::from(number))
     }
 }
@@ -66,7 +66,7 @@
     /// The number of its zone.
     pub zone: u16,
     /// It gets nothing new.
-    pub drains: bool,
+    pub draining: bool,
     /// Its size in relation to others, in thousandths.
     pub weight_milli: u32,
     /// Its last start, as Unix time in seconds; 0 for long ago.
@@ -79,7 +79,7 @@
     /// The number of the class that its requests have in the settings.
     pub class: u16,
     /// How far these may be repeated.
-    pub repeat: Repeat,
+    pub retry_policy: RetryPolicy,
 }
 
 /// What is agreed under one key.
@@ -92,7 +92,7 @@
     /// A tenant's quota over all gateways, in requests a second, in [`Scope::Tenants`].
     Quota(u32),
     /// How far a class may be repeated, in [`Scope::Fleet`].
-    Repeat(Repeat),
+    RetryPolicy(RetryPolicy),
     /// Whether a zone is in service, in [`Scope::Zones`]. A zone without an entry is.
     Zone(bool),
 }
@@ -105,7 +105,7 @@
             (Entry::Host(_), Scope::Hosts(_))
                 | (Entry::Route(_), Scope::Routes(_))
                 | (Entry::Quota(_), Scope::Tenants(_))
-                | (Entry::Repeat(_), Scope::Fleet)
+                | (Entry::RetryPolicy(_), Scope::Fleet)
                 | (Entry::Zone(_), Scope::Zones)
         )
     }
@@ -117,13 +117,15 @@
 pub fn stricter(scope: Scope, a: Option<Entry>, b: Option<Entry>) -> Option<Entry> {
     match (scope, a, b) {
         (Scope::Hosts(_), Some(Entry::Host(a)), Some(Entry::Host(b))) => {
-            let drains = a.drains || b.drains || a.address != b.address;
-            Some(Entry::Host(Host { drains, ..a }))
+            let draining = a.draining || b.draining || a.address != b.address;
+            Some(Entry::Host(Host { draining, ..a }))
         }
         (Scope::Routes(_), Some(Entry::Route(a)), Some(Entry::Route(b))) => {
-            Some(Entry::Route(Route { repeat: a.repeat.min(b.repeat), ..a }))
+            Some(Entry::Route(Route { retry_policy: a.retry_policy.min(b.retry_policy), ..a }))
+        }
+        (Scope::Fleet, Some(Entry::RetryPolicy(a)), Some(Entry::RetryPolicy(b))) => {
+            Some(Entry::RetryPolicy(a.min(b)))
         }
-        (Scope::Fleet, Some(Entry::Repeat(a)), Some(Entry::Repeat(b))) => Some(Entry::Repeat(a.min(b))),
         (Scope::Tenants(_), Some(Entry::Quota(a)), Some(Entry::Quota(b))) => Some(Entry::Quota(a.min(b))),
         (Scope::Tenants(_), one, other) => one.or(other),
         (Scope::Zones, Some(Entry::Zone(a)), Some(Entry::Zone(b))) => Some(Entry::Zone(a && b)),
@@ -145,9 +147,9 @@
 
 /// Changes with their place in the order that all agree on.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Version {
+pub struct ChangeSet {
     /// Its place.
-    pub number: Number,
+    pub revision: Revision,
     /// What it changes; to a follower, only in the scopes that it has.
     pub changes: Vec<Change>,
 }
--- a/replication/src/store.rs
+++ b/replication/src/store.rs
@@ -1,54 +1,54 @@
-//! State as whoever grants keeps it: every entry with the version that changed it, so that a follower can be told what
-//! changed since the version it knows; what was removed is remembered as tombstones until [`Store::forget_removed`].
+//! State as whoever grants storage it: every entry with the version that changed it, so that a follower can be told what
+//! changed since the version it knows; what was removed is remembered as tombstones until [`Store::purge_tombstones`].
 //!
 //! A change of k entries costs k log n, whatever else there is; digests and the index of changed scopes are kept up by it.
-use crate::scope::{Digest, Entry, Key, Number, Scope, Version};
-use crate::wire::{Cursor, Part};
+use crate::scope::{ChangeSet, Digest, Entry, Key, Revision, Scope};
+use crate::wire::{ChunkEntry, Cursor, ScopeChunk};
 use std::collections::btree_set::Range;
 use std::collections::{BTreeMap, BTreeSet};
 use std::iter::Peekable;
 use std::ops::Bound::{Excluded, Unbounded};
 
-/// What a follower keeps state in: a [`Store`] where it grants in its turn, [`crate::tables::Tables`] where it does not.
-pub trait Keeps {
+/// What a follower storage state in: a [`Store`] where it grants in its turn, [`crate::tables::Tables`] where it does not.
+pub trait Storage {
     /// Sets an entry or, with `None`, removes it; `changed` is the version that did so. What does not fit its scope is not
     /// taken, so that the scope's digest tells.
-    fn set(&mut self, scope: Scope, key: Key, changed: Number, entry: Option<Entry>);
+    fn set(&mut self, scope: Scope, key: Key, changed: Revision, entry: Option<Entry>);
     /// What is there.
     fn get(&self, scope: Scope, key: Key) -> Option<Entry>;
     /// A new start of a scope: all its entries go.
     fn clear(&mut self, scope: Scope);
     /// The scope is followed no more; its memory is given back.
-    fn forget(&mut self, scope: Scope);
+    fn remove_scope(&mut self, scope: Scope);
     /// What a scope's entries sum up to.
     fn digest(&self, scope: Scope) -> Digest;
     /// Heap memory that it takes, in bytes.
-    fn bytes(&self) -> usize;
+    fn memory_bytes(&self) -> usize;
 }
 
-type Place = (Number, Key);
+type Place = (Revision, Key);
 
 /// A scope. It stays when it is empty, because of `horizon` and `last`.
 #[derive(Clone, Debug, Default)]
 struct Held {
-    entries: BTreeMap<Key, (Number, Entry)>,
+    entries: BTreeMap<Key, (Revision, Entry)>,
     /// The same, in the order in which pieces go out.
     order: BTreeSet<Place>,
     /// Tombstones: what was removed, and by which version.
-    removed: BTreeMap<Key, Number>,
+    removed: BTreeMap<Key, Revision>,
     removals: BTreeSet<Place>,
     digest: Digest,
     /// Of removals up to here not all are known: who has had less gets a new start.
-    horizon: Number,
+    horizon: Revision,
     /// The last version that changed anything.
-    last: Number,
+    last: Revision,
 }
 
 impl Held {
     /// Whether who has had all up to a version is better off with a new start: tombstones are gone that it would need, or
     /// those it needs take more bytes than the entries it is spared. Both are summed up side by side until the shorter one
     /// ends, and who goes on within a fetch is not asked again.
-    fn starts_anew(&self, had: Number) -> bool {
+    fn starts_anew(&self, had: Revision) -> bool {
         if had < self.horizon {
             return true;
         }
@@ -68,7 +68,7 @@
 }
 
 /// Notes that a version changed a scope.
-fn touch(by_last: &mut BTreeSet<(Number, Scope)>, scope: Scope, held: &mut Held, number: Number) {
+fn touch(by_last: &mut BTreeSet<(Revision, Scope)>, scope: Scope, held: &mut Held, number: Revision) {
     if number > held.last {
         by_last.remove(&(held.last, scope));
         by_last.insert((number, scope));
@@ -76,8 +76,8 @@
     }
 }
 
-/// Bytes of an entry in a [`Part`].
-fn size(changed: Number, key: Key, entry: Option<Entry>) -> usize {
+/// Bytes of an entry in a [`ScopeChunk`].
+fn size(changed: Revision, key: Key, entry: Option<Entry>) -> usize {
     // Three integers of at most ten bytes and an entry of under thirty.
     let mut room = [0; 80];
     postcard::to_slice(&(changed, key, entry), &mut room).map_or(80, |written| written.len())
@@ -91,7 +91,7 @@
 }
 
 impl Iterator for Merged<'_> {
-    type Item = (Number, Key, Option<Entry>);
+    type Item = ChunkEntry;
 
     fn next(&mut self) -> Option<Self::Item> {
         let removal = self.removals.as_mut().and_then(|r| r.peek().copied());
@@ -101,10 +101,11 @@
         };
         if goes {
             let (changed, key) = self.removals.as_mut()?.next()?;
-            return Some((*changed, *key, None));
+            return Some(ChunkEntry { revision: *changed, key: *key, entry: None });
         }
         let (changed, key) = self.entries.next()?;
-        Some((*changed, *key, self.held.entries.get(key).map(|(_, entry)| *entry)))
+        let entry = self.held.entries.get(key).map(|(_, entry)| *entry);
+        Some(ChunkEntry { revision: *changed, key: *key, entry })
     }
 }
 
@@ -113,13 +114,13 @@
 pub struct Store {
     scopes: BTreeMap<Scope, Held>,
     /// Each scope ever heard of once, by the last version that changed it.
-    by_last: BTreeSet<(Number, Scope)>,
-    tombstones: BTreeSet<(Number, Scope, Key)>,
+    by_last: BTreeSet<(Revision, Scope)>,
+    tombstones: BTreeSet<(Revision, Scope, Key)>,
     /// Scopes begun from pieces since `in_force` was last called: what was removed before is not known of them.
     begun: BTreeSet<Scope>,
-    pending: BTreeMap<Number, Version>,
-    number: Number,
-    complete_from: Number,
+    pending: BTreeMap<Revision, ChangeSet>,
+    number: Revision,
+    complete_from: Revision,
     entries: usize,
     sum: Digest,
 }
@@ -131,9 +132,9 @@
     }
 
     /// Takes a version in that is to come into force. One that is known or in force already changes nothing.
-    pub fn pending(&mut self, version: Version) {
-        if version.number > self.number {
-            self.pending.entry(version.number).or_insert(version);
+    pub fn add_pending(&mut self, version: ChangeSet) {
+        if version.revision > self.number {
+            self.pending.entry(version.revision).or_insert(version);
         }
     }
 
@@ -141,7 +142,7 @@
     ///
     /// A store that gets its entries from above calls this once they are in: with the first call that does not go on from
     /// version 1, `changed_since` is complete from that number on.
-    pub fn in_force(&mut self, number: Number) {
+    pub fn advance_to(&mut self, number: Revision) {
         if number < self.number {
             return;
         }
@@ -153,7 +154,7 @@
             for change in version.changes {
                 // Who never had it needs no tombstone, and one that there is stays where it is.
                 if change.entry.is_some() || self.entry(change.scope, change.key).is_some() {
-                    self.put(change.scope, change.key, version.number, change.entry);
+                    self.put(change.scope, change.key, version.revision, change.entry);
                 }
             }
         }
@@ -168,7 +169,7 @@
 
     /// Takes in an entry, or a tombstone, of a piece had from above, as of the version in force or about to be. Followers of
     /// this store hear of it by `changed`, so it has to come before the `in_force` that covers it is told to them.
-    pub fn load(&mut self, scope: Scope, key: Key, changed: Number, entry: Option<Entry>) {
+    pub fn load(&mut self, scope: Scope, key: Key, changed: Revision, entry: Option<Entry>) {
         if entry.is_some_and(|entry| !entry.fits(scope)) {
             return;
         }
@@ -194,7 +195,7 @@
         self.begun.insert(scope);
     }
 
-    fn put(&mut self, scope: Scope, key: Key, changed: Number, entry: Option<Entry>) {
+    fn put(&mut self, scope: Scope, key: Key, changed: Revision, entry: Option<Entry>) {
         if entry.is_some_and(|entry| !entry.fits(scope)) {
             return;
         }
@@ -227,12 +228,12 @@
     }
 
     /// The version in force; 0 for none.
-    pub fn number(&self) -> Number {
+    pub fn in_force(&self) -> Revision {
         self.number
     }
 
     /// The last version that is to come, or else the one in force.
-    pub fn through(&self) -> Number {
+    pub fn through(&self) -> Revision {
         self.pending.last_key_value().map_or(self.number, |(number, _)| *number)
     }
 
@@ -268,7 +269,7 @@
     }
 
     /// What all entries sum up to.
-    pub fn sum(&self) -> Digest {
+    pub fn total_digest(&self) -> Digest {
         self.sum
     }
 
@@ -280,19 +281,19 @@
     /// The scopes that changed after a version, in the order of their last change, each once; it costs what it gives.
     ///
     /// Before [`Store::complete_from`] this is not all: who knows less has to be taken for behind in every scope it has.
-    pub fn changed_since(&self, number: Number) -> impl Iterator<Item = Scope> + '_ {
+    pub fn changed_since(&self, number: Revision) -> impl Iterator<Item = Scope> + '_ {
         let after = number.saturating_add(1);
         self.by_last.range((after, Scope::Zones)..).map(|(_, scope)| *scope)
     }
 
     /// The version from which on [`Store::changed_since`] is complete: 0 where all versions passed through here, else the
     /// one at which this store began.
-    pub fn complete_from(&self) -> Number {
+    pub fn complete_from(&self) -> Revision {
         self.complete_from
     }
 
     /// The versions after a number that are not in force yet.
-    pub fn pending_since(&self, number: Number) -> impl Iterator<Item = &Version> + '_ {
+    pub fn pending_since(&self, number: Revision) -> impl Iterator<Item = &ChangeSet> + '_ {
         self.pending.range(number.saturating_add(1)..).map(|(_, version)| version)
     }
 
@@ -303,34 +304,40 @@
     /// (`anew`): where this is smaller, and where a tombstone that would be needed is gone. Within a fetch, that is from any
     /// other cursor, it goes on without asking so again: a cursor does not tell when its fetch began, and old entries are
     /// what a new start has first. Should a tombstone be forgotten while a fetch goes on, the digest at the end tells.
-    pub fn piece(&self, scope: Scope, from: Cursor, most_bytes: usize) -> Part {
+    pub fn chunk(&self, scope: Scope, from: Cursor, most_bytes: usize) -> ScopeChunk {
         let at_start = from == Cursor::default();
         let Some(held) = self.scopes.get(&scope) else {
-            return Part { scope, anew: !at_start, entries: Vec::new(), whole: Some(Digest::default()) };
+            return ScopeChunk {
+                scope,
+                restart: !at_start,
+                entries: Vec::new(),
+                complete: Some(Digest::default()),
+            };
         };
-        let starts = from.changed == 0 || from.key == u64::MAX && held.starts_anew(from.changed);
-        let after = if starts { Unbounded } else { Excluded((from.changed, Key(from.key))) };
+        let starts = from.revision == 0 || from.key == u64::MAX && held.starts_anew(from.revision);
+        let after = if starts { Unbounded } else { Excluded((from.revision, Key(from.key))) };
         let merged = Merged {
             held,
             entries: held.order.range((after, Unbounded)).peekable(),
             removals: (!starts).then(|| held.removals.range((after, Unbounded)).peekable()),
         };
-        let mut part = Part { scope, anew: starts && !at_start, entries: Vec::new(), whole: None };
+        let mut part =
+            ScopeChunk { scope, restart: starts && !at_start, entries: Vec::new(), complete: None };
         let mut bytes = 0;
-        for (changed, key, entry) in merged {
-            bytes += size(changed, key, entry);
+        for one in merged {
+            bytes += size(one.revision, one.key, one.entry);
             if bytes > most_bytes && !part.entries.is_empty() {
                 return part;
             }
-            part.entries.push((changed, key, entry));
+            part.entries.push(one);
         }
-        part.whole = Some(held.digest);
+        part.complete = Some(held.digest);
         part
     }
 
     /// Forgets what was removed before a version. Who knows less of a scope that loses a tombstone gets a new start of it.
     /// Costs what is forgotten.
-    pub fn forget_removed(&mut self, before: Number) {
+    pub fn purge_tombstones(&mut self, before: Revision) {
         while let Some((number, scope, key)) = self.tombstones.first().copied().filter(|t| t.0 < before) {
             self.tombstones.pop_first();
             if let Some(held) = self.scopes.get_mut(&scope) {
@@ -385,8 +392,8 @@
     }
 }
 
-impl Keeps for Store {
-    fn set(&mut self, scope: Scope, key: Key, changed: Number, entry: Option<Entry>) {
+impl Storage for Store {
+    fn set(&mut self, scope: Scope, key: Key, changed: Revision, entry: Option<Entry>) {
         self.load(scope, key, changed, entry);
     }
 
@@ -398,7 +405,7 @@
         Store::clear(self, scope);
     }
 
-    fn forget(&mut self, scope: Scope) {
+    fn remove_scope(&mut self, scope: Scope) {
         Store::clear(self, scope);
     }
 
@@ -407,10 +414,11 @@
     }
 
     /// A reckoning: trees are about three quarters full.
-    fn bytes(&self) -> usize {
-        let entry = size_of::<(Key, (Number, Entry))>() + size_of::<Place>();
-        let tombstone = size_of::<(Key, Number)>() + size_of::<Place>() + size_of::<(Number, Scope, Key)>();
-        let scope = size_of::<(Scope, Held)>() + size_of::<(Number, Scope)>();
+    fn memory_bytes(&self) -> usize {
+        let entry = size_of::<(Key, (Revision, Entry))>() + size_of::<Place>();
+        let tombstone =
+            size_of::<(Key, Revision)>() + size_of::<Place>() + size_of::<(Revision, Scope, Key)>();
+        let scope = size_of::<(Scope, Held)>() + size_of::<(Revision, Scope)>();
         let filled = entry * self.entries + tombstone * self.tombstones.len() + scope * self.scopes.len();
         filled * 4 / 3
     }
--- a/replication/src/tables.rs
+++ b/replication/src/tables.rs
@@ -1,8 +1,8 @@
-//! State as a gateway keeps it: sorted, small, no versions. All hosts, routes and tenants of a large installation are to
+//! State as a gateway storage it: sorted, small, no versions. All hosts, routes and tenants of a large installation are to
 //! fit beside each other in the memory a gateway may spend on them.
-use crate::scope::{Digest, Entry, Host, Key, Number, Route, Scope};
-use crate::store::Keeps;
-use crate::version::Repeat;
+use crate::rules::RetryPolicy;
+use crate::scope::{Digest, Entry, Host, Key, Revision, Route, Scope};
+use crate::store::Storage;
 use serde::de::{DeserializeSeed, Error, MapAccess, Visitor};
 use serde::{Deserialize, Deserializer, Serialize, Serializer};
 use std::collections::BTreeMap;
@@ -16,7 +16,7 @@
     zone: [u8; 2],
     weight_milli: [u8; 4],
     started_s: [u8; 4],
-    drains: bool,
+    draining: bool,
 }
 
 impl From<Host> for PackedHost {
@@ -27,7 +27,7 @@
             zone: host.zone.to_le_bytes(),
             weight_milli: host.weight_milli.to_le_bytes(),
             started_s: host.started_s.to_le_bytes(),
-            drains: host.drains,
+            draining: host.draining,
         }
     }
 }
@@ -37,7 +37,7 @@
         Host {
             address: SocketAddrV4::new(Ipv4Addr::from(packed.ip), u16::from_le_bytes(packed.port)),
             zone: u16::from_le_bytes(packed.zone),
-            drains: packed.drains,
+            draining: packed.draining,
             weight_milli: u32::from_le_bytes(packed.weight_milli),
             started_s: u32::from_le_bytes(packed.started_s),
         }
@@ -109,7 +109,7 @@
     Hosts(Sorted<PackedHost>),
     Routes(Sorted<Route>),
     Quotas(Sorted<u32>),
-    Repeats(Sorted<Repeat>),
+    Repeats(Sorted<RetryPolicy>),
     Zones(Sorted<bool>),
 }
 
@@ -153,8 +153,8 @@
             (Kind::Quotas(sorted), Some(Entry::Quota(quota))) => {
                 sorted.set(key, Some(quota)).map(Entry::Quota)
             }
-            (Kind::Repeats(sorted), Some(Entry::Repeat(repeat))) => {
-                sorted.set(key, Some(repeat)).map(Entry::Repeat)
+            (Kind::Repeats(sorted), Some(Entry::RetryPolicy(repeat))) => {
+                sorted.set(key, Some(repeat)).map(Entry::RetryPolicy)
             }
             (Kind::Zones(sorted), Some(Entry::Zone(serves))) => {
                 sorted.set(key, Some(serves)).map(Entry::Zone)
@@ -172,7 +172,7 @@
             Kind::Hosts(sorted) => sorted.values.get(at).map(|host| Entry::Host((*host).into())),
             Kind::Routes(sorted) => sorted.values.get(at).copied().map(Entry::Route),
             Kind::Quotas(sorted) => sorted.values.get(at).copied().map(Entry::Quota),
-            Kind::Repeats(sorted) => sorted.values.get(at).copied().map(Entry::Repeat),
+            Kind::Repeats(sorted) => sorted.values.get(at).copied().map(Entry::RetryPolicy),
             Kind::Zones(sorted) => sorted.values.get(at).copied().map(Entry::Zone),
         }
     }
@@ -234,7 +234,7 @@
     }
 
     /// What all entries sum up to.
-    pub fn sum(&self) -> Digest {
+    pub fn total_digest(&self) -> Digest {
         self.scopes.values().fold(Digest::default(), |mut sum, table| {
             sum.join(table.digest);
             sum
@@ -242,8 +242,8 @@
     }
 }
 
-impl Keeps for Tables {
-    fn set(&mut self, scope: Scope, key: Key, _: Number, entry: Option<Entry>) {
+impl Storage for Tables {
+    fn set(&mut self, scope: Scope, key: Key, _: Revision, entry: Option<Entry>) {
         if entry.is_some_and(|entry| !entry.fits(scope))
             || entry.is_none() && !self.scopes.contains_key(&scope)
         {
@@ -274,7 +274,7 @@
         }
     }
 
-    fn forget(&mut self, scope: Scope) {
+    fn remove_scope(&mut self, scope: Scope) {
         self.clear(scope);
     }
 
@@ -283,7 +283,7 @@
     }
 
     /// Entries by the capacity held for them, exactly; the tree of scopes, which is about three quarters full, as reckoned.
-    fn bytes(&self) -> usize {
+    fn memory_bytes(&self) -> usize {
         self.heap + self.scopes.len() * size_of::<(Scope, Table)>() * 4 / 3
     }
 }
