--- a/replication/src/wire.rs
+++ b/replication/src/wire.rs
@@ -3,17 +3,17 @@
 //! A follower asks, a grantor answers; nothing is sent unasked. An ask tells all that its answer depends on, so that answers
 //! may be lost, doubled or late: a follower takes the answer to its *last* ask and no other.
 //!
-//! A frame is four bytes of length (big endian, of what follows), one byte [`FORMAT`], four bytes CRC-32 (IEEE, big endian,
+//! A frame is four bytes of length (big endian, of what follows), one byte [`FORMAT_VERSION`], four bytes CRC-32 (IEEE, big endian,
 //! of the rest), and a [`Message`] in postcard's encoding.
-use crate::scope::{Change, Digest, Entry, Key, Number, Scope, Version};
+use crate::scope::{Change, ChangeSet, Digest, Entry, Key, Revision, Scope};
 use serde::{Deserialize, Serialize};
 
 /// The encoding's version. A frame of another one is refused.
-pub const FORMAT: u8 = 1;
+pub const FORMAT_VERSION: u8 = 1;
 /// What stands before a message's bytes in a frame, length included.
-pub const HEADER: usize = 9;
+pub const HEADER_BYTES: usize = 9;
 /// The longest frame that is read, header included, in bytes.
-pub const LONGEST: usize = 1 << 20;
+pub const MAX_FRAME_BYTES: usize = 1 << 20;
 
 /// A member in one of its lives: who returns under its old name with nothing has another incarnation.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
@@ -24,197 +24,213 @@
     pub incarnation: u64,
 }
 
-/// Entries of a scope up to this one have been had, in the order of (`changed`, `key`).
+/// A position in a scope, whose entries are in the order of (revision that changed it, key): the last one received.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Cursor {
-    /// The version that changed the last one.
-    pub changed: Number,
+    /// The revision that changed the entry.
+    pub revision: Revision,
     /// Its key.
     pub key: u64,
 }
 
 impl Cursor {
-    /// All that was changed up to this version has been had.
-    pub fn after(number: Number) -> Self {
-        Cursor { changed: number, key: u64::MAX }
+    /// The position after everything that was changed up to a revision.
+    pub fn after(revision: Revision) -> Self {
+        Cursor { revision, key: u64::MAX }
     }
 }
 
-/// The scopes that a follower has whole; a grantor keeps them by member. `revision` counts up with every change of them.
+/// The scopes of which a follower has a complete copy; a lessor remembers them by member. The generation counts up with
+/// every change of this set.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Interest {
-    /// As the grantor has it.
-    Same {
-        /// That it is.
-        revision: u64,
+pub enum Subscription {
+    /// As the lessor remembers it.
+    Unchanged {
+        /// The generation that it remembers.
+        generation: u64,
     },
-    /// Since a revision.
-    Changed {
-        /// The revision before. A grantor that has another says which it has, and does nothing else.
+    /// Changes since an earlier generation.
+    Delta {
+        /// The generation before. A lessor that remembers another one answers with its own, and does nothing else.
         from: u64,
-        /// The revision from now on.
-        revision: u64,
-        /// Scopes that it has whole now.
-        more: Vec<Scope>,
-        /// Scopes that it follows no more, or has no longer whole.
-        fewer: Vec<Scope>,
+        /// The generation from now on.
+        generation: u64,
+        /// Scopes that have become complete.
+        added: Vec<Scope>,
+        /// Scopes that are no longer followed, or no longer complete.
+        removed: Vec<Scope>,
     },
-    /// All of them.
-    Whole {
-        /// The revision from now on.
-        revision: u64,
+    /// All complete scopes.
+    Complete {
+        /// The generation from now on.
+        generation: u64,
         /// The scopes.
         scopes: Vec<Scope>,
     },
-    /// Every scope there is, as machines between have them.
-    Everything {
-        /// The revision from now on.
-        revision: u64,
+    /// Every scope there is, as replicas have them.
+    AllScopes {
+        /// The generation from now on.
+        generation: u64,
     },
 }
 
-/// A follower asks for a lease, and for news.
+/// A follower asks for a lease and for changes.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Ask {
-    /// Who.
+pub struct PollRequest {
+    /// Who asks.
     pub member: Member,
-    /// Tells the answer from those to earlier ones.
-    pub number: u64,
-    /// The number of the last ask whose answer has come, from whomever; 0 for none.
-    pub heard: u64,
-    /// All versions up to this one are known to it, in every scope that it has whole; a machine between: to all that it
-    /// answers for.
-    pub known: Number,
-    /// The version that it acts on, or acted on last; a machine between: the least of those it answers for.
-    pub in_force: Number,
-    /// The scopes that it has whole.
-    pub interest: Interest,
-    /// Scopes that it wants, hottest first, with what it has of each.
+    /// Counts up; the response carries it back.
+    pub sequence: u64,
+    /// The sequence of the last poll whose response has arrived, from any lessor; 0 for none.
+    pub acknowledged: u64,
+    /// The follower knows all revisions up to this one in every complete scope. Of a replica: the lowest such revision of
+    /// itself and of all who hold its leases.
+    pub known: Revision,
+    /// The revision that the follower acts on, or acted on last. Of a replica: the lowest one, likewise.
+    pub in_force: Revision,
+    /// The scopes of which it has a complete copy.
+    pub subscription: Subscription,
+    /// Scopes to fetch, by descending priority, with the position that each has reached.
     pub fetch: Vec<(Scope, Cursor)>,
 }
 
-/// A piece of a scope as it is in the version in force.
+/// One entry in a [`ScopeChunk`].
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
+pub struct ChunkEntry {
+    /// The revision that changed it last.
+    pub revision: Revision,
+    /// Its key.
+    pub key: Key,
+    /// Its value; `None` for a tombstone.
+    pub entry: Option<Entry>,
+}
+
+/// A part of a scope's content at the revision in force.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Part {
-    /// Which.
+pub struct ScopeChunk {
+    /// The scope.
     pub scope: Scope,
-    /// Everything had of it before is void: the piece is the first of a new start.
-    pub anew: bool,
-    /// Entries in the order of (version that changed it, key); `None` for one that was removed.
-    pub entries: Vec<(Number, Key, Option<Entry>)>,
-    /// The scope is whole with this piece, and sums up to this. `None` where more is to be fetched.
-    pub whole: Option<Digest>,
+    /// Everything received of the scope before is void: this chunk is the first of a new fetch.
+    pub restart: bool,
+    /// Entries and tombstones in the order of (revision, key).
+    pub entries: Vec<ChunkEntry>,
+    /// The digest of the scope, if this chunk completes it; `None` where more is to be fetched.
+    pub complete: Option<Digest>,
 }
 
-/// The answer to an ask.
+/// The response to a poll.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Grant {
-    /// The ask's number.
-    pub number: u64,
-    /// The interest's revision that the grantor has; where it is not the follower's, all else here is void, and the next
-    /// ask has to tell the whole.
-    pub interest: u64,
-    /// How long the lease lasts from the moment of the ask, in us of the follower's clock; 0 for none.
+pub struct PollResponse {
+    /// The request's sequence.
+    pub sequence: u64,
+    /// The generation of the subscription that the lessor remembers. If it is not the follower's, the rest of the response
+    /// is void, and the next request has to carry the complete subscription.
+    pub generation: u64,
+    /// How long the lease lasts from the moment of the request, in us of the follower's clock; 0 for no lease.
     pub lease_us: u64,
-    /// The version in force. The lease is for it.
-    pub in_force: Number,
-    /// All versions up to this one are in this answer, or were known before.
-    pub through: Number,
-    /// What has changed up to `in_force` in scopes that the follower has whole, and what it fetched.
-    pub parts: Vec<Part>,
-    /// Scopes that it had whole and whose changes do not fit in here: to be fetched, from `Cursor::after` what it knew.
-    pub behind: Vec<Scope>,
-    /// The versions after `in_force` that it does not know yet, in its scopes; and for scopes that became whole with this
-    /// answer, all after `in_force`. In order, each number once, those that touch nothing of it left out.
-    pub pending: Vec<Version>,
+    /// The revision in force. The lease is for it.
+    pub in_force: Revision,
+    /// All revisions up to this one are in this response or were known before.
+    pub through: Revision,
+    /// What has changed up to `in_force` in complete scopes, and chunks of scopes that are fetched.
+    pub chunks: Vec<ScopeChunk>,
+    /// Complete scopes whose changes do not fit in this response. They are to be fetched from [`Cursor::after`] the revision
+    /// that the follower knew.
+    pub stale: Vec<Scope>,
+    /// The revisions after `in_force` that the follower does not know, in its scopes; for scopes that this response
+    /// completes, all revisions after `in_force`. In order, each once, without those that change nothing for it.
+    pub pending: Vec<ChangeSet>,
 }
 
-/// What stands in a frame.
+/// The content of a frame.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Message {
     /// From a follower.
-    Ask(Ask),
-    /// From a grantor.
-    Grant(Grant),
-    /// From the staff, to the origin: changes that are to come into force together.
+    PollRequest(PollRequest),
+    /// From a lessor.
+    PollResponse(PollResponse),
+    /// From an admin client to the primary: changes that come into force in one revision.
     Propose {
-        /// Tells the answer from those to others.
-        number: u64,
+        /// Chosen by the client; the answer carries it back.
+        proposal_id: u64,
         /// The changes.
         changes: Vec<Change>,
     },
-    /// From the origin, once the proposal is part of a version, or refused.
+    /// From the primary, once the proposal is part of a revision or is rejected.
     Proposed {
-        /// The proposal's number.
-        number: u64,
-        /// The version that it is part of; it comes into force later. Or why there is none.
-        version: Result<Number, String>,
+        /// The proposal's id.
+        proposal_id: u64,
+        /// The revision that it is part of, which comes into force later; or why it was rejected.
+        revision: Result<Revision, String>,
     },
-    /// From anybody: how is it there?
-    Look,
-    /// The answer to that.
+    /// From anyone: asks for the status.
+    GetStatus,
+    /// The answer to [`Message::GetStatus`].
     Status(Status),
 }
 
-/// How it is at a control machine.
+/// The status of a control server.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Status {
-    /// The machine's name.
+    /// The server's name.
     pub name: String,
-    /// The version in force there.
-    pub in_force: Number,
-    /// The last version that is known there.
-    pub through: Number,
-    /// What its state sums up to, in the version in force.
-    pub sum: Digest,
-    /// How many hold leases that it gave.
+    /// The revision in force there.
+    pub in_force: Revision,
+    /// The last revision that is known there.
+    pub through: Revision,
+    /// The digest of its state at the revision in force.
+    pub digest: Digest,
+    /// How many members hold leases that it granted.
     pub followers: u64,
-    /// For how long its own lease lasts yet, in ms; `None` at the origin, which needs none.
+    /// How long its own lease still lasts, in ms; `None` at the primary, which needs none.
     pub lease_ms: Option<u64>,
     /// Messages and bytes since its start.
-    pub counts: Counts,
+    pub traffic: Traffic,
 }
 
-/// Messages and their bytes.
+/// A number of messages and their bytes.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Tally {
+pub struct TrafficCount {
     /// Messages.
     pub messages: u64,
     /// Bytes of their frames.
     pub bytes: u64,
 }
 
-/// Messages and bytes by cause. A message counts once, by what there is most reason for it: a start, else changes, else a
-/// lease; its bytes are parted among these.
+/// Messages and bytes by cause. A message counts once, for the first of these that applies: initial fetch, changes, lease.
+/// Its bytes are divided among all of them.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Causes {
-    /// Asks.
-    pub asks: Tally,
-    /// Answers without news, and what frames any answer.
-    pub leases: Tally,
-    /// Versions to come, and what has changed in scopes that were whole.
-    pub changes: Tally,
-    /// Pieces of scopes that were fetched.
-    pub starts: Tally,
-    /// Proposals, looks and their answers.
-    pub staff: Tally,
+pub struct TrafficByCause {
+    /// Poll requests.
+    #[serde(rename = "asks")]
+    pub polls: TrafficCount,
+    /// Poll responses without content, and the overhead of all others.
+    pub leases: TrafficCount,
+    /// Pending revisions, and changes in complete scopes.
+    pub changes: TrafficCount,
+    /// Chunks of scopes that were fetched.
+    #[serde(rename = "starts")]
+    pub fetches: TrafficCount,
+    /// Proposals, status requests and their answers.
+    #[serde(rename = "staff")]
+    pub admin: TrafficCount,
 }
 
-/// What was read and written.
+/// Messages and bytes in both directions.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Counts {
-    /// From others.
-    pub read: Causes,
-    /// To others.
-    pub written: Causes,
+pub struct Traffic {
+    /// From peers.
+    pub read: TrafficByCause,
+    /// To peers.
+    pub written: TrafficByCause,
 }
 
 /// Why bytes are no message.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Malformed {
-    /// The length is under a header's or over [`LONGEST`].
+pub enum FrameError {
+    /// The length is under a header's or over [`MAX_FRAME_BYTES`].
     Length(usize),
-    /// Another [`FORMAT`].
+    /// Another [`FORMAT_VERSION`].
     Format(u8),
     /// The checksum is not that of the bytes.
     Checksum,
@@ -222,52 +238,54 @@
     Content(String),
 }
 
-impl std::fmt::Display for Malformed {
+impl std::fmt::Display for FrameError {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         match self {
-            Malformed::Length(n) => write!(f, "a frame of {n} bytes, expected {HEADER} to {LONGEST}"),
-            Malformed::Format(n) => write!(f, "a frame of format {n}, expected {FORMAT}"),
-            Malformed::Checksum => write!(f, "a frame whose checksum is not that of its bytes"),
-            Malformed::Content(what) => write!(f, "a frame that holds no message: {what}"),
+            FrameError::Length(n) => {
+                write!(f, "a frame of {n} bytes, expected {HEADER_BYTES} to {MAX_FRAME_BYTES}")
+            }
+            FrameError::Format(n) => write!(f, "a frame of format {n}, expected {FORMAT_VERSION}"),
+            FrameError::Checksum => write!(f, "a frame whose checksum is not that of its bytes"),
+            FrameError::Content(what) => write!(f, "a frame that holds no message: {what}"),
         }
     }
 }
 
-impl std::error::Error for Malformed {}
+impl std::error::Error for FrameError {}
 
 /// Appends a message as a frame.
-pub fn encode(message: &Message, to: &mut Vec<u8>) -> Result<(), Malformed> {
-    let bytes = postcard::to_allocvec(message).map_err(|e| Malformed::Content(e.to_string()))?;
-    if bytes.len() + HEADER > LONGEST {
-        return Err(Malformed::Length(bytes.len() + HEADER));
+pub fn encode(message: &Message, to: &mut Vec<u8>) -> Result<(), FrameError> {
+    let bytes = postcard::to_allocvec(message).map_err(|e| FrameError::Content(e.to_string()))?;
+    if bytes.len() + HEADER_BYTES > MAX_FRAME_BYTES {
+        return Err(FrameError::Length(bytes.len() + HEADER_BYTES));
     }
-    to.extend_from_slice(&((bytes.len() + HEADER - 4) as u32).to_be_bytes());
-    to.push(FORMAT);
+    to.extend_from_slice(&((bytes.len() + HEADER_BYTES - 4) as u32).to_be_bytes());
+    to.push(FORMAT_VERSION);
     to.extend_from_slice(&crc32fast::hash(&bytes).to_be_bytes());
     to.extend_from_slice(&bytes);
     Ok(())
 }
 
 /// Reads the first message of `from`, and how many bytes it took; `None` where more bytes are needed.
-pub fn decode(from: &[u8]) -> Result<Option<(Message, usize)>, Malformed> {
+pub fn decode(from: &[u8]) -> Result<Option<(Message, usize)>, FrameError> {
     let Some((length, rest)) = from.split_first_chunk::<4>() else { return Ok(None) };
     let length = u32::from_be_bytes(*length) as usize;
-    if length + 4 < HEADER || length + 4 > LONGEST {
-        return Err(Malformed::Length(length + 4));
+    if length + 4 < HEADER_BYTES || length + 4 > MAX_FRAME_BYTES {
+        return Err(FrameError::Length(length + 4));
     }
     // The format is told as soon as it is there: a peer of another one may frame otherwise.
-    if let Some(format) = rest.first().filter(|f| **f != FORMAT) {
-        return Err(Malformed::Format(*format));
+    if let Some(format) = rest.first().filter(|f| **f != FORMAT_VERSION) {
+        return Err(FrameError::Format(*format));
     }
     let Some(frame) = rest.get(..length) else { return Ok(None) };
     let Some((checksum, bytes)) = frame[1..].split_first_chunk::<4>() else {
-        return Err(Malformed::Length(length + 4));
+        return Err(FrameError::Length(length + 4));
     };
     if crc32fast::hash(bytes) != u32::from_be_bytes(*checksum) {
-        return Err(Malformed::Checksum);
+        return Err(FrameError::Checksum);
     }
-    match postcard::take_from_bytes(bytes).map_err(|e| Malformed::Content(e.to_string()))? {
+    match postcard::take_from_bytes(bytes).map_err(|e| FrameError::Content(e.to_string()))? {
         (message, []) => Ok(Some((message, length + 4))),
-        (_, more) => Err(Malformed::Content(format!("{} bytes too many", more.len()))),
+        (_, more) => Err(FrameError::Content(format!("{} bytes too many", more.len()))),
     }
 }
--- a/replication/tests/agreement.rs
+++ b/replication/tests/agreement.rs
@@ -3,13 +3,13 @@
 use quickcheck::{quickcheck, Arbitrary, Gen};
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
-use ternstack_replication::follower::{Acting, Follower, Refused};
-use ternstack_replication::lease::Terms;
-use ternstack_replication::list::{look, Seen as SeenList, Verdict};
-use ternstack_replication::scope::{Change, Entry, Key, Scope, Version};
+use ternstack_replication::endpoint_list::{validate, EndpointList, Verdict};
+use ternstack_replication::follower::{Follower, ResponseError, ScopeMode};
+use ternstack_replication::lease::LeaseConfig;
+use ternstack_replication::rules::{conflicts, Conflict, Host, RetryPolicy, Rules};
+use ternstack_replication::scope::{Change, ChangeSet, Entry, Key, Scope};
 use ternstack_replication::tables::Tables;
-use ternstack_replication::version::{contradictions, Contradiction, Host, Repeat, Rules};
-use ternstack_replication::wire::{Grant, Member, Part};
+use ternstack_replication::wire::{ChunkEntry, Member, PollResponse, ScopeChunk};
 
 mod common;
 
@@ -23,7 +23,7 @@
 
 /// Plays `length_ms` of a fleet that agrees on one tenant's quota, with so many machines between.
 fn play(seed: u64, members: usize, between: usize, length_ms: f64, loss: f64, planted: Planted) -> Judged {
-    let terms = Terms::default();
+    let terms = LeaseConfig::default();
     let (scope, key) = tenant("acme");
     let quota = |n: u32| vec![Change { scope, key, entry: Some(Entry::Quota(100 + n)) }];
     let setup = Setup {
@@ -91,7 +91,7 @@
         let seen = &judged.seen;
         assert_eq!((judged.broken, seen.unknown_at_force), (0, 0), "seed {seed}: {judged:?}");
         assert_eq!(
-            (seen.untrue, seen.went_back, seen.anew, seen.stale),
+            (seen.untrue, seen.went_back, seen.restarted, seen.stale),
             (0, 0, 0, 0),
             "seed {seed}: {judged:?}"
         );
@@ -151,55 +151,70 @@
 
 #[test]
 fn a_grant_that_is_old_doubled_or_anothers_gives_no_more_than_it_may() {
-    let terms = Terms { lease_ms: 100.0, drift: 0.0, ..Terms::default() };
+    let terms = LeaseConfig { lease_ms: 100.0, clock_drift_ratio: 0.0, ..LeaseConfig::default() };
     let (scope, key) = (Scope::Fleet, Key::of("book"));
     let member = Member { name: "g0".into(), incarnation: 1 };
     let mut follower = Follower::new(terms, member, Tables::new());
     let part = |number| {
-        let entry = Entry::Repeat(Repeat::Within(number));
+        let entry = Entry::RetryPolicy(RetryPolicy::Within(number));
         let mut digest = ternstack_replication::scope::Digest::default();
         digest.add(scope, key, &entry);
-        Part { scope, anew: true, entries: vec![(number, key, Some(entry))], whole: Some(digest) }
+        ScopeChunk {
+            scope,
+            restart: true,
+            entries: vec![ChunkEntry { revision: number, key, entry: Some(entry) }],
+            complete: Some(digest),
+        }
     };
-    let grant = |number, in_force, parts: Vec<Part>| Grant {
-        number,
-        interest: 1,
+    let grant = |number, in_force, chunks: Vec<ScopeChunk>| PollResponse {
+        sequence: number,
+        generation: 1,
         lease_us: 100_000,
         in_force,
         through: in_force,
-        parts,
-        behind: vec![],
+        chunks,
+        stale: vec![],
         pending: vec![],
     };
-    let first = follower.ask(0.0).expect("due");
-    assert_eq!(follower.granted(0.0, grant(first.number + 9, 1, vec![part(1)])), Err(Refused::Unasked));
-    assert_eq!(follower.acting(1.0, scope), Acting::Unknown, "it never asked that");
-    follower.granted(0.0, grant(first.number, 1, vec![part(1)])).expect("taken");
-    assert_eq!(follower.acting(99.0, scope), Acting::Agreed(1));
-    assert_eq!(follower.acting(100.0, scope), Acting::Neutral, "it slept past its lease");
-    let second = follower.ask(150.0).expect("due");
-    let again = grant(first.number, 1, vec![]);
-    assert_eq!(follower.granted(150.0, again), Err(Refused::Unasked));
-    assert_eq!(follower.acting(151.0, scope), Acting::Neutral, "the same grant again");
-    let unknown = Grant { through: 1, interest: 2, ..grant(second.number, 2, vec![]) };
-    assert!(follower.granted(151.0, unknown).is_err());
-    assert_eq!(follower.acting(151.0, scope), Acting::Neutral, "a lease for what it does not know");
-    let third = follower.ask(210.0).expect("due");
-    let news = Grant { interest: 2, ..grant(third.number, 2, vec![part(2)]) };
-    follower.granted(210.0, news).expect("taken");
-    let fourth = follower.ask(240.0).expect("due");
-    let old = Grant { interest: 2, ..grant(fourth.number, 1, vec![part(1)]) };
-    assert_eq!(follower.granted(241.0, old), Err(Refused::Past { in_force: 1, through: 1 }));
-    assert_eq!(follower.acting(241.0, scope), Acting::Agreed(2), "what is in force went back");
-    assert_eq!(follower.entry(241.0, scope, key), Some(Entry::Repeat(Repeat::Within(2))));
+    let first = follower.poll(0.0).expect("due");
+    assert_eq!(
+        follower.handle_response(0.0, grant(first.sequence + 9, 1, vec![part(1)])),
+        Err(ResponseError::Unsolicited)
+    );
+    assert_eq!(follower.scope_mode(1.0, scope), ScopeMode::Unknown, "it never asked that");
+    follower.handle_response(0.0, grant(first.sequence, 1, vec![part(1)])).expect("taken");
+    assert_eq!(follower.scope_mode(99.0, scope), ScopeMode::Agreed(1));
+    assert_eq!(follower.scope_mode(100.0, scope), ScopeMode::Conservative, "it slept past its lease");
+    let second = follower.poll(150.0).expect("due");
+    let again = grant(first.sequence, 1, vec![]);
+    assert_eq!(follower.handle_response(150.0, again), Err(ResponseError::Unsolicited));
+    assert_eq!(follower.scope_mode(151.0, scope), ScopeMode::Conservative, "the same grant again");
+    let unknown = PollResponse { through: 1, generation: 2, ..grant(second.sequence, 2, vec![]) };
+    assert!(follower.handle_response(151.0, unknown).is_err());
+    assert_eq!(
+        follower.scope_mode(151.0, scope),
+        ScopeMode::Conservative,
+        "a lease for what it does not know"
+    );
+    let third = follower.poll(210.0).expect("due");
+    let news = PollResponse { generation: 2, ..grant(third.sequence, 2, vec![part(2)]) };
+    follower.handle_response(210.0, news).expect("taken");
+    let fourth = follower.poll(240.0).expect("due");
+    let old = PollResponse { generation: 2, ..grant(fourth.sequence, 1, vec![part(1)]) };
+    assert_eq!(
+        follower.handle_response(241.0, old),
+        Err(ResponseError::Outdated { in_force: 1, through: 1 })
+    );
+    assert_eq!(follower.scope_mode(241.0, scope), ScopeMode::Agreed(2), "what is in force went back");
+    assert_eq!(follower.entry(241.0, scope, key), Some(Entry::RetryPolicy(RetryPolicy::Within(2))));
     // A version that is known is not in force, but binds who has no lease.
-    let fifth = follower.ask(280.0).expect("due");
-    let change = Change { scope, key, entry: Some(Entry::Repeat(Repeat::Never)) };
-    let pending = vec![Version { number: 3, changes: vec![change] }];
-    let news = Grant { interest: 2, through: 3, pending, ..grant(fifth.number, 2, vec![]) };
-    follower.granted(281.0, news).expect("taken");
-    assert_eq!(follower.entry(379.0, scope, key), Some(Entry::Repeat(Repeat::Within(2))));
-    assert_eq!(follower.entry(380.0, scope, key), Some(Entry::Repeat(Repeat::Never)));
+    let fifth = follower.poll(280.0).expect("due");
+    let change = Change { scope, key, entry: Some(Entry::RetryPolicy(RetryPolicy::Never)) };
+    let pending = vec![ChangeSet { revision: 3, changes: vec![change] }];
+    let news = PollResponse { generation: 2, through: 3, pending, ..grant(fifth.sequence, 2, vec![]) };
+    follower.handle_response(281.0, news).expect("taken");
+    assert_eq!(follower.entry(379.0, scope, key), Some(Entry::RetryPolicy(RetryPolicy::Within(2))));
+    assert_eq!(follower.entry(380.0, scope, key), Some(Entry::RetryPolicy(RetryPolicy::Never)));
 }
 
 impl Arbitrary for Small {
@@ -209,13 +224,19 @@
             names.iter().filter(|_| bool::arbitrary(g)).map(|n| n.to_string()).collect::<Vec<_>>()
         };
         let repeat = |g: &mut Gen| {
-            *g.choose(&[Repeat::Never, Repeat::Within(5), Repeat::Within(9), Repeat::Always]).expect("one")
+            *g.choose(&[
+                RetryPolicy::Never,
+                RetryPolicy::Within(5),
+                RetryPolicy::Within(9),
+                RetryPolicy::Always,
+            ])
+            .expect("one")
         };
         let quotas = some(g).into_iter().map(|n| (n, u32::arbitrary(g) % 3)).collect();
         let classes = some(g).into_iter().map(|n| (n, repeat(g))).collect();
         let host = |g: &mut Gen| Host {
             address: g.choose(&names).expect("one").to_string(),
-            drains: bool::arbitrary(g),
+            draining: bool::arbitrary(g),
         };
         let hosts = some(g).into_iter().map(|n| (n, host(g))).collect();
         Small(Rules { quotas, classes, hosts, list_rev: u64::from(u8::arbitrary(g)) })
@@ -233,33 +254,34 @@
     }
 
     fn rules_contradict_each_other_alike_from_both_sides_and_never_themselves(a: Small, b: Small) -> bool {
-        contradictions(&a.0, &b.0) == contradictions(&b.0, &a.0) && contradictions(&a.0, &a.0).is_empty()
+        conflicts(&a.0, &b.0) == conflicts(&b.0, &a.0) && conflicts(&a.0, &a.0).is_empty()
     }
 
     fn rules_without_contradiction_are_within_each_other(a: Small, b: Small) -> bool {
-        !contradictions(&a.0, &b.0).is_empty() || (a.0.is_within(&b.0) && b.0.is_within(&a.0))
+        !conflicts(&a.0, &b.0).is_empty() || (a.0.is_within(&b.0) && b.0.is_within(&a.0))
     }
 }
 
 #[test]
 fn each_kind_of_contradiction_is_named() {
-    let host = |address: &str, drains| Host { address: address.into(), drains };
+    let host = |address: &str, drains| Host { address: address.into(), draining: drains };
     let rules = |quota, repeat, hosts: Vec<(&str, Host)>| Rules {
         quotas: [("acme".into(), quota)].into(),
         classes: [("book".into(), repeat)].into(),
         hosts: hosts.into_iter().map(|(uid, h)| (uid.to_string(), h)).collect(),
         list_rev: 1,
     };
-    let a = rules(5, Repeat::Within(800), vec![("s-1", host("1:1", false)), ("s-2", host("1:2", false))]);
-    let b = rules(6, Repeat::Never, vec![("s-1", host("9:9", false)), ("s-2", host("1:2", true))]);
+    let a =
+        rules(5, RetryPolicy::Within(800), vec![("s-1", host("1:1", false)), ("s-2", host("1:2", false))]);
+    let b = rules(6, RetryPolicy::Never, vec![("s-1", host("9:9", false)), ("s-2", host("1:2", true))]);
     let named = |s: &str| s.to_string();
     assert_eq!(
-        contradictions(&a, &b),
+        conflicts(&a, &b),
         [
-            Contradiction::Quota(named("acme")),
-            Contradiction::Repeat(named("book")),
-            Contradiction::Host(named("s-2")),
-            Contradiction::Address(named("s-1")),
+            Conflict::Quota(named("acme")),
+            Conflict::RetryPolicy(named("book")),
+            Conflict::Host(named("s-2")),
+            Conflict::Address(named("s-1")),
         ]
     );
     assert_ne!(a.digest(), b.digest());
@@ -268,24 +290,26 @@
 
 #[test]
 fn lists_that_are_old_or_lose_most_hosts_by_mistake_do_not_pass() {
-    let host = |drains| Host { address: "1:1".into(), drains };
+    let host = |drains| Host { address: "1:1".into(), draining: drains };
     let hosts = (0..1200).map(|n| (format!("s-{n}"), host(false))).collect();
     let in_force = Rules { hosts, list_rev: 41, ..Rules::default() };
-    let seen = |rev, whole, hosts: Vec<(usize, Option<Host>)>| SeenList {
-        rev,
-        whole,
+    let seen = |rev, whole, hosts: Vec<(usize, Option<Host>)>| EndpointList {
+        revision: rev,
+        complete: whole,
         hosts: hosts.into_iter().map(|(n, h)| (format!("s-{n}"), h)).collect(),
     };
-    assert_eq!(look(&in_force, &seen(41, true, vec![]), false), Verdict::Old);
-    assert_eq!(look(&in_force, &seen(7, true, vec![]), true), Verdict::Old);
+    assert_eq!(validate(&in_force, &seen(41, true, vec![]), false), Verdict::Outdated);
+    assert_eq!(validate(&in_force, &seen(7, true, vec![]), true), Verdict::Outdated);
     // An empty list, by mistake or not: somebody has to confirm it. What it says of single hosts passes at once.
     let drained = seen(50, true, vec![(3, Some(host(true))), (4, None)]);
-    let Verdict::Confirm { meanwhile, all } = look(&in_force, &drained, false) else { panic!("it passed") };
-    assert!(meanwhile.hosts["s-3"].drains && !meanwhile.hosts.contains_key("s-4"));
+    let Verdict::NeedsConfirmation { meanwhile, all } = validate(&in_force, &drained, false) else {
+        panic!("it passed")
+    };
+    assert!(meanwhile.hosts["s-3"].draining && !meanwhile.hosts.contains_key("s-4"));
     assert_eq!((meanwhile.hosts.len(), meanwhile.list_rev, all.hosts.len()), (1199, 41, 1));
-    assert_eq!(look(&in_force, &drained, true), Verdict::Propose(all));
+    assert_eq!(validate(&in_force, &drained, true), Verdict::Propose(all));
     // Explicit removals pass, however many.
     let gone = seen(51, false, (0..1200).map(|n| (n, None)).collect());
-    let Verdict::Propose(rules) = look(&in_force, &gone, false) else { panic!("held up") };
+    let Verdict::Propose(rules) = validate(&in_force, &gone, false) else { panic!("held up") };
     assert_eq!((rules.hosts.len(), rules.list_rev), (0, 51));
 }
--- a/replication/tests/apart.rs
+++ b/replication/tests/apart.rs
@@ -1,13 +1,13 @@
 //! Who was apart for an hour and comes back: changes or a start, whichever is smaller, within the budget of bytes.
-use ternstack_replication::distributor::Distributor;
-use ternstack_replication::follower::{Acting, Follower};
-use ternstack_replication::grantor::Grantor;
-use ternstack_replication::lease::Terms;
-use ternstack_replication::origin::{Happened, Origin, Proposer, Unfit, LONGEST_PROPOSAL};
+use ternstack_replication::follower::{Follower, ScopeMode};
+use ternstack_replication::lease::LeaseConfig;
+use ternstack_replication::lessor::Lessor;
+use ternstack_replication::primary::{Primary, PrimaryEvent, ProposalError, Proposer, MAX_PROPOSAL_BYTES};
+use ternstack_replication::replica::Replica;
 use ternstack_replication::scope::{Change, Entry, Host, Key, Scope};
-use ternstack_replication::store::{Keeps, Store};
+use ternstack_replication::store::{Storage, Store};
 use ternstack_replication::tables::Tables;
-use ternstack_replication::wire::{encode, Ask, Grant, Member, Message};
+use ternstack_replication::wire::{encode, Member, Message, PollRequest, PollResponse};
 
 const HOUR_MS: f64 = 3_600_000.0;
 const HOSTS: u32 = 3000;
@@ -18,7 +18,7 @@
 
 fn host(n: u32, drains: bool) -> Change {
     let address = std::net::SocketAddrV4::new(std::net::Ipv4Addr::from(n), 80);
-    let host = Host { address, zone: 1, drains, weight_milli: 1000, started_s: 0 };
+    let host = Host { address, zone: 1, draining: drains, weight_milli: 1000, started_s: 0 };
     Change { scope: Scope::Hosts(n % 3), key: Key::of(&n.to_string()), entry: Some(Entry::Host(host)) }
 }
 
@@ -37,15 +37,15 @@
 }
 
 /// An origin with all hosts in force.
-fn origin() -> Origin {
-    let mut origin = Origin::new(Terms::default(), 0.0, 1, Store::new());
+fn origin() -> Primary {
+    let mut origin = Primary::new(LeaseConfig::default(), 0.0, 1, Store::new());
     let hosts: Vec<Change> = (0..HOSTS).map(|n| host(n, false)).collect();
     for some in hosts.chunks(500) {
         origin.propose(proposer(), some.to_vec()).expect("it fits");
     }
     let mut now = 0.0;
     // A leader waits for the leases of the one before.
-    while origin.waiting() > 0 || origin.store().through() > origin.store().number() {
+    while origin.queued_proposals() > 0 || origin.store().through() > origin.store().in_force() {
         now += 200.0;
         origin.tick(now);
     }
@@ -53,7 +53,7 @@
 }
 
 /// One version for each of these.
-fn propose(origin: &mut Origin, from: f64, changes: impl IntoIterator<Item = Change>) -> f64 {
+fn propose(origin: &mut Primary, from: f64, changes: impl IntoIterator<Item = Change>) -> f64 {
     let mut now = from;
     for change in changes {
         origin.propose(proposer(), vec![change]).expect("it fits");
@@ -65,28 +65,29 @@
 
 /// Both talk from `now` on until all is there or a minute is over. The bytes by time.
 fn catch_up(
-    follower: &mut Follower<Tables>, now: f64, mut answers: impl FnMut(f64, &Ask) -> Option<Grant>,
+    follower: &mut Follower<Tables>, now: f64,
+    mut answers: impl FnMut(f64, &PollRequest) -> Option<PollResponse>,
 ) -> Vec<(f64, usize)> {
     let mut bytes = Vec::new();
     let mut at = now;
     while at < now + 60_000.0 {
         at += 10.0;
-        let Some(ask) = follower.ask(at) else { continue };
-        let asked = frame(Message::Ask(ask.clone()));
+        let Some(ask) = follower.poll(at) else { continue };
+        let asked = frame(Message::PollRequest(ask.clone()));
         let Some(grant) = answers(at, &ask) else { continue };
-        bytes.push((at, asked + frame(Message::Grant(grant.clone()))));
+        bytes.push((at, asked + frame(Message::PollResponse(grant.clone()))));
         // Whatever the answer is refused for, the next one makes good.
-        let _ = follower.granted(at + 1.0, grant);
+        let _ = follower.handle_response(at + 1.0, grant);
         if follower.is_complete() && at < follower.lease_until() {
             return bytes;
         }
     }
-    panic!("not there after a minute: {:?}", follower.fetching().collect::<Vec<_>>());
+    panic!("not there after a minute: {:?}", follower.fetching_scopes().collect::<Vec<_>>());
 }
 
 /// Never more than was saved up, and what a second gives, in bytes; an answer may overdraw by what its last piece weighs.
 fn within_budget(bytes: &[(f64, usize)]) {
-    let terms = Terms::default();
+    let terms = LeaseConfig::default();
     for (n, (from, _)) in bytes.iter().enumerate() {
         let mut sum = 0.0;
         for (to, bytes) in &bytes[n..] {
@@ -98,9 +99,9 @@
 }
 
 fn same(follower: &Follower<Tables>, store: &Store) {
-    assert_eq!(follower.in_force(), store.number());
+    assert_eq!(follower.in_force(), store.in_force());
     for scope in (0..3).map(Scope::Hosts) {
-        assert_eq!(follower.keeps().digest(scope), store.digest(scope));
+        assert_eq!(follower.storage().digest(scope), store.digest(scope));
     }
 }
 
@@ -113,12 +114,12 @@
     ];
     for (words, changes, forgets) in cases {
         let mut origin = origin();
-        let mut follower = Follower::new(Terms::default(), member("g1"), Tables::new());
-        (0..3).for_each(|n| follower.want(Scope::Hosts(n), 1.0));
-        let mut asks = |now: f64, ask: &Ask| {
-            origin.confirmed(now);
+        let mut follower = Follower::new(LeaseConfig::default(), member("g1"), Tables::new());
+        (0..3).for_each(|n| follower.subscribe(Scope::Hosts(n), 1.0));
+        let mut asks = |now: f64, ask: &PollRequest| {
+            origin.confirm_leadership(now);
             origin.tick(now);
-            origin.asked(now, ask)
+            origin.handle_poll(now, ask)
         };
         let start = catch_up(&mut follower, 5000.0, &mut asks);
         within_budget(&start);
@@ -127,14 +128,14 @@
         let removed = changes.len();
         propose(&mut origin, 100_000.0, changes);
         if forgets {
-            origin.forget(origin.store().number() + 1);
+            origin.compact(origin.store().in_force() + 1);
         }
         let back = HOUR_MS + 100_000.0;
-        assert_eq!(follower.acting(back, Scope::Hosts(0)), Acting::Neutral);
-        let mut asks = |now: f64, ask: &Ask| {
-            origin.confirmed(now);
+        assert_eq!(follower.scope_mode(back, Scope::Hosts(0)), ScopeMode::Conservative);
+        let mut asks = |now: f64, ask: &PollRequest| {
+            origin.confirm_leadership(now);
             origin.tick(now);
-            origin.asked(now, ask)
+            origin.handle_poll(now, ask)
         };
         let caught_up = catch_up(&mut follower, back, &mut asks);
         within_budget(&caught_up);
@@ -153,30 +154,30 @@
 
 #[test]
 fn a_region_that_was_apart_comes_back_with_its_machine_between() {
-    let terms = Terms::default();
+    let terms = LeaseConfig::default();
     let mut origin = origin();
-    let mut between = Distributor::new(terms, member("b1"), 0.0);
+    let mut between = Replica::new(terms, member("b1"), 0.0);
     let mut follower = Follower::new(terms, member("g1"), Tables::new());
-    (0..3).for_each(|n| follower.want(Scope::Hosts(n), 1.0));
+    (0..3).for_each(|n| follower.subscribe(Scope::Hosts(n), 1.0));
     for (begins, words) in [(5000.0, "start"), (HOUR_MS, "return")] {
         let mut at = begins;
         let mut bytes = 0;
         let caught_up = catch_up(&mut follower, begins, |now, ask| {
             while at < now {
                 at += 10.0;
-                if let Some(ask) = between.ask(at) {
-                    origin.confirmed(at);
+                if let Some(ask) = between.poll(at) {
+                    origin.confirm_leadership(at);
                     origin.tick(at);
-                    let grant = origin.asked(at, &ask).expect("it leads");
-                    bytes += frame(Message::Ask(ask)) + frame(Message::Grant(grant.clone()));
-                    between.granted(at, grant).expect("taken");
+                    let grant = origin.handle_poll(at, &ask).expect("it leads");
+                    bytes += frame(Message::PollRequest(ask)) + frame(Message::PollResponse(grant.clone()));
+                    between.handle_response(at, grant).expect("taken");
                 }
             }
-            between.asked(now, ask)
+            between.handle_poll(now, ask)
         });
         within_budget(&caught_up);
         same(&follower, origin.store());
-        assert_eq!(between.store().sum(), origin.store().sum());
+        assert_eq!(between.store().total_digest(), origin.store().total_digest());
         between.store().check().expect("sound");
         let sum: usize = caught_up.iter().map(|b| b.1).sum();
         println!("{words}: {bytes} bytes to the machine between, {sum} to a gateway");
@@ -189,22 +190,26 @@
 #[test]
 fn a_gateway_begins_its_next_life_with_what_it_kept() {
     let mut origin = origin();
-    let mut follower = Follower::new(Terms::default(), member("g1"), Tables::new());
-    (0..3).for_each(|n| follower.want(Scope::Hosts(n), 1.0));
+    let mut follower = Follower::new(LeaseConfig::default(), member("g1"), Tables::new());
+    (0..3).for_each(|n| follower.subscribe(Scope::Hosts(n), 1.0));
     let start = catch_up(&mut follower, 5000.0, |now, ask| {
-        origin.confirmed(now);
+        origin.confirm_leadership(now);
         origin.tick(now);
-        origin.asked(now, ask)
+        origin.handle_poll(now, ask)
     });
     let kept = follower.snapshot();
     let life = Member { name: "g1".into(), incarnation: 2 };
-    let mut follower = Follower::restored(Terms::default(), life, kept);
-    assert_eq!(follower.acting(20_000.0, Scope::Hosts(1)), Acting::Neutral, "kept, but without a lease");
+    let mut follower = Follower::restore(LeaseConfig::default(), life, kept);
+    assert_eq!(
+        follower.scope_mode(20_000.0, Scope::Hosts(1)),
+        ScopeMode::Conservative,
+        "kept, but without a lease"
+    );
     propose(&mut origin, 10_000.0, [host(1, true), gone(2)]);
     let again = catch_up(&mut follower, 20_000.0, |now, ask| {
-        origin.confirmed(now);
+        origin.confirm_leadership(now);
         origin.tick(now);
-        origin.asked(now, ask)
+        origin.handle_poll(now, ask)
     });
     same(&follower, origin.store());
     let sum = |all: &[(f64, usize)]| all.iter().map(|b| b.1).sum::<usize>();
@@ -214,72 +219,78 @@
 #[test]
 fn what_is_behind_is_acted_on_by_the_stricter_of_all_that_is_known() {
     let mut origin = origin();
-    let terms = Terms { bytes_per_s: 2000.0, ..Terms::default() };
+    let terms = LeaseConfig { bytes_per_s: 2000.0, ..LeaseConfig::default() };
     let mut follower = Follower::new(terms, member("g1"), Tables::new());
-    (0..3).for_each(|n| follower.want(Scope::Hosts(n), 1.0));
+    (0..3).for_each(|n| follower.subscribe(Scope::Hosts(n), 1.0));
     catch_up(&mut follower, 5000.0, |now, ask| {
-        origin.confirmed(now);
-        origin.asked(now, ask)
+        origin.confirm_leadership(now);
+        origin.handle_poll(now, ask)
     });
     let now = propose(&mut origin, 100_000.0, (0..900).map(|n| host(n, true)));
     // This one is agreed, but not in force: the follower hears of it with its first answer.
     origin.propose(proposer(), vec![host(HOSTS - 1, true)]).expect("it fits");
     origin.batch(now + 200.0).expect("agreed");
-    let mut poor = Grantor::new(terms, now);
-    follower.moved();
+    let mut poor = Lessor::new(terms, now);
+    follower.reconnected();
     let (mut seen, mut drained, mut at) = (0, 0, now + 1000.0);
     while !follower.is_complete() || seen == 0 {
         at += 10.0;
         assert!(at < now + 60_000.0, "not there after a minute");
-        let Some(ask) = follower.ask(at) else { continue };
+        let Some(ask) = follower.poll(at) else { continue };
         // A grantor that has so few bytes for it.
-        let grant = poor.asked(at, origin.store(), terms.lease_ms, &ask);
-        follower.granted(at, grant).expect("taken");
+        let grant = poor.handle_poll(at, origin.store(), terms.lease_ms, &ask);
+        follower.handle_response(at, grant).expect("taken");
         let drains = |change: Change| match follower.entry(at, change.scope, change.key) {
-            Some(Entry::Host(host)) => host.drains,
+            Some(Entry::Host(host)) => host.draining,
             other => panic!("{other:?}"),
         };
         let now_drained = (0..HOSTS).filter(|n| drains(host(*n, true))).count();
         assert!(now_drained >= drained, "a drain that was known is forgotten");
         drained = now_drained;
         let behind = Scope::Hosts((HOSTS - 1) % 3);
-        if at < follower.lease_until() && follower.fetching().any(|scope| scope == behind) {
+        if at < follower.lease_until() && follower.fetching_scopes().any(|scope| scope == behind) {
             seen += 1;
-            assert_eq!(follower.acting(at, behind), Acting::Neutral, "it holds a lease, but is behind");
+            assert_eq!(
+                follower.scope_mode(at, behind),
+                ScopeMode::Conservative,
+                "it holds a lease, but is behind"
+            );
             assert!(drains(host(HOSTS - 1, true)), "a drain that is to come binds already");
         }
     }
     assert!(seen > 2, "behind with a lease {seen} times");
     let scope = Scope::Hosts((HOSTS - 1) % 3);
-    assert_eq!(follower.acting(at, scope), Acting::Agreed(origin.store().number()));
+    assert_eq!(follower.scope_mode(at, scope), ScopeMode::Agreed(origin.store().in_force()));
     assert_eq!(drained, 900, "the one to come is not in force where the scope is whole");
 }
 
 #[test]
 fn proposals_that_do_not_fit_are_refused_by_name_and_the_others_come_into_force_together() {
     let mut origin = origin();
-    let before = origin.store().number();
+    let before = origin.store().in_force();
     let quota = Change { scope: Scope::Hosts(1), key: Key(0xab), entry: Some(Entry::Quota(1)) };
     let refused = origin.propose(proposer(), vec![host(1, true), quota]).expect_err("it does not fit");
-    assert_eq!(refused, Unfit::Entry { scope: Scope::Hosts(1), key: Key(0xab) });
+    assert_eq!(refused, ProposalError::MisplacedEntry { scope: Scope::Hosts(1), key: Key(0xab) });
     let words = refused.to_string();
     assert!(words.contains("Hosts(1)") && words.contains("00000000000000ab"), "{words}");
-    assert_eq!(origin.propose(proposer(), vec![]), Err(Unfit::Empty));
+    assert_eq!(origin.propose(proposer(), vec![]), Err(ProposalError::Empty));
     let long = (0..HOSTS * 2).map(|n| host(n, true)).collect();
-    assert!(matches!(origin.propose(proposer(), long), Err(Unfit::Long(n)) if n > LONGEST_PROPOSAL));
-    assert_eq!((origin.waiting(), origin.tick(50_000.0)), (0, vec![]));
+    assert!(
+        matches!(origin.propose(proposer(), long), Err(ProposalError::TooLong(n)) if n > MAX_PROPOSAL_BYTES)
+    );
+    assert_eq!((origin.queued_proposals(), origin.tick(50_000.0)), (0, vec![]));
     let one = origin.propose(proposer(), vec![host(1, true), host(2, true)]).expect("it fits");
     let other = origin.propose(proposer(), vec![host(2, false)]).expect("it fits");
     let number = before + 1;
-    let agreed = Happened::Agreed { version: number, proposals: vec![one, other] };
-    assert_eq!(origin.tick(50_200.0), [agreed, Happened::InForce(number)]);
+    let agreed = PrimaryEvent::Agreed { revision: number, proposals: vec![one, other] };
+    assert_eq!(origin.tick(50_200.0), [agreed, PrimaryEvent::InForce(number)]);
     let drains = |n| match origin.store().entry(host(n, true).scope, host(n, true).key) {
-        Some(Entry::Host(host)) => host.drains,
+        Some(Entry::Host(host)) => host.draining,
         _ => panic!("host {n} is gone"),
     };
     assert!(drains(1) && !drains(2), "the last word on a key counts");
     let record = origin.record(number).expect("kept");
     assert_eq!((record.epoch, record.proposers.len()), (1, 2));
-    origin.forget(number + 1);
+    origin.compact(number + 1);
     assert_eq!(origin.record(number), None);
 }
--- a/replication/tests/common/judge.rs
+++ b/replication/tests/common/judge.rs
@@ -2,9 +2,9 @@
 use super::*;
 use ternstack_fault_tests::checkers::{check, Promise, Terms as Promised};
 use ternstack_fault_tests::history::What;
-use ternstack_replication::follower::Acting;
-use ternstack_replication::origin::Happened;
-use ternstack_replication::store::Keeps;
+use ternstack_replication::follower::ScopeMode;
+use ternstack_replication::primary::PrimaryEvent;
+use ternstack_replication::store::Storage;
 
 impl World {
     /// The leader of today puts versions together and brings them into force.
@@ -13,18 +13,18 @@
         let (origin, rate) = &mut self.reigns[reign];
         let local = now * *rate;
         let mut notes = Vec::new();
-        while let Some(Happened::Agreed { version, proposals }) = origin.batch(local) {
+        while let Some(PrimaryEvent::Agreed { revision: version, proposals }) = origin.batch(local) {
             notes.extend(origin.store().pending_since(version - 1).cloned());
             let since = self.proposed.iter().filter(|p| proposals.contains(&p.1)).map(|p| p.0);
             self.open.insert(version, since.fold(f64::INFINITY, f64::min));
             self.proposed.retain(|p| !proposals.contains(&p.1));
         }
-        let in_force = origin.store().number();
+        let in_force = origin.store().in_force();
         let through = origin.store().through();
         let ready = match self.setup.planted {
             Planted::Hurries => {
                 let next = in_force + 1;
-                (origin.grantor().holders(local).all(|(_, known, _)| known >= next) && through >= next)
+                (origin.lessor().holders(local).all(|(_, known, _)| known >= next) && through >= next)
                     .then_some(next)
             }
             Planted::SkipsFirstStep => (through > in_force).then_some(in_force + 1),
@@ -32,22 +32,22 @@
         };
         if let Some(next) = ready {
             // As the leader sees it, and as it is.
-            let holders = origin.grantor().holders(local);
+            let holders = origin.lessor().holders(local);
             let unknown = holders.filter(|(_, known, _)| *known < next).count();
             let truly = self.gateways.iter().filter(|g| {
                 let holds = now * g.process.rate < g.follower.lease_until();
                 holds && (g.follower.known() < next || g.follower.in_force() < in_force)
             });
             self.seen.unknown_at_force += (unknown + truly.count()) as u64;
-            origin.in_force(next);
+            origin.advance_to(next);
             self.forced.push((now, next));
         }
-        notes.into_iter().for_each(|v| self.note(v.number, &v.changes));
+        notes.into_iter().for_each(|v| self.note(v.revision, &v.changes));
     }
 
     /// What everybody acts on, as it changes.
     pub fn watch(&mut self, now: f64, touched: Option<usize>) {
-        let long_ago = now - self.setup.terms.contradiction_ms().ceil();
+        let long_ago = now - self.setup.terms.max_conflict_ms().ceil();
         let due = self.forced.iter().rev().find(|f| f.0 < long_ago).map_or(0, |f| f.1);
         for n in 0..self.gateways.len() {
             let g = &self.gateways[n];
@@ -57,10 +57,9 @@
             if up {
                 self.seen.stale += u64::from(leased && g.follower.in_force() < due);
                 self.seen.looks += 1;
-                let neutral = self
-                    .about
-                    .first()
-                    .is_some_and(|about| !matches!(g.follower.acting(local, about.1), Acting::Agreed(_)));
+                let neutral = self.about.first().is_some_and(|about| {
+                    !matches!(g.follower.scope_mode(local, about.1), ScopeMode::Agreed(_))
+                });
                 self.seen.neutral += u64::from(neutral);
             }
             if leased == g.leased && touched != Some(n) && self.setup.planted != Planted::IgnoresLease {
@@ -94,14 +93,14 @@
         let ignores = self.setup.planted == Planted::IgnoresLease;
         for (name, scope, key) in &self.about {
             let follower = &self.gateways[n].follower;
-            match follower.acting(local, *scope) {
-                Acting::Agreed(number) => {
+            match follower.scope_mode(local, *scope) {
+                ScopeMode::Agreed(number) => {
                     let entry = follower.entry(local, *scope, *key);
                     self.seen.untrue += u64::from(entry != self.truth(number, *scope, *key));
                     shows.insert(name.clone(), format!("{entry:?}"));
                     shows.insert("the version".into(), number.to_string());
                 }
-                Acting::Neutral if ignores && follower.in_force() > 0 => {
+                ScopeMode::Conservative if ignores && follower.in_force() > 0 => {
                     shows.insert("the version".into(), follower.in_force().to_string());
                 }
                 _ => {}
@@ -125,7 +124,7 @@
             leave_ms: None,
             told_slack_ms: None,
             cold: None,
-            contradiction_ms: self.setup.terms.contradiction_ms().ceil() as u64,
+            contradiction_ms: self.setup.terms.max_conflict_ms().ceil() as u64,
             most_out: self.setup.members,
             limits: vec![],
         };
@@ -140,21 +139,21 @@
         let mut faults = Vec::new();
         for (n, g) in self.gateways.iter().enumerate() {
             let f = &g.follower;
-            if !g.leased || f.in_force() != origin.number() || !f.is_complete() {
+            if !g.leased || f.in_force() != origin.in_force() || !f.is_complete() {
                 faults.push(format!(
                     "g{n}: leased {}, in force {} of {}, fetches {:?}",
                     g.leased,
                     f.in_force(),
-                    origin.number(),
-                    f.fetching().collect::<Vec<_>>()
+                    origin.in_force(),
+                    f.fetching_scopes().collect::<Vec<_>>()
                 ));
             }
-            for (scope, _) in f.whole().filter(|w| f.keeps().digest(w.0) != origin.digest(w.0)) {
+            for (scope, _) in f.complete_scopes().filter(|w| f.storage().digest(w.0) != origin.digest(w.0)) {
                 faults.push(format!("g{n}: another digest of {scope:?}"));
             }
         }
         for (n, b) in self.between.iter().enumerate() {
-            if b.machine.store().sum() != origin.sum() {
+            if b.machine.store().total_digest() != origin.total_digest() {
                 faults.push(format!("b{n}: another sum"));
             }
             if let Err(what) = b.machine.store().check() {
--- a/replication/tests/common/mod.rs
+++ b/replication/tests/common/mod.rs
@@ -4,13 +4,13 @@
 use rand_chacha::ChaCha8Rng;
 use std::collections::{BTreeMap, BinaryHeap};
 use ternstack_fault_tests::history::Event;
-use ternstack_replication::distributor::Distributor;
 use ternstack_replication::follower::Follower;
-use ternstack_replication::lease::Terms;
-use ternstack_replication::origin::Origin;
-use ternstack_replication::scope::{Change, Entry, Key, Number, Scope};
+use ternstack_replication::lease::LeaseConfig;
+use ternstack_replication::primary::Primary;
+use ternstack_replication::replica::Replica;
+use ternstack_replication::scope::{Change, Entry, Key, Revision, Scope};
 use ternstack_replication::tables::Tables;
-use ternstack_replication::wire::{Ask, Grant, Member};
+use ternstack_replication::wire::{Member, PollRequest, PollResponse};
 
 mod judge;
 mod world;
@@ -62,9 +62,9 @@
 #[derive(Clone, Debug)]
 pub enum Moment {
     Asks(Who),
-    Ask(usize, u64, Ask),        // To the leader of that reign.
-    AskBetween(usize, u64, Ask), // To that life of a machine between.
-    Grant(Who, u64, u64, Grant), // To that life; with the sender's life.
+    PollRequest(usize, u64, PollRequest), // To the leader of that reign.
+    AskBetween(usize, u64, PollRequest),  // To that life of a machine between.
+    PollResponse(Who, u64, u64, PollResponse), // To that life; with the sender's life.
     Propose(Vec<Vec<Change>>),
     Reign,
     Pause(Who, f64),
@@ -130,12 +130,12 @@
     renewed: f64,
     shown: BTreeMap<String, String>,
     leased: bool,
-    earlier: Option<Grant>,
+    earlier: Option<PollResponse>,
 }
 
 pub struct Between {
     pub process: Process,
-    pub machine: Distributor,
+    pub machine: Replica,
 }
 
 /// What was seen of a play.
@@ -148,8 +148,8 @@
     pub went_back: u64,
     pub untrue: u64,
     pub stale: u64,
-    pub anew: u64,
-    pub behind: u64,
+    pub restarted: u64,
+    pub fell_behind: u64,
     pub past: u64,
     pub in_force_ms: f64,
 }
@@ -157,7 +157,7 @@
 /// What a play is made of.
 #[derive(Clone, Debug)]
 pub struct Setup {
-    pub terms: Terms,
+    pub terms: LeaseConfig,
     pub seed: u64,
     pub members: usize,
     pub between: usize,
@@ -177,23 +177,23 @@
 }
 
 /// What a version says of a key.
-type Said = (Number, Option<Entry>);
+type Said = (Revision, Option<Entry>);
 
 pub struct World {
     pub setup: Setup,
     pub rng: ChaCha8Rng,
     pub gateways: Vec<Gateway>,
     pub between: Vec<Between>,
-    pub reigns: Vec<(Origin, f64)>,
+    pub reigns: Vec<(Primary, f64)>,
     pub history: Vec<Event>,
     pub seen: Seen,
     pub about: Vec<(String, Scope, Key)>,
     queue: BinaryHeap<Due>,
     serial: u64,
     truth: BTreeMap<(Scope, Key), Vec<Said>>,
-    forced: Vec<(f64, Number)>,  // When which version came into force.
-    proposed: Vec<(f64, u64)>,   // When, and its number in this reign.
-    open: BTreeMap<Number, f64>, // Versions not yet in force everywhere, and their first proposal.
+    forced: Vec<(f64, Revision)>,  // When which version came into force.
+    proposed: Vec<(f64, u64)>,     // When, and its number in this reign.
+    open: BTreeMap<Revision, f64>, // Versions not yet in force everywhere, and their first proposal.
 }
 
 pub fn tenant(name: &str) -> (Scope, Key) {
--- a/replication/tests/common/world.rs
+++ b/replication/tests/common/world.rs
@@ -1,9 +1,9 @@
 //! What happens in the fleet.
 use super::*;
 use rand::{RngExt, SeedableRng};
-use ternstack_replication::follower::{News, Refused};
-use ternstack_replication::origin::Proposer;
-use ternstack_replication::scope::Version;
+use ternstack_replication::follower::{FollowerEvent, ResponseError};
+use ternstack_replication::primary::Proposer;
+use ternstack_replication::scope::ChangeSet;
 use ternstack_replication::store::Store;
 
 impl World {
@@ -12,13 +12,15 @@
         let terms = setup.terms;
         let mut rng = ChaCha8Rng::seed_from_u64(setup.seed);
         let mut store = Store::new();
-        store.pending(Version { number: 1, changes: first.clone() });
-        store.in_force(1);
+        store.add_pending(ChangeSet { revision: 1, changes: first.clone() });
+        store.advance_to(1);
         let gateways = (0..setup.members).map(|n| {
             let mut follower = Follower::new(terms, member(Who::Gateway(n), 0), Tables::new());
-            wants(n).into_iter().for_each(|scope| follower.want(scope, 1.0));
+            wants(n).into_iter().for_each(|scope| follower.subscribe(scope, 1.0));
             Gateway {
-                process: Process::new(1.0 + rng.random_range(-terms.drift..=terms.drift)),
+                process: Process::new(
+                    1.0 + rng.random_range(-terms.clock_drift_ratio..=terms.clock_drift_ratio),
+                ),
                 follower,
                 order: (0..setup.between).map(|m| (n + m) % setup.between).collect(),
                 at: 0,
@@ -30,14 +32,14 @@
         });
         let gateways: Vec<Gateway> = gateways.collect();
         let between = (0..setup.between).map(|n| Between {
-            process: Process::new(1.0 + rng.random_range(-terms.drift..=terms.drift)),
-            machine: Distributor::new(terms, member(Who::Between(n), 0), 0.0),
+            process: Process::new(1.0 + rng.random_range(-terms.clock_drift_ratio..=terms.clock_drift_ratio)),
+            machine: Replica::new(terms, member(Who::Between(n), 0), 0.0),
         });
         let between = between.collect();
         let mut world = World {
             gateways,
             between,
-            reigns: vec![(Origin::new(terms, 0.0, 1, store), 1.0)],
+            reigns: vec![(Primary::new(terms, 0.0, 1, store), 1.0)],
             history: Vec::new(),
             seen: Seen::default(),
             about: Vec::new(),
@@ -86,14 +88,14 @@
         }
     }
 
-    pub fn note(&mut self, number: Number, changes: &[Change]) {
+    pub fn note(&mut self, number: Revision, changes: &[Change]) {
         for c in changes {
             self.truth.entry((c.scope, c.key)).or_default().push((number, c.entry));
         }
     }
 
     /// What a version says of a key.
-    pub fn truth(&self, number: Number, scope: Scope, key: Key) -> Option<Entry> {
+    pub fn truth(&self, number: Revision, scope: Scope, key: Key) -> Option<Entry> {
         let all = self.truth.get(&(scope, key))?;
         all.iter().rev().find(|(n, _)| *n <= number).and_then(|(_, entry)| *entry)
     }
@@ -108,7 +110,7 @@
             self.second_step(now);
             self.watch(now, touched);
         }
-        self.seen.versions = self.reigns[self.reigns.len() - 1].0.store().number();
+        self.seen.versions = self.reigns[self.reigns.len() - 1].0.store().in_force();
     }
 
     /// One moment; the gateway that it touched.
@@ -116,16 +118,16 @@
         let terms = self.setup.terms;
         match moment {
             Moment::Asks(who) => self.asks(now, who),
-            Moment::Ask(to, _, ask) => {
+            Moment::PollRequest(to, _, ask) => {
                 let newest = to + 1 == self.reigns.len();
                 let planted = self.setup.planted;
                 let (origin, rate) = &mut self.reigns[to];
                 let local = now * *rate;
                 // A majority confirms only the leader of today.
                 if newest || planted == Planted::Unconfirmed {
-                    origin.confirmed(local);
+                    origin.confirm_leadership(local);
                 }
-                if let Some(grant) = origin.asked(local, &ask) {
+                if let Some(grant) = origin.handle_poll(local, &ask) {
                     self.answer(now, &ask, 0, grant);
                 }
             }
@@ -136,20 +138,22 @@
                     self.add(wakes, Moment::AskBetween(to, life, ask));
                 } else if life == b.process.life && now >= b.process.down_until {
                     let local = now * b.process.rate;
-                    if let Some(mut grant) = b.machine.asked(local, &ask) {
+                    if let Some(mut grant) = b.machine.handle_poll(local, &ask) {
                         let lease_us = (terms.lease_ms * 1000.0) as u64;
                         match self.setup.planted {
                             Planted::HandsOnLonger if grant.lease_us > 0 => grant.lease_us = lease_us,
                             Planted::OutlivesLease if grant.lease_us == 0 => grant.lease_us = lease_us,
                             _ => {}
                         }
-                        let due = b.machine.next_ask(local) / b.process.rate;
+                        let due = b.machine.next_poll(local) / b.process.rate;
                         self.wakes(Who::Between(to), due.max(now) + 0.001);
                         self.answer(now, &ask, life, grant);
                     }
                 }
             }
-            Moment::Grant(who, life, from, grant) => return self.granted(now, who, life, from, grant),
+            Moment::PollResponse(who, life, from, grant) => {
+                return self.handle_response(now, who, life, from, grant)
+            }
             Moment::Propose(all) => {
                 let reign = self.reigns.len() - 1;
                 for changes in all {
@@ -161,11 +165,11 @@
                 self.add(due.max(now) + 0.001, Moment::Look);
             }
             Moment::Reign => {
-                let rate = 1.0 + self.rng.random_range(-terms.drift..=terms.drift);
+                let rate = 1.0 + self.rng.random_range(-terms.clock_drift_ratio..=terms.clock_drift_ratio);
                 let begins = if self.setup.planted == Planted::TakesOverAtOnce { -1e9 } else { now * rate };
                 let epoch = self.reigns.len() as u64 + 1;
                 let store = self.reigns[self.reigns.len() - 1].0.store().clone();
-                self.reigns.push((Origin::new(terms, begins, epoch, store), rate));
+                self.reigns.push((Primary::new(terms, begins, epoch, store), rate));
                 self.proposed.clear();
                 for n in 0..self.between.len() {
                     let late_ms = self.rng.random_range(0.0..=self.setup.late_ms);
@@ -183,19 +187,23 @@
                     Who::Gateway(n) => {
                         let kept = self.setup.snapshots && self.rng.random_bool(0.5);
                         let g = &mut self.gateways[n];
-                        let wanted: Vec<Scope> =
-                            g.follower.whole().map(|w| w.0).chain(g.follower.fetching()).collect();
+                        let wanted: Vec<Scope> = g
+                            .follower
+                            .complete_scopes()
+                            .map(|w| w.0)
+                            .chain(g.follower.fetching_scopes())
+                            .collect();
                         g.follower = if kept {
-                            Follower::restored(terms, member(who, life), g.follower.snapshot())
+                            Follower::restore(terms, member(who, life), g.follower.snapshot())
                         } else {
                             Follower::new(terms, member(who, life), Tables::new())
                         };
-                        wanted.into_iter().for_each(|scope| g.follower.want(scope, 1.0));
+                        wanted.into_iter().for_each(|scope| g.follower.subscribe(scope, 1.0));
                         g.earlier = None;
                     }
                     Who::Between(n) => {
                         let back = (now + for_ms) * rate;
-                        self.between[n].machine = Distributor::new(terms, member(who, life), back);
+                        self.between[n].machine = Replica::new(terms, member(who, life), back);
                     }
                 }
                 self.wakes(who, now + for_ms);
@@ -213,15 +221,15 @@
             Moment::Move(n) => {
                 let g = &mut self.gateways[n];
                 g.at = (g.at + 1) % g.order.len().max(1);
-                g.follower.moved();
+                g.follower.reconnected();
                 self.wakes(Who::Gateway(n), now);
             }
             Moment::Want(n, scope, want) => {
                 let g = &mut self.gateways[n];
                 if want {
-                    g.follower.want(scope, 1.0);
+                    g.follower.subscribe(scope, 1.0);
                 } else {
-                    g.follower.forget(scope);
+                    g.follower.unsubscribe(scope);
                 }
                 return Some(n);
             }
@@ -242,26 +250,26 @@
             return self.wakes(who, up);
         }
         let local = now * process.rate;
-        let half = self.setup.terms.answer_within_ms();
+        let half = self.setup.terms.response_timeout_ms();
         let (ask, due) = match who {
             Who::Gateway(n) => {
                 let g = &mut self.gateways[n];
                 // Who answers without a lease, or not at all, is left for the next.
-                if !g.order.is_empty() && local >= g.follower.next_ask() && local > g.renewed + half {
+                if !g.order.is_empty() && local >= g.follower.next_poll() && local > g.renewed + half {
                     g.at = (g.at + 1) % g.order.len();
                     g.renewed = local;
-                    g.follower.moved();
+                    g.follower.reconnected();
                 }
-                (g.follower.ask(local), g.follower.next_ask())
+                (g.follower.poll(local), g.follower.next_poll())
             }
             Who::Between(n) => {
                 let b = &mut self.between[n];
-                let mut ask = b.machine.ask(local);
+                let mut ask = b.machine.poll(local);
                 if let (Some(ask), Planted::SpeaksForItself) = (&mut ask, self.setup.planted) {
                     ask.known = b.machine.follower().known();
                     ask.in_force = b.machine.follower().in_force();
                 }
-                (ask, b.machine.next_ask(local))
+                (ask, b.machine.next_poll(local))
             }
         };
         self.wakes(who, (due / process.rate).max(now) + 0.001);
@@ -285,18 +293,18 @@
                 _ => now < process.late_until,
             };
             let to = if late { reign - 1 } else { reign };
-            self.add(arrives, Moment::Ask(to, 0, ask));
+            self.add(arrives, Moment::PollRequest(to, 0, ask));
         }
     }
 
-    fn answer(&mut self, now: f64, ask: &Ask, life: u64, mut grant: Grant) {
+    fn answer(&mut self, now: f64, ask: &PollRequest, life: u64, mut grant: PollResponse) {
         let n: usize = ask.member.name[1..].parse().expect("a number");
         let who = if ask.member.name.starts_with('g') { Who::Gateway(n) } else { Who::Between(n) };
         match self.setup.planted {
             Planted::SkipsTombstones => {
-                grant.parts.iter_mut().for_each(|part| part.entries.retain(|(_, _, entry)| entry.is_some()));
+                grant.chunks.iter_mut().for_each(|part| part.entries.retain(|one| one.entry.is_some()));
             }
-            Planted::SkipsPending => grant.pending.retain(|version| version.number > ask.known),
+            Planted::SkipsPending => grant.pending.retain(|version| version.revision > ask.known),
             _ => {}
         }
         let calm = now >= self.setup.calm_from_ms;
@@ -305,16 +313,18 @@
         for _ in 0..copies {
             if now >= self.process(who).cut_answers_until && !self.rng.random_bool(loss) {
                 let arrives = now + self.rng.random_range(0.1..self.setup.delay_ms);
-                self.add(arrives, Moment::Grant(who, ask.member.incarnation, life, grant.clone()));
+                self.add(arrives, Moment::PollResponse(who, ask.member.incarnation, life, grant.clone()));
             }
         }
     }
 
-    fn granted(&mut self, now: f64, who: Who, life: u64, from: u64, mut grant: Grant) -> Option<usize> {
+    fn handle_response(
+        &mut self, now: f64, who: Who, life: u64, from: u64, mut grant: PollResponse,
+    ) -> Option<usize> {
         let process = self.process(who).clone();
         // What comes while a process stands still waits for it.
         if now < process.asleep_until {
-            self.add(process.asleep_until, Moment::Grant(who, life, from, grant));
+            self.add(process.asleep_until, Moment::PollResponse(who, life, from, grant));
             return None;
         }
         if life != process.life || now < process.down_until {
@@ -328,33 +338,37 @@
                     if let Some(earlier) =
                         g.earlier.replace(grant.clone()).filter(|_| self.rng.random_bool(0.5))
                     {
-                        grant = Grant { number: grant.number, interest: grant.interest, ..earlier };
+                        grant = PollResponse {
+                            sequence: grant.sequence,
+                            generation: grant.generation,
+                            ..earlier
+                        };
                     }
                 }
                 let leased = grant.lease_us > 0;
                 let before = (g.follower.known(), g.follower.in_force());
-                let taken = g.follower.granted(local, grant);
+                let taken = g.follower.handle_response(local, grant);
                 if leased && taken.is_ok() {
                     g.renewed = local;
                 }
                 let after = (g.follower.known(), g.follower.in_force());
                 self.seen.went_back += u64::from(after.0 < before.0 || after.1 < before.1);
-                (taken, g.follower.next_ask())
+                (taken, g.follower.next_poll())
             }
             Who::Between(n) => {
                 let b = &mut self.between[n];
-                let taken = b.machine.granted(local, grant);
-                (taken, b.machine.next_ask(local))
+                let taken = b.machine.handle_response(local, grant);
+                (taken, b.machine.next_poll(local))
             }
         };
         self.wakes(who, (due / process.rate).max(now) + 0.001);
         match taken {
             Ok(news) => {
-                let count = |is: fn(&News) -> bool| news.iter().filter(|n| is(n)).count() as u64;
-                self.seen.anew += count(|n| matches!(n, News::Anew(_)));
-                self.seen.behind += count(|n| matches!(n, News::Behind(_)));
+                let count = |is: fn(&FollowerEvent) -> bool| news.iter().filter(|n| is(n)).count() as u64;
+                self.seen.restarted += count(|n| matches!(n, FollowerEvent::Restarted(_)));
+                self.seen.fell_behind += count(|n| matches!(n, FollowerEvent::Stale(_)));
             }
-            Err(Refused::Past { .. }) => self.seen.past += 1,
+            Err(ResponseError::Outdated { .. }) => self.seen.past += 1,
             Err(_) => {}
         }
         gateway(who)
--- a/replication/tests/control.rs
+++ b/replication/tests/control.rs
@@ -5,13 +5,13 @@
 use rand_chacha::ChaCha8Rng;
 use std::collections::BTreeMap;
 use std::net::{Ipv4Addr, SocketAddrV4};
-use ternstack_replication::grantor::Grantor;
-use ternstack_replication::lease::Terms;
-use ternstack_replication::placing::{order, Machine};
-use ternstack_replication::scope::{Change, Entry, Host, Key, Scope, Version};
+use ternstack_replication::lease::LeaseConfig;
+use ternstack_replication::lessor::Lessor;
+use ternstack_replication::placement::{preference_order, ReplicaLocation};
+use ternstack_replication::rules::RetryPolicy;
+use ternstack_replication::scope::{Change, ChangeSet, Entry, Host, Key, Scope};
 use ternstack_replication::store::Store;
-use ternstack_replication::version::Repeat;
-use ternstack_replication::wire::{Ask, Interest, Member};
+use ternstack_replication::wire::{Member, PollRequest, Subscription};
 
 mod common;
 
@@ -21,7 +21,7 @@
 
 fn host(service: u32, n: u32, drains: bool) -> Change {
     let address = SocketAddrV4::new(Ipv4Addr::new(10, 0, service as u8, n as u8), 80);
-    let host = Host { address, zone: (n % 3) as u16, drains, weight_milli: 1000, started_s: 0 };
+    let host = Host { address, zone: (n % 3) as u16, draining: drains, weight_milli: 1000, started_s: 0 };
     let key = Key::of(&format!("s{service}-{n}"));
     Change { scope: Scope::Hosts(service), key, entry: Some(Entry::Host(host)) }
 }
@@ -35,14 +35,14 @@
 fn first() -> Vec<Change> {
     let hosts = (0..SERVICES).flat_map(|s| (0..HOSTS).map(move |n| host(s, n, false)));
     let tenants = (0..TENANTS).map(|n| quota(n, 100));
-    let book = Entry::Repeat(Repeat::Within(800));
+    let book = Entry::RetryPolicy(RetryPolicy::Within(800));
     let fleet = Change { scope: Scope::Fleet, key: Key::of("book"), entry: Some(book) };
     let zones = (0..3).map(zone(true));
     hosts.chain(tenants).chain([fleet]).chain(zones).collect()
 }
 
 fn zone(serves: bool) -> impl Fn(u32) -> Change {
-    move |n| Change { scope: Scope::Zones, key: Key::numbered(n), entry: Some(Entry::Zone(serves)) }
+    move |n| Change { scope: Scope::Zones, key: Key::from_number(n), entry: Some(Entry::Zone(serves)) }
 }
 
 /// One proposal.
@@ -56,8 +56,9 @@
         3 => vec![quota(rng.random_range(0..TENANTS), rng.random_range(1..1000))],
         4 => vec![zone(rng.random_bool(0.5))(rng.random_range(0..3))],
         5 => {
-            let repeat = [Repeat::Never, Repeat::Within(300), Repeat::Always][rng.random_range(0..3)];
-            let entry = Some(Entry::Repeat(repeat));
+            let repeat =
+                [RetryPolicy::Never, RetryPolicy::Within(300), RetryPolicy::Always][rng.random_range(0..3)];
+            let entry = Some(Entry::RetryPolicy(repeat));
             vec![Change { scope: Scope::Fleet, key: Key::of("book"), entry }]
         }
         _ => (0..HOSTS).map(|n| host(service, n, n % 2 == 0)).collect(),
@@ -79,10 +80,11 @@
     let between = setup.between;
     let mut world = World::new(setup, first(), wants);
     let zone = |n: usize| (format!("zone {}", n % 3), format!("region {}", n % 3 / 2));
-    let machine = |n: usize| Machine { name: format!("control {n}"), zone: zone(n).0, region: zone(n).1 };
-    let machines: Vec<Machine> = (0..between).map(machine).collect();
+    let machine =
+        |n: usize| ReplicaLocation { name: format!("control {n}"), zone: zone(n).0, region: zone(n).1 };
+    let machines: Vec<ReplicaLocation> = (0..between).map(machine).collect();
     for (n, g) in world.gateways.iter_mut().enumerate() {
-        g.order = order(&format!("gateway {n}"), &zone(n).0, &zone(n).1, &machines);
+        g.order = preference_order(&format!("gateway {n}"), &zone(n).0, &zone(n).1, &machines);
     }
     for service in 0..SERVICES {
         for n in 0..3 {
@@ -94,14 +96,14 @@
         world.about.push((format!("quota {n}"), quota(n, 1).scope, quota(n, 1).key));
     }
     world.about.push(("class".into(), Scope::Fleet, Key::of("book")));
-    world.about.push(("zone 1".into(), Scope::Zones, Key::numbered(1)));
+    world.about.push(("zone 1".into(), Scope::Zones, Key::from_number(1)));
     world.begin();
     world
 }
 
 fn setup(seed: u64, members: usize, between: usize, planted: Planted) -> Setup {
     Setup {
-        terms: Terms::default(),
+        terms: LeaseConfig::default(),
         seed,
         members,
         between,
@@ -128,7 +130,7 @@
 impl Judged {
     fn sound(&self) -> bool {
         let seen = &self.seen;
-        let faults = [seen.unknown_at_force, seen.went_back, seen.untrue, seen.stale, seen.anew];
+        let faults = [seen.unknown_at_force, seen.went_back, seen.untrue, seen.stale, seen.restarted];
         self.broken == 0 && faults == [0; 5] && self.unsettled.is_empty()
     }
 }
@@ -177,7 +179,7 @@
         let judged = drawn(seed, 50 + seed as usize % 11, between, Planted::Nothing);
         assert!(judged.sound(), "seed {seed}: {judged:?}");
         versions += judged.seen.versions;
-        behind += judged.seen.behind;
+        behind += judged.seen.fell_behind;
         longest = longest.max(judged.longest_ms);
     }
     assert!(versions > 8 * count as u64 && longest > 500 && behind > 0, "{versions} {longest} {behind}");
@@ -203,7 +205,7 @@
 }
 
 /// Somebody dies, or is cut off one way, at a time that is drawn.
-fn one_dead(seed: u64, dead: Option<Moment>, terms: Terms) -> f64 {
+fn one_dead(seed: u64, dead: Option<Moment>, terms: LeaseConfig) -> f64 {
     let mut rng = ChaCha8Rng::seed_from_u64(seed);
     let mut setup = Setup { terms, calm_from_ms: 0.0, ..setup(seed, 50, 3, Planted::Nothing) };
     if let Some(Moment::Restart(Who::Gateway(n), _) | Moment::Cut(Who::Gateway(n), ..)) = dead {
@@ -228,8 +230,8 @@
 
 #[test]
 fn a_version_is_in_force_everywhere_in_the_time_that_is_promised() {
-    let terms = Terms::default();
-    assert!(terms.in_force_ms() <= 5000.0, "{}", terms.in_force_ms());
+    let terms = LeaseConfig::default();
+    assert!(terms.max_activation_ms() <= 5000.0, "{}", terms.max_activation_ms());
     let never = 1e9;
     let mut longest: BTreeMap<&str, f64> = BTreeMap::new();
     for seed in 0..10 {
@@ -250,41 +252,42 @@
                 continue;
             }
             assert!(
-                took <= terms.in_force_ms(),
+                took <= terms.max_activation_ms(),
                 "seed {seed}, {words}: {took} of {} ms",
-                terms.in_force_ms()
+                terms.max_activation_ms()
             );
             let longest = longest.entry(words).or_default();
             *longest = longest.max(took);
         }
     }
-    println!("longest times to in force, of {:.0} ms: {longest:.0?}", terms.in_force_ms());
+    println!("longest times to in force, of {:.0} ms: {longest:.0?}", terms.max_activation_ms());
 }
 
 #[test]
 fn a_link_that_is_cut_one_way_holds_up_no_longer_than_a_death() {
-    let terms = Terms::default();
+    let terms = LeaseConfig::default();
     let mut store = Store::new();
-    store.pending(Version { number: 1, changes: first() });
-    store.in_force(1);
+    store.add_pending(ChangeSet { revision: 1, changes: first() });
+    store.advance_to(1);
     let member = |name: &str| Member { name: name.into(), incarnation: 1 };
-    let ask = |name: &str, number, heard| Ask {
+    let ask = |name: &str, number, heard| PollRequest {
         member: member(name),
-        number,
-        heard,
+        sequence: number,
+        acknowledged: heard,
         known: 1,
         in_force: 1,
-        interest: Interest::Everything { revision: 1 },
+        subscription: Subscription::AllScopes { generation: 1 },
         fetch: vec![],
     };
-    let lease =
-        |grantor: &mut Grantor, now, ask: &Ask| grantor.asked(now, &store, f64::INFINITY, ask).lease_us;
+    let lease = |grantor: &mut Lessor, now, ask: &PollRequest| {
+        grantor.handle_poll(now, &store, f64::INFINITY, ask).lease_us
+    };
     // Who never heard anything never holds anybody up.
-    let mut grantor = Grantor::new(terms, 0.0);
+    let mut grantor = Lessor::new(terms, 0.0);
     for n in 1..40 {
         assert_eq!(lease(&mut grantor, n as f64 * 380.0, &ask("deaf", n, 0)), 0);
     }
-    assert_eq!(grantor.least(380.0), None);
+    assert_eq!(grantor.min_progress(380.0), None);
     // Who hears nothing from the third answer on holds up for a lease from then on, however often it asks.
     let mut given = Vec::new();
     for n in 1..40 {
@@ -293,9 +296,9 @@
     assert_eq!(given[..3], [0, 1_900_000, 1_900_000]);
     assert!(given[3..].windows(2).all(|two| two[0] > two[1] || two[1] == 0), "{given:?}");
     assert_eq!(given[8..], [0; 31]);
-    let (third, held) = (3.0 * 380.0, terms.held_ms());
-    assert_eq!(grantor.least(third + held - 1.0), Some((1, 1)));
-    assert_eq!(grantor.least(third + held + 1.0), None);
+    let (third, held) = (3.0 * 380.0, terms.max_held_ms());
+    assert_eq!(grantor.min_progress(third + held - 1.0), Some((1, 1)));
+    assert_eq!(grantor.min_progress(third + held + 1.0), None);
     // Once it hears again it gets a lease again.
     assert_eq!(lease(&mut grantor, 15_200.0, &ask("cut", 40, 39)), 1_900_000);
 }
@@ -325,7 +328,7 @@
         println!(
             "{planted:?}: caught by schedule {seed}: broken {}, unknown {}, back {}, untrue {}, stale {}, anew {}, \
              unsettled {unsettled}",
-            judged.broken, seen.unknown_at_force, seen.went_back, seen.untrue, seen.stale, seen.anew
+            judged.broken, seen.unknown_at_force, seen.went_back, seen.untrue, seen.stale, seen.restarted
         );
     }
 }
@@ -342,13 +345,13 @@
     for (zones, regions) in [(15, 6), (3, 1), (1, 1)] {
         let place = |n: usize| (format!("z{}", n % zones), format!("r{}", n % zones % regions));
         let machine =
-            |n: usize| Machine { name: format!("control-{n}"), zone: place(n).0, region: place(n).1 };
-        let machines: Vec<Machine> = (0..30).map(machine).collect();
+            |n: usize| ReplicaLocation { name: format!("control-{n}"), zone: place(n).0, region: place(n).1 };
+        let machines: Vec<ReplicaLocation> = (0..30).map(machine).collect();
         for name in names {
             let (mut full, mut heirs) = (vec![0usize; 30], BTreeMap::new());
             for n in 0..8900 {
                 let (zone, region) = place(n);
-                let order = order(&name(n), &zone, &region, &machines);
+                let order = preference_order(&name(n), &zone, &region, &machines);
                 assert_eq!(order.iter().collect::<std::collections::BTreeSet<_>>().len(), 30);
                 assert_eq!(machines[order[0]].zone, zone);
                 full[order[0]] += 1;
@@ -363,5 +366,5 @@
             }
         }
     }
-    assert!(order("g", "z", "r", &[]).is_empty());
+    assert!(preference_order("g", "z", "r", &[]).is_empty());
 }
--- a/replication/tests/drawn/mod.rs
+++ b/replication/tests/drawn/mod.rs
@@ -8,8 +8,8 @@
 use std::fmt::Write as _;
 use std::net::{Ipv4Addr, SocketAddrV4};
 use std::path::PathBuf;
-use ternstack_replication::scope::{Change, Digest, Entry, Host, Key, Route, Scope, Version};
-use ternstack_replication::version::Repeat;
+use ternstack_replication::rules::RetryPolicy;
+use ternstack_replication::scope::{Change, ChangeSet, Digest, Entry, Host, Key, Route, Scope};
 use ternstack_replication::wire::{encode, Message};
 
 /// Draws values; the order of draws is part of the fixtures.
@@ -34,11 +34,11 @@
         self.0.random::<u64>() >> shift
     }
 
-    pub fn repeat(&mut self) -> Repeat {
+    pub fn repeat(&mut self) -> RetryPolicy {
         match self.below(3) {
-            0 => Repeat::Never,
-            1 => Repeat::Within(self.number()),
-            _ => Repeat::Always,
+            0 => RetryPolicy::Never,
+            1 => RetryPolicy::Within(self.number()),
+            _ => RetryPolicy::Always,
         }
     }
 
@@ -46,7 +46,7 @@
         Host {
             address: SocketAddrV4::new(Ipv4Addr::from(self.0.random::<u32>()), self.0.random()),
             zone: self.0.random(),
-            drains: self.0.random(),
+            draining: self.0.random(),
             weight_milli: self.0.random(),
             started_s: self.0.random(),
         }
@@ -67,9 +67,9 @@
     pub fn entry_of(&mut self, scope: Scope) -> Entry {
         match scope {
             Scope::Zones => Entry::Zone(self.0.random()),
-            Scope::Fleet => Entry::Repeat(self.repeat()),
+            Scope::Fleet => Entry::RetryPolicy(self.repeat()),
             Scope::Hosts(_) => Entry::Host(self.host()),
-            Scope::Routes(_) => Entry::Route(Route { class: self.0.random(), repeat: self.repeat() }),
+            Scope::Routes(_) => Entry::Route(Route { class: self.0.random(), retry_policy: self.repeat() }),
             Scope::Tenants(_) => Entry::Quota(self.0.random()),
         }
     }
@@ -80,13 +80,13 @@
         Change { scope, key, entry: (!removed).then(|| self.entry_of(scope)) }
     }
 
-    pub fn version(&mut self, number: u64, scopes: &[Scope], keys: u64) -> Version {
+    pub fn version(&mut self, number: u64, scopes: &[Scope], keys: u64) -> ChangeSet {
         let count = 1 + self.below(6);
         let changes = (0..count).map(|_| {
             let scope = scopes[self.below(scopes.len() as u64) as usize];
             self.change(scope, keys)
         });
-        Version { number, changes: changes.collect() }
+        ChangeSet { revision: number, changes: changes.collect() }
     }
 }
 
--- a/replication/tests/same_bytes.rs
+++ b/replication/tests/same_bytes.rs
@@ -1,17 +1,18 @@
 //! The bytes of messages, snapshots, digests and JSON texts are those that earlier versions wrote.
 use drawn::{fixture, frame, from_hex, hex, kept, same_lines, Drawn};
 use std::collections::BTreeMap;
+use ternstack_replication::endpoint_list::{validate, EndpointList, Verdict};
 use ternstack_replication::follower::Follower;
-use ternstack_replication::lease::Terms;
-use ternstack_replication::list::{look, Seen, Verdict};
-use ternstack_replication::placing::{order, Machine};
-use ternstack_replication::scope::{stricter, Change, Digest, Key, Scope, Version};
+use ternstack_replication::lease::LeaseConfig;
+use ternstack_replication::placement::{preference_order, ReplicaLocation};
+use ternstack_replication::rules::{self, conflicts, Rules};
+use ternstack_replication::scope::{stricter, Change, ChangeSet, Digest, Key, Scope};
 use ternstack_replication::snapshot::Snapshot;
-use ternstack_replication::store::{Keeps, Store};
+use ternstack_replication::store::{Storage, Store};
 use ternstack_replication::tables::Tables;
-use ternstack_replication::version::{self, contradictions, Rules};
 use ternstack_replication::wire::{
-    decode, Ask, Causes, Counts, Cursor, Grant, Interest, Member, Message, Part, Status, Tally,
+    decode, ChunkEntry, Cursor, Member, Message, PollRequest, PollResponse, ScopeChunk, Status, Subscription,
+    Traffic, TrafficByCause, TrafficCount,
 };
 
 mod drawn;
@@ -36,69 +37,69 @@
     Change { key: Key(drawn.number()), ..drawn.change(scope, 9) }
 }
 
-fn interest(drawn: &mut Drawn, kind: u64) -> Interest {
+fn subscription(drawn: &mut Drawn, kind: u64) -> Subscription {
     let revision = drawn.number();
     match kind {
-        0 => Interest::Same { revision },
-        1 => Interest::Changed {
+        0 => Subscription::Unchanged { generation: revision },
+        1 => Subscription::Delta {
             from: drawn.number(),
-            revision,
-            more: several(drawn, 4, Drawn::any_scope),
-            fewer: several(drawn, 4, Drawn::any_scope),
+            generation: revision,
+            added: several(drawn, 4, Drawn::any_scope),
+            removed: several(drawn, 4, Drawn::any_scope),
         },
-        2 => Interest::Whole { revision, scopes: several(drawn, 4, Drawn::any_scope) },
-        _ => Interest::Everything { revision },
+        2 => Subscription::Complete { generation: revision, scopes: several(drawn, 4, Drawn::any_scope) },
+        _ => Subscription::AllScopes { generation: revision },
     }
 }
 
-fn ask(drawn: &mut Drawn, kind: u64) -> Ask {
-    Ask {
+fn poll_request(drawn: &mut Drawn, kind: u64) -> PollRequest {
+    PollRequest {
         member: Member { name: format!("gateway-{}", drawn.below(5000)), incarnation: drawn.number() },
-        number: drawn.number(),
-        heard: drawn.number(),
+        sequence: drawn.number(),
+        acknowledged: drawn.number(),
         known: drawn.number(),
         in_force: drawn.number(),
-        interest: interest(drawn, kind),
+        subscription: subscription(drawn, kind),
         fetch: several(drawn, 4, |drawn| {
-            (drawn.any_scope(), Cursor { changed: drawn.number(), key: drawn.number() })
+            (drawn.any_scope(), Cursor { revision: drawn.number(), key: drawn.number() })
         }),
     }
 }
 
-fn part(drawn: &mut Drawn) -> Part {
+fn chunk(drawn: &mut Drawn) -> ScopeChunk {
     let scope = drawn.any_scope();
-    Part {
+    ScopeChunk {
         scope,
-        anew: drawn.chance(0.5),
+        restart: drawn.chance(0.5),
         entries: several(drawn, 5, |drawn| {
             let change = change(drawn);
-            (drawn.number(), change.key, change.entry)
+            ChunkEntry { revision: drawn.number(), key: change.key, entry: change.entry }
         }),
-        whole: drawn
+        complete: drawn
             .chance(0.5)
             .then(|| Digest(u128::from(drawn.number()) << 64 | u128::from(drawn.number()))),
     }
 }
 
-fn grant(drawn: &mut Drawn) -> Grant {
-    Grant {
-        number: drawn.number(),
-        interest: drawn.number(),
+fn poll_response(drawn: &mut Drawn) -> PollResponse {
+    PollResponse {
+        sequence: drawn.number(),
+        generation: drawn.number(),
         lease_us: drawn.number(),
         in_force: drawn.number(),
         through: drawn.number(),
-        parts: several(drawn, 4, part),
-        behind: several(drawn, 4, Drawn::any_scope),
-        pending: several(drawn, 3, |drawn| Version {
-            number: drawn.number(),
+        chunks: several(drawn, 4, chunk),
+        stale: several(drawn, 4, Drawn::any_scope),
+        pending: several(drawn, 3, |drawn| ChangeSet {
+            revision: drawn.number(),
             changes: several(drawn, 4, change),
         }),
     }
 }
 
-fn causes(drawn: &mut Drawn) -> Causes {
-    let mut tally = || Tally { messages: drawn.number(), bytes: drawn.number() };
-    Causes { asks: tally(), leases: tally(), changes: tally(), starts: tally(), staff: tally() }
+fn causes(drawn: &mut Drawn) -> TrafficByCause {
+    let mut tally = || TrafficCount { messages: drawn.number(), bytes: drawn.number() };
+    TrafficByCause { polls: tally(), leases: tally(), changes: tally(), fetches: tally(), admin: tally() }
 }
 
 fn status(drawn: &mut Drawn) -> Status {
@@ -106,10 +107,10 @@
         name: format!("control-{}", drawn.below(9)),
         in_force: drawn.number(),
         through: drawn.number(),
-        sum: Digest(u128::from(drawn.number()) << 64 | u128::from(drawn.number())),
+        digest: Digest(u128::from(drawn.number()) << 64 | u128::from(drawn.number())),
         followers: drawn.number(),
         lease_ms: drawn.chance(0.5).then(|| drawn.number()),
-        counts: Counts { read: causes(drawn), written: causes(drawn) },
+        traffic: Traffic { read: causes(drawn), written: causes(drawn) },
     }
 }
 
@@ -119,16 +120,19 @@
     let mut all = Vec::new();
     for n in 0..20 {
         for kind in 0..4 {
-            all.push((format!("ask-{kind}-{n}"), Message::Ask(ask(&mut drawn, kind))));
+            all.push((format!("ask-{kind}-{n}"), Message::PollRequest(poll_request(&mut drawn, kind))));
         }
-        all.push((format!("grant-{n}"), Message::Grant(grant(&mut drawn))));
+        all.push((format!("grant-{n}"), Message::PollResponse(poll_response(&mut drawn))));
         let (number, changes) = (drawn.number(), several(&mut drawn, 5, change));
-        all.push((format!("propose-{n}"), Message::Propose { number, changes }));
+        all.push((format!("propose-{n}"), Message::Propose { proposal_id: number, changes }));
         let version = if n % 2 == 0 { Ok(drawn.number()) } else { Err(format!("reason {n}")) };
-        all.push((format!("proposed-{n}"), Message::Proposed { number: drawn.number(), version }));
+        all.push((
+            format!("proposed-{n}"),
+            Message::Proposed { proposal_id: drawn.number(), revision: version },
+        ));
         all.push((format!("status-{n}"), Message::Status(status(&mut drawn))));
     }
-    all.push(("look".into(), Message::Look));
+    all.push(("look".into(), Message::GetStatus));
     all
 }
 
@@ -178,15 +182,15 @@
     let read = Snapshot::decode(&bytes).expect("a snapshot");
     assert_eq!((read.known, read.in_force), (71, 70));
     assert_eq!(read.tables, tables(7));
-    assert_eq!(read.tables.sum(), tables(7).sum());
+    assert_eq!(read.tables.total_digest(), tables(7).total_digest());
     assert!(read.encode().expect("bytes") == bytes, "what was read has other bytes");
 
     let bytes = kept("snapshot-of-a-gateway.bin");
     let read = Snapshot::decode(&bytes).expect("a snapshot");
     let member = Member { name: "g".into(), incarnation: 2 };
-    let follower = Follower::restored(Terms::default(), member, read);
+    let follower = Follower::restore(LeaseConfig::default(), member, read);
     assert_eq!((follower.known(), follower.in_force()), (70, 70));
-    assert_eq!(follower.whole().count(), SCOPES.len());
+    assert_eq!(follower.complete_scopes().count(), SCOPES.len());
     assert!(follower.snapshot().encode().expect("bytes") == bytes, "what was restored has other bytes");
 }
 
@@ -195,16 +199,16 @@
     let mut lines = Vec::new();
     for seed in 0..10 {
         let tables = tables(seed);
-        lines.push((format!("tables-{seed}-sum"), format!("{:032x}", tables.sum().0)));
+        lines.push((format!("tables-{seed}-sum"), format!("{:032x}", tables.total_digest().0)));
         for (n, scope) in SCOPES.into_iter().enumerate() {
             lines.push((format!("tables-{seed}-{n}"), format!("{:032x}", tables.digest(scope).0)));
         }
         let (mut drawn, mut store) = (Drawn::new(seed), Store::new());
         for number in 1..80 {
-            store.pending(drawn.version(number, &SCOPES, 40));
+            store.add_pending(drawn.version(number, &SCOPES, 40));
         }
-        store.in_force(79);
-        lines.push((format!("store-{seed}-sum"), format!("{:032x}", store.sum().0)));
+        store.advance_to(79);
+        lines.push((format!("store-{seed}-sum"), format!("{:032x}", store.total_digest().0)));
     }
     for name in ["", "acme", "tenant-0000001", "Ünïcode"] {
         lines.push((format!("key-of-{}", name.len()), format!("{:016x}", Key::of(name).0)));
@@ -237,13 +241,13 @@
     rules
 }
 
-fn plain_host(drawn: &mut Drawn) -> version::Host {
-    version::Host { address: format!("10.0.0.{}:80", drawn.below(2)), drains: drawn.chance(0.3) }
+fn plain_host(drawn: &mut Drawn) -> rules::Host {
+    rules::Host { address: format!("10.0.0.{}:80", drawn.below(2)), draining: drawn.chance(0.3) }
 }
 
 #[test]
 fn json_texts_of_rules_and_of_lists_are_those_of_the_fixture() {
-    let mut lines = vec![("terms".into(), json(&Terms::default()))];
+    let mut lines = vec![("terms".into(), json(&LeaseConfig::default()))];
     for seed in 0..40 {
         let mut drawn = Drawn::new(seed);
         let (one, other) = (rules(&mut drawn), rules(&mut drawn));
@@ -251,8 +255,8 @@
         lines.push((format!("digest-{seed}"), one.digest()));
         lines.push((format!("stricter-{seed}"), json(&one.stricter(&other))));
         lines.push((format!("within-{seed}"), one.is_within(&other).to_string()));
-        lines.push((format!("contradictions-{seed}"), json(&contradictions(&one, &other))));
-        let version = version::Version {
+        lines.push((format!("contradictions-{seed}"), json(&conflicts(&one, &other))));
+        let version = rules::VersionedRules {
             number: seed,
             epoch: 3,
             proposer: "staff".into(),
@@ -266,12 +270,12 @@
                 (uid, drawn.chance(0.6).then(|| plain_host(&mut drawn)))
             })
             .collect();
-        let seen = Seen { rev: drawn.below(30), whole: drawn.chance(0.6), hosts };
+        let list = EndpointList { revision: drawn.below(30), complete: drawn.chance(0.6), hosts };
         for confirmed in [false, true] {
-            let (kind, texts) = match look(&one, &seen, confirmed) {
-                Verdict::Old => (0, vec![]),
+            let (kind, texts) = match validate(&one, &list, confirmed) {
+                Verdict::Outdated => (0, vec![]),
                 Verdict::Propose(rules) => (1, vec![json(&rules)]),
-                Verdict::Confirm { meanwhile, all } => (2, vec![json(&meanwhile), json(&all)]),
+                Verdict::NeedsConfirmation { meanwhile, all } => (2, vec![json(&meanwhile), json(&all)]),
             };
             lines.push((format!("look-{seed}-{confirmed}"), format!("{kind} {}", texts.concat())));
         }
@@ -282,8 +286,8 @@
         let (name, text) = line.split_once(' ').expect("a name and a text");
         let again = match name.split('-').next() {
             Some("rules" | "stricter") => json(&serde_json::from_str::<Rules>(text).expect("rules")),
-            Some("version") => json(&serde_json::from_str::<version::Version>(text).expect("a version")),
-            Some("terms") => json(&serde_json::from_str::<Terms>(text).expect("terms")),
+            Some("version") => json(&serde_json::from_str::<rules::VersionedRules>(text).expect("a version")),
+            Some("terms") => json(&serde_json::from_str::<LeaseConfig>(text).expect("terms")),
             _ => continue,
         };
         assert_eq!(again, text, "{name}");
@@ -293,32 +297,33 @@
 #[test]
 fn orders_times_and_stricter_entries_are_those_of_the_fixture() {
     let mut lines = Vec::new();
-    let terms = Terms::default();
+    let terms = LeaseConfig::default();
     let times = [
-        terms.contradiction_ms(),
-        terms.held_ms(),
-        terms.held(777.7),
-        terms.handed_on(777.7),
-        terms.ask_every_ms(),
-        terms.between_every_ms(),
-        terms.ask_soon_ms(),
-        terms.answer_within_ms(),
-        terms.in_force_ms(),
+        terms.max_conflict_ms(),
+        terms.max_held_ms(),
+        terms.held_for_ms(777.7),
+        terms.sublease_ms(777.7),
+        terms.poll_interval_ms(),
+        terms.replica_poll_interval_ms(),
+        terms.prompt_poll_delay_ms(),
+        terms.response_timeout_ms(),
+        terms.max_activation_ms(),
     ];
     for (n, time) in times.iter().enumerate() {
         lines.push((format!("time-{n}"), format!("{:016x}", time.to_bits())));
     }
     for seed in 0..40 {
         let mut drawn = Drawn::new(seed);
-        let machines: Vec<Machine> = (0..drawn.below(9))
-            .map(|n| Machine {
+        let machines: Vec<ReplicaLocation> = (0..drawn.below(9))
+            .map(|n| ReplicaLocation {
                 name: format!("m{n}"),
                 zone: format!("z{}", drawn.below(3)),
                 region: format!("r{}", drawn.below(2)),
             })
             .collect();
         let member = format!("gateway-{seed}");
-        let order = order(&member, &format!("z{}", seed % 3), &format!("r{}", seed % 2), &machines);
+        let order =
+            preference_order(&member, &format!("z{}", seed % 3), &format!("r{}", seed % 2), &machines);
         lines.push((format!("order-{seed}"), format!("{order:?}")));
         for (n, scope) in SCOPES.into_iter().enumerate() {
             let (a, b) = (drawn.change(scope, 9).entry, drawn.change(scope, 9).entry);
--- a/replication/tests/same_exchanges.rs
+++ b/replication/tests/same_exchanges.rs
@@ -1,14 +1,14 @@
 //! What the state machines send, tell and decide in drawn plays, byte by byte, is what earlier versions did.
 use drawn::{same_lines, Drawn, Observed};
-use ternstack_replication::distributor::Distributor;
-use ternstack_replication::follower::{Acting, Follower, News, Refused};
-use ternstack_replication::grantor::Grantor;
-use ternstack_replication::lease::Terms;
-use ternstack_replication::origin::{Happened, Origin, Proposer};
-use ternstack_replication::scope::{Change, Key, Scope, Version};
-use ternstack_replication::store::{Keeps, Store};
+use ternstack_replication::follower::{Follower, FollowerEvent, ResponseError, ScopeMode};
+use ternstack_replication::lease::LeaseConfig;
+use ternstack_replication::lessor::Lessor;
+use ternstack_replication::primary::{Primary, PrimaryEvent, Proposer};
+use ternstack_replication::replica::Replica;
+use ternstack_replication::scope::{Change, ChangeSet, Key, Scope};
+use ternstack_replication::store::{Storage, Store};
 use ternstack_replication::tables::Tables;
-use ternstack_replication::wire::{Ask, Cursor, Grant, Interest, Member, Message};
+use ternstack_replication::wire::{Cursor, Member, Message, PollRequest, PollResponse, Subscription};
 
 mod drawn;
 
@@ -33,17 +33,17 @@
 }
 
 enum Sent {
-    Ask(Ask),
-    Grant(Grant),
+    PollRequest(PollRequest),
+    PollResponse(PollResponse),
 }
 
 /// A fleet: an origin, two machines between that ask it, and gateways that ask these or the origin.
 struct Fleet {
     drawn: Drawn,
     observed: Observed,
-    terms: Terms,
-    origin: Origin,
-    between: Vec<Distributor>,
+    terms: LeaseConfig,
+    origin: Primary,
+    between: Vec<Replica>,
     gateways: Vec<Follower<Tables>>,
     calls: Vec<usize>, // Which machine a gateway calls; the last one is the origin.
     on_the_way: Vec<(f64, Place, usize, Sent)>,
@@ -59,23 +59,28 @@
         let mut drawn = Drawn::new(seed);
         // Small budgets, so that pieces are cut and scopes fall behind.
         let bytes_per_s = [400.0, 2_000.0, 12_000.0][seed as usize % 3];
-        let terms = Terms { bytes_per_s, between_bytes_per_s: 30_000.0, burst_s: 1.0, ..Terms::default() };
+        let terms = LeaseConfig {
+            bytes_per_s,
+            replica_bytes_per_s: 30_000.0,
+            burst_s: 1.0,
+            ..LeaseConfig::default()
+        };
         let mut store = Store::new();
         let all: Vec<Change> =
             SCOPES.iter().flat_map(|s| (0..60).map(|_| drawn.change(*s, KEYS)).collect::<Vec<_>>()).collect();
-        store.pending(Version { number: 1, changes: all });
-        store.in_force(1);
-        let between = (0..2).map(|n| Distributor::new(terms, member(format!("b{n}"), 1), 0.0));
+        store.add_pending(ChangeSet { revision: 1, changes: all });
+        store.advance_to(1);
+        let between = (0..2).map(|n| Replica::new(terms, member(format!("b{n}"), 1), 0.0));
         let gateways = (0..5).map(|n| {
             let mut gateway = Follower::new(terms, member(format!("g{n}"), 1), Tables::new());
-            SCOPES.iter().skip(2 + n % 3).for_each(|scope| gateway.want(*scope, n as f64));
+            SCOPES.iter().skip(2 + n % 3).for_each(|scope| gateway.subscribe(*scope, n as f64));
             gateway
         });
         Fleet {
             between: between.collect(),
             gateways: gateways.collect(),
             calls: (0..5).map(|n| n % 3).collect(),
-            origin: Origin::new(terms, 0.0, 1, store),
+            origin: Primary::new(terms, 0.0, 1, store),
             on_the_way: Vec::new(),
             incarnation: 1,
             drawn,
@@ -99,13 +104,13 @@
         self.observed.float(self.origin.next_tick().unwrap_or(-1.0));
         for happened in self.origin.tick(now) {
             match happened {
-                Happened::Agreed { version, proposals } => {
+                PrimaryEvent::Agreed { revision: version, proposals } => {
                     self.observed.number(version);
                     proposals.iter().for_each(|number| self.observed.number(*number));
                     let record = self.origin.record(version).expect("just made");
                     self.observed.bytes(&record.digest);
                 }
-                Happened::InForce(version) => self.observed.number(version << 32),
+                PrimaryEvent::InForce(version) => self.observed.number(version << 32),
             }
         }
     }
@@ -113,8 +118,8 @@
     /// Sends a message, unless it is lost; now and then it comes twice.
     fn send(&mut self, now: f64, who: Place, to: usize, sent: Sent) {
         let message = match &sent {
-            Sent::Ask(ask) => Message::Ask(ask.clone()),
-            Sent::Grant(grant) => Message::Grant(grant.clone()),
+            Sent::PollRequest(ask) => Message::PollRequest(ask.clone()),
+            Sent::PollResponse(grant) => Message::PollResponse(grant.clone()),
         };
         self.observed.message(&message);
         if self.drawn.chance(0.05) {
@@ -122,23 +127,23 @@
         }
         let longest = if self.drawn.chance(0.05) { 900 } else { 60 };
         let arrives = now + 1.0 + self.drawn.below(longest) as f64;
-        if let (Sent::Grant(grant), true) = (&sent, self.drawn.chance(0.05)) {
-            self.on_the_way.push((arrives + 3.0, who, to, Sent::Grant(grant.clone())));
+        if let (Sent::PollResponse(grant), true) = (&sent, self.drawn.chance(0.05)) {
+            self.on_the_way.push((arrives + 3.0, who, to, Sent::PollResponse(grant.clone())));
         }
         self.on_the_way.push((arrives, who, to, sent));
     }
 
-    fn ask(&mut self, now: f64) {
+    fn poll(&mut self, now: f64) {
         for n in 0..self.between.len() {
-            self.observed.float(self.between[n].next_ask(now));
-            if let Some(ask) = self.between[n].ask(now) {
-                self.send(now, Place::Between(n), 2, Sent::Ask(ask));
+            self.observed.float(self.between[n].next_poll(now));
+            if let Some(ask) = self.between[n].poll(now) {
+                self.send(now, Place::Between(n), 2, Sent::PollRequest(ask));
             }
         }
         for n in 0..self.gateways.len() {
-            self.observed.float(self.gateways[n].next_ask());
-            if let Some(ask) = self.gateways[n].ask(now) {
-                self.send(now, Place::Gateway(n), self.calls[n], Sent::Ask(ask));
+            self.observed.float(self.gateways[n].next_poll());
+            if let Some(ask) = self.gateways[n].poll(now) {
+                self.send(now, Place::Gateway(n), self.calls[n], Sent::PollRequest(ask));
             }
         }
     }
@@ -147,25 +152,25 @@
         while let Some(at) = self.on_the_way.iter().position(|sent| sent.0 <= now) {
             let (_, who, to, sent) = self.on_the_way.remove(at);
             match sent {
-                Sent::Ask(ask) => {
+                Sent::PollRequest(ask) => {
                     let grant = match self.between.get_mut(to) {
-                        Some(machine) => machine.asked(now, &ask),
+                        Some(machine) => machine.handle_poll(now, &ask),
                         None => {
                             if !self.drawn.chance(0.05) {
-                                self.origin.confirmed(now);
+                                self.origin.confirm_leadership(now);
                             }
-                            self.origin.asked(now, &ask)
+                            self.origin.handle_poll(now, &ask)
                         }
                     };
                     self.observed.number(u64::from(grant.is_some()));
                     if let Some(grant) = grant {
-                        self.send(now, who, to, Sent::Grant(grant));
+                        self.send(now, who, to, Sent::PollResponse(grant));
                     }
                 }
-                Sent::Grant(grant) => {
+                Sent::PollResponse(grant) => {
                     let taken = match who {
-                        Place::Gateway(n) => self.gateways[n].granted(now, grant),
-                        Place::Between(n) => self.between[n].granted(now, grant),
+                        Place::Gateway(n) => self.gateways[n].handle_response(now, grant),
+                        Place::Between(n) => self.between[n].handle_response(now, grant),
                     };
                     self.tell(taken);
                 }
@@ -173,26 +178,26 @@
         }
     }
 
-    fn tell(&mut self, taken: Result<Vec<News>, Refused>) {
+    fn tell(&mut self, taken: Result<Vec<FollowerEvent>, ResponseError>) {
         let observed = &mut self.observed;
         match taken {
             Ok(news) => {
                 for one in news {
                     let (kind, number, scope, key) = match one {
-                        News::InForce(number) => (1, number, Scope::Zones, Key(0)),
-                        News::Known(number) => (2, number, Scope::Zones, Key(0)),
-                        News::Whole(scope) => (3, 0, scope, Key(0)),
-                        News::Behind(scope) => (4, 0, scope, Key(0)),
-                        News::Anew(scope) => (5, 0, scope, Key(0)),
-                        News::Changed(scope, key) => (6, 0, scope, key),
+                        FollowerEvent::InForce(number) => (1, number, Scope::Zones, Key(0)),
+                        FollowerEvent::Known(number) => (2, number, Scope::Zones, Key(0)),
+                        FollowerEvent::Complete(scope) => (3, 0, scope, Key(0)),
+                        FollowerEvent::Stale(scope) => (4, 0, scope, Key(0)),
+                        FollowerEvent::Restarted(scope) => (5, 0, scope, Key(0)),
+                        FollowerEvent::EntryChanged(scope, key) => (6, 0, scope, key),
                     };
                     observed.number(kind << 56 | number);
                     observed.scope_and_key(scope, key);
                 }
             }
-            Err(Refused::Unasked) => observed.number(101),
-            Err(Refused::Interest) => observed.number(102),
-            Err(Refused::Past { in_force, through }) => {
+            Err(ResponseError::Unsolicited) => observed.number(101),
+            Err(ResponseError::SubscriptionMismatch) => observed.number(102),
+            Err(ResponseError::Outdated { in_force, through }) => {
                 observed.number(103);
                 observed.number(in_force);
                 observed.number(through);
@@ -207,31 +212,31 @@
         match self.drawn.below(8) {
             0 => {
                 self.calls[n] = (self.calls[n] + 1) % 3;
-                self.gateways[n].moved();
+                self.gateways[n].reconnected();
             }
-            1 => self.gateways[n].want(scope, self.drawn.below(9) as f64),
-            2 => self.gateways[n].forget(scope),
+            1 => self.gateways[n].subscribe(scope, self.drawn.below(9) as f64),
+            2 => self.gateways[n].unsubscribe(scope),
             3 => {
                 self.incarnation += 1;
                 let again = member(format!("g{n}"), self.incarnation);
                 let snapshot = self.gateways[n].snapshot();
                 self.observed.bytes(&snapshot.encode().expect("bytes"));
-                self.gateways[n] = Follower::restored(self.terms, again, snapshot);
-                SCOPES.iter().for_each(|scope| self.gateways[n].want(*scope, 1.0));
+                self.gateways[n] = Follower::restore(self.terms, again, snapshot);
+                SCOPES.iter().for_each(|scope| self.gateways[n].subscribe(*scope, 1.0));
                 self.on_the_way.retain(|sent| sent.1 != Place::Gateway(n));
             }
             4 => {
                 self.incarnation += 1;
                 let n = n % 2;
                 let again = member(format!("b{n}"), self.incarnation);
-                self.between[n] = Distributor::new(self.terms, again, now);
+                self.between[n] = Replica::new(self.terms, again, now);
                 self.on_the_way.retain(|sent| sent.1 != Place::Between(n));
             }
-            5 => self.between[n % 2].moved(),
-            6 => self.origin.forget(self.origin.store().number().saturating_sub(2)),
+            5 => self.between[n % 2].reconnected(),
+            6 => self.origin.compact(self.origin.store().in_force().saturating_sub(2)),
             _ => {
-                let before = self.between[n % 2].store().number().saturating_sub(3);
-                self.between[n % 2].forget_removed(before);
+                let before = self.between[n % 2].store().in_force().saturating_sub(3);
+                self.between[n % 2].purge_tombstones(before);
             }
         }
     }
@@ -241,35 +246,35 @@
         for gateway in &self.gateways {
             observed.float(gateway.lease_until());
             observed.number(gateway.known() << 32 | gateway.in_force());
-            observed.number(u64::from(gateway.is_complete()) << 1 | u64::from(gateway.is_asking()));
-            observed.digest(gateway.keeps().sum());
-            observed.number(gateway.keeps().bytes() as u64);
-            gateway.whole().for_each(|(scope, heat)| {
+            observed.number(u64::from(gateway.is_complete()) << 1 | u64::from(gateway.is_polling()));
+            observed.digest(gateway.storage().total_digest());
+            observed.number(gateway.storage().memory_bytes() as u64);
+            gateway.complete_scopes().for_each(|(scope, heat)| {
                 observed.scope_and_key(scope, Key(0));
                 observed.float(heat);
             });
-            gateway.fetching().for_each(|scope| observed.scope_and_key(scope, Key(1)));
+            gateway.fetching_scopes().for_each(|scope| observed.scope_and_key(scope, Key(1)));
             for scope in SCOPES {
-                observed.number(match gateway.acting(now, scope) {
-                    Acting::Agreed(number) => number << 8,
-                    Acting::Neutral => 1,
-                    Acting::Unknown => 2,
+                observed.number(match gateway.scope_mode(now, scope) {
+                    ScopeMode::Agreed(number) => number << 8,
+                    ScopeMode::Conservative => 1,
+                    ScopeMode::Unknown => 2,
                 });
-                let at_the_end = gateway.acting(gateway.lease_until(), scope);
-                observed.number(u64::from(matches!(at_the_end, Acting::Agreed(_))));
+                let at_the_end = gateway.scope_mode(gateway.lease_until(), scope);
+                observed.number(u64::from(matches!(at_the_end, ScopeMode::Agreed(_))));
                 (0..KEYS).for_each(|key| observed.entry(gateway.entry(now, scope, Key(key))));
             }
         }
-        for store in self.between.iter().map(Distributor::store).chain([self.origin.store()]) {
-            observed.digest(store.sum());
-            observed.number(store.number() << 32 | store.through());
+        for store in self.between.iter().map(Replica::store).chain([self.origin.store()]) {
+            observed.digest(store.total_digest());
+            observed.number(store.in_force() << 32 | store.through());
             observed.number(store.tombstones() as u64);
             observed.number(store.complete_from());
             assert_eq!(store.check(), Ok(()));
         }
-        for grantor in self.between.iter().map(Distributor::grantor).chain([self.origin.grantor()]) {
-            observed.number(grantor.followers() as u64);
-            if let Some((known, in_force)) = grantor.least(now) {
+        for grantor in self.between.iter().map(Replica::lessor).chain([self.origin.lessor()]) {
+            observed.number(grantor.follower_count() as u64);
+            if let Some((known, in_force)) = grantor.min_progress(now) {
                 observed.number(known << 32 | in_force);
             }
             grantor.holders(now).for_each(|(member, known, in_force)| {
@@ -291,12 +296,12 @@
             }
             self.tick(now);
             self.deliver(now);
-            self.ask(now);
+            self.poll(now);
             if step % 20 == 0 {
                 self.look(now);
             }
         }
-        (self.observed.finish(), self.origin.store().number())
+        (self.observed.finish(), self.origin.store().in_force())
     }
 }
 
@@ -321,15 +326,15 @@
             match drawn.below(10) {
                 0..=3 => {
                     known += 1;
-                    store.pending(drawn.version(known, &SCOPES, KEYS));
+                    store.add_pending(drawn.version(known, &SCOPES, KEYS));
                 }
-                4 | 5 => store.in_force(known.saturating_sub(drawn.below(3))),
+                4 | 5 => store.advance_to(known.saturating_sub(drawn.below(3))),
                 6 => {
-                    let change = drawn.version(store.number(), &SCOPES, KEYS).changes[0];
-                    store.load(change.scope, change.key, store.number(), change.entry);
+                    let change = drawn.version(store.in_force(), &SCOPES, KEYS).changes[0];
+                    store.load(change.scope, change.key, store.in_force(), change.entry);
                 }
                 7 if drawn.chance(0.3) => store.clear(SCOPES[drawn.below(9) as usize]),
-                8 => store.forget_removed(store.number().saturating_sub(drawn.below(30))),
+                8 => store.purge_tombstones(store.in_force().saturating_sub(drawn.below(30))),
                 _ => {}
             }
             assert_eq!(store.check(), Ok(()), "seed {seed}, step {step}");
@@ -337,15 +342,15 @@
             let mut from = match drawn.below(3) {
                 0 => Cursor::default(),
                 1 => Cursor::after(drawn.below(known + 1)),
-                _ => Cursor { changed: drawn.below(known + 1), key: drawn.below(KEYS) },
+                _ => Cursor { revision: drawn.below(known + 1), key: drawn.below(KEYS) },
             };
             let most_bytes = drawn.below(400) as usize;
             // All pieces of a fetch, one after the other.
             for _ in 0..60 {
-                let part = store.piece(scope, from, most_bytes);
+                let part = store.chunk(scope, from, most_bytes);
                 observed.bytes(&postcard::to_allocvec(&part).expect("bytes"));
-                match (part.whole, part.entries.last()) {
-                    (None, Some((changed, key, _))) => from = Cursor { changed: *changed, key: key.0 },
+                match (part.complete, part.entries.last()) {
+                    (None, Some(last)) => from = Cursor { revision: last.revision, key: last.key.0 },
                     _ => break,
                 }
             }
@@ -354,10 +359,10 @@
             for version in store.pending_since(since) {
                 observed.bytes(&postcard::to_allocvec(version).expect("bytes"));
             }
-            observed.digest(store.sum());
-            observed.number(store.number() << 32 | store.through());
+            observed.digest(store.total_digest());
+            observed.number(store.in_force() << 32 | store.through());
             observed.number(store.complete_from() << 32 | store.tombstones() as u64);
-            observed.number(store.bytes() as u64);
+            observed.number(store.memory_bytes() as u64);
             store.entries(scope).for_each(|(key, entry)| {
                 observed.scope_and_key(scope, key);
                 observed.entry(Some(entry));
@@ -383,14 +388,14 @@
             tables.set(scope, change.key, step, change.entry);
             match drawn.below(300) {
                 0 => tables.clear(scope),
-                1 => tables.forget(scope),
+                1 => tables.remove_scope(scope),
                 _ => {}
             }
             observed.entry(tables.get(scope, change.key));
             observed.digest(tables.digest(scope));
-            observed.digest(tables.sum());
+            observed.digest(tables.total_digest());
             observed.number(tables.len(scope) as u64);
-            observed.number(tables.bytes() as u64);
+            observed.number(tables.memory_bytes() as u64);
         }
         observed.bytes(&postcard::to_allocvec(&tables).expect("bytes"));
         lines.push((format!("tables-{seed}"), observed.finish()));
@@ -406,39 +411,44 @@
             let scope = SCOPES[drawn.below(9) as usize];
             drawn.change(scope, 12_000)
         });
-        Version { number, changes: changes.collect() }
+        ChangeSet { revision: number, changes: changes.collect() }
     };
     for number in 1..=20 {
-        store.pending(version(number, 4_500));
+        store.add_pending(version(number, 4_500));
     }
-    store.in_force(20);
+    store.advance_to(20);
     for number in 21..=20 + to_come {
-        store.pending(version(number, 1_600));
+        store.add_pending(version(number, 1_600));
     }
     store
 }
 
-fn drawn_ask(drawn: &mut Drawn, number: u64) -> Ask {
+fn drawn_ask(drawn: &mut Drawn, number: u64) -> PollRequest {
     let mut some = |part: f64| SCOPES.into_iter().filter(|_| drawn.chance(part)).collect::<Vec<_>>();
     let (whole, fetched) = (some(0.3), some(0.4));
     let interest = match drawn.below(8) {
-        0 => Interest::Everything { revision: number },
-        1 => Interest::Same { revision: number - 1 },
-        2 => Interest::Changed { from: number - 1, revision: number, more: whole, fewer: fetched.clone() },
-        _ => Interest::Whole { revision: number, scopes: whole },
+        0 => Subscription::AllScopes { generation: number },
+        1 => Subscription::Unchanged { generation: number - 1 },
+        2 => Subscription::Delta {
+            from: number - 1,
+            generation: number,
+            added: whole,
+            removed: fetched.clone(),
+        },
+        _ => Subscription::Complete { generation: number, scopes: whole },
     };
     let cursor = |drawn: &mut Drawn| match drawn.below(3) {
         0 => Cursor::default(),
         1 => Cursor::after(drawn.below(21)),
-        _ => Cursor { changed: drawn.below(21), key: drawn.below(12_000) },
+        _ => Cursor { revision: drawn.below(21), key: drawn.below(12_000) },
     };
-    Ask {
+    PollRequest {
         member: member(format!("g{}", drawn.below(3)), 1),
-        number,
-        heard: number - drawn.below(2),
+        sequence: number,
+        acknowledged: number - drawn.below(2),
         known: drawn.below(41),
         in_force: drawn.below(21),
-        interest,
+        subscription: interest,
         fetch: fetched.into_iter().map(|scope| (scope, cursor(drawn))).collect(),
     }
 }
@@ -454,14 +464,19 @@
             for _ in 0..plays {
                 let bytes_per_s = (60 + drawn.below(rate)) as f64;
                 let between_bytes_per_s = (60 + drawn.below(rate)) as f64;
-                let terms = Terms { bytes_per_s, between_bytes_per_s, burst_s: 1.0, ..Terms::default() };
-                let mut grantor = Grantor::new(terms, 0.0);
+                let terms = LeaseConfig {
+                    bytes_per_s,
+                    replica_bytes_per_s: between_bytes_per_s,
+                    burst_s: 1.0,
+                    ..LeaseConfig::default()
+                };
+                let mut grantor = Lessor::new(terms, 0.0);
                 for number in 1..=4 {
                     let ask = drawn_ask(&mut drawn, number);
                     let now = (number * drawn.below(1_500)) as f64;
                     let may_lease_ms = drawn.below(2_500) as f64;
-                    let grant = grantor.asked(now, &store, may_lease_ms, &ask);
-                    observed.message(&Message::Grant(grant));
+                    let grant = grantor.handle_poll(now, &store, may_lease_ms, &ask);
+                    observed.message(&Message::PollResponse(grant));
                     for (member, known, in_force) in grantor.holders(now) {
                         observed.bytes(member.name.as_bytes());
                         observed.number(known << 32 | in_force);
--- a/replication/tests/tables.rs
+++ b/replication/tests/tables.rs
@@ -4,11 +4,11 @@
 use rand_chacha::ChaCha8Rng;
 use std::collections::BTreeMap;
 use std::net::{Ipv4Addr, SocketAddrV4};
+use ternstack_replication::rules::RetryPolicy;
 use ternstack_replication::scope::{Digest, Entry, Host, Key, Route, Scope};
-use ternstack_replication::snapshot::{Snapshot, Unreadable, FORMAT, HEADER, MARK};
-use ternstack_replication::store::Keeps;
+use ternstack_replication::snapshot::{Snapshot, SnapshotError, FORMAT_VERSION, HEADER_BYTES, MAGIC};
+use ternstack_replication::store::Storage;
 use ternstack_replication::tables::Tables;
-use ternstack_replication::version::Repeat;
 
 const SCOPES: [Scope; 7] = [
     Scope::Zones,
@@ -24,20 +24,20 @@
 
 /// Any entry of any kind, with the ends of what a field may be among them.
 fn entry(g: &mut Gen) -> Entry {
-    let repeats = [Repeat::Never, Repeat::Within(u64::arbitrary(g)), Repeat::Always];
+    let repeats = [RetryPolicy::Never, RetryPolicy::Within(u64::arbitrary(g)), RetryPolicy::Always];
     let repeat = *g.choose(&repeats).expect("one");
     let host = Host {
         address: SocketAddrV4::new(Ipv4Addr::from(u32::arbitrary(g)), u16::arbitrary(g)),
         zone: u16::arbitrary(g),
-        drains: bool::arbitrary(g),
+        draining: bool::arbitrary(g),
         weight_milli: u32::arbitrary(g),
         started_s: u32::arbitrary(g),
     };
     match u8::arbitrary(g) % 5 {
         0 => Entry::Host(host),
-        1 => Entry::Route(Route { class: u16::arbitrary(g), repeat }),
+        1 => Entry::Route(Route { class: u16::arbitrary(g), retry_policy: repeat }),
         2 => Entry::Quota(u32::arbitrary(g)),
-        3 => Entry::Repeat(repeat),
+        3 => Entry::RetryPolicy(repeat),
         _ => Entry::Zone(bool::arbitrary(g)),
     }
 }
@@ -94,7 +94,7 @@
         }
         sum.join(digest);
     }
-    assert_eq!(tables.sum(), sum);
+    assert_eq!(tables.total_digest(), sum);
     let scopes: Vec<Scope> = SCOPES.into_iter().filter(|scope| tables.len(*scope) > 0).collect();
     assert_eq!(tables.scopes().collect::<Vec<_>>(), scopes);
     assert_eq!(tables.is_empty(), map.is_empty());
@@ -116,15 +116,15 @@
                 assert_eq!(tables.get(*scope, *key), map.get(&(*scope, *key)).copied());
             }
         }
-        SCOPES.into_iter().for_each(|scope| tables.forget(scope));
-        tables.is_empty() && tables.bytes() == 0
+        SCOPES.into_iter().for_each(|scope| tables.remove_scope(scope));
+        tables.is_empty() && tables.memory_bytes() == 0
     }
 
     fn a_snapshot_comes_back(steps: Vec<Step>, known: u64) -> bool {
         let snapshot = snapshot(&steps, known);
         let back = Snapshot::decode(&snapshot.encode().expect("bytes")).expect("a snapshot");
         let digests = |s: &Snapshot| SCOPES.map(|scope| s.tables.digest(scope));
-        back == snapshot && digests(&back) == digests(&snapshot) && back.tables.bytes() <= snapshot.tables.bytes()
+        back == snapshot && digests(&back) == digests(&snapshot) && back.tables.memory_bytes() <= snapshot.tables.memory_bytes()
     }
 
     fn a_cut_snapshot_is_refused(steps: Vec<Step>, at: usize) -> bool {
@@ -164,7 +164,7 @@
 }
 
 fn framed(content: &[u8]) -> Vec<u8> {
-    let mut whole = [&MARK[..], &[FORMAT]].concat();
+    let mut whole = [&MAGIC[..], &[FORMAT_VERSION]].concat();
     whole.extend(crc32fast::hash(content).to_be_bytes());
     whole.extend(content);
     whole
@@ -202,22 +202,22 @@
     }
     let more = [&content[..], &[0]].concat();
     assert!(
-        matches!(Snapshot::decode(&framed(&more)), Err(Unreadable::Content(what)) if what == "1 bytes too many")
+        matches!(Snapshot::decode(&framed(&more)), Err(SnapshotError::Content(what)) if what == "1 bytes too many")
     );
     // A length of 2^62 entries with nothing behind it takes no memory.
     let long = [&content[..2], &[1, 4, 1], &[0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0x3f]].concat();
-    assert!(matches!(Snapshot::decode(&framed(&long)), Err(Unreadable::Content(_))));
+    assert!(matches!(Snapshot::decode(&framed(&long)), Err(SnapshotError::Content(_))));
 }
 
 #[test]
 fn a_snapshot_that_is_refused_says_what_was_expected() {
     let bytes = snapshot(&[], 9).encode().expect("bytes");
     let told = |bytes: &[u8]| Snapshot::decode(bytes).expect_err("refused").to_string();
-    assert_eq!(told(&bytes[..HEADER - 1]), "a snapshot of 8 bytes, expected 9 at least");
+    assert_eq!(told(&bytes[..HEADER_BYTES - 1]), "a snapshot of 8 bytes, expected 9 at least");
     assert_eq!(told(b"{\"hosts\": []}"), "not a snapshot: expected it to begin with \"tern\"");
     assert_eq!(told(b"tern\x07and more"), "a snapshot of format 7, expected 1");
     let mut other = bytes.clone();
-    other[HEADER] ^= 1;
+    other[HEADER_BYTES] ^= 1;
     assert!(told(&other).starts_with("a snapshot whose bytes sum up to "), "{}", told(&other));
 }
 
@@ -241,22 +241,22 @@
     let keys: Vec<Key> = (0..5000).map(|_| Key(rng.random())).collect();
     let scope = Scope::Tenants(1);
     tables.set(scope, Key(1), 1, Some(Entry::Quota(1)));
-    let around = tables.bytes() - 12;
+    let around = tables.memory_bytes() - 12;
     tables.set(scope, Key(1), 1, None);
-    assert_eq!(tables.bytes(), 0);
+    assert_eq!(tables.memory_bytes(), 0);
     for (n, key) in keys.iter().enumerate() {
         tables.set(scope, *key, 1, Some(Entry::Quota(1)));
-        let bytes = tables.bytes() - around;
+        let bytes = tables.memory_bytes() - around;
         assert!(bytes >= 12 * (n + 1) && bytes <= 12 * (n + 1 + n / 16), "{bytes} for {n}");
     }
     let bytes = Snapshot { known: 1, in_force: 1, tables: tables.clone() }.encode().expect("bytes");
     let read = Snapshot::decode(&bytes).expect("a snapshot").tables;
-    assert_eq!(read.bytes() - around, 12 * 5000);
+    assert_eq!(read.memory_bytes() - around, 12 * 5000);
     for (n, key) in keys.iter().enumerate().take(4999) {
         tables.set(scope, *key, 1, None);
-        let (bytes, left) = (tables.bytes() - around, 4999 - n);
+        let (bytes, left) = (tables.memory_bytes() - around, 4999 - n);
         assert!(bytes >= 12 * left && bytes <= 12 * (left + 2 * (left / 16 + 1)), "{bytes} for {left}");
     }
-    tables.forget(scope);
-    assert_eq!(tables.bytes(), 0);
+    tables.remove_scope(scope);
+    assert_eq!(tables.memory_bytes(), 0);
 }
--- a/replication/tests/wire.rs
+++ b/replication/tests/wire.rs
@@ -1,11 +1,12 @@
 //! The bytes of what followers and grantors send each other: every message comes back as it was, and no others do.
 use quickcheck::{quickcheck, Arbitrary, Gen};
 use std::net::{Ipv4Addr, SocketAddrV4};
-use ternstack_replication::scope::{stricter, Change, Digest, Entry, Host, Key, Route, Scope, Version};
-use ternstack_replication::version::Repeat;
+use ternstack_replication::rules::RetryPolicy;
+use ternstack_replication::scope::{stricter, Change, ChangeSet, Digest, Entry, Host, Key, Route, Scope};
 use ternstack_replication::wire::{
-    decode, encode, Ask, Causes, Counts, Cursor, Grant, Interest, Malformed, Member, Message, Part, Status,
-    Tally, FORMAT, HEADER, LONGEST,
+    decode, encode, ChunkEntry, Cursor, FrameError, Member, Message, PollRequest, PollResponse, ScopeChunk,
+    Status, Subscription, Traffic, TrafficByCause, TrafficCount, FORMAT_VERSION, HEADER_BYTES,
+    MAX_FRAME_BYTES,
 };
 
 #[derive(Clone, Debug)]
@@ -18,20 +19,20 @@
 }
 
 fn entry(g: &mut Gen) -> Entry {
-    let repeat = *g.choose(&[Repeat::Never, Repeat::Within(9), Repeat::Always]).expect("one");
+    let repeat = *g.choose(&[RetryPolicy::Never, RetryPolicy::Within(9), RetryPolicy::Always]).expect("one");
     let host = Host {
         address: SocketAddrV4::new(Ipv4Addr::from(u32::arbitrary(g)), u16::arbitrary(g)),
         zone: u16::arbitrary(g),
-        drains: bool::arbitrary(g),
+        draining: bool::arbitrary(g),
         weight_milli: u32::arbitrary(g),
         started_s: u32::arbitrary(g),
     };
-    let route = Route { class: u16::arbitrary(g), repeat };
+    let route = Route { class: u16::arbitrary(g), retry_policy: repeat };
     let all = [
         Entry::Host(host),
         Entry::Route(route),
         Entry::Quota(u32::arbitrary(g)),
-        Entry::Repeat(repeat),
+        Entry::RetryPolicy(repeat),
         Entry::Zone(bool::arbitrary(g)),
     ];
     *g.choose(&all).expect("one")
@@ -45,27 +46,27 @@
     (0..u8::arbitrary(g) % 5).map(|_| one(g)).collect()
 }
 
-fn ask(g: &mut Gen) -> Ask {
+fn poll_request(g: &mut Gen) -> PollRequest {
     let revision = u64::arbitrary(g);
     let interest = match u8::arbitrary(g) % 4 {
-        0 => Interest::Same { revision },
-        1 => Interest::Changed {
+        0 => Subscription::Unchanged { generation: revision },
+        1 => Subscription::Delta {
             from: u64::arbitrary(g),
-            revision,
-            more: several(g, scope),
-            fewer: several(g, scope),
+            generation: revision,
+            added: several(g, scope),
+            removed: several(g, scope),
         },
-        2 => Interest::Whole { revision, scopes: several(g, scope) },
-        _ => Interest::Everything { revision },
+        2 => Subscription::Complete { generation: revision, scopes: several(g, scope) },
+        _ => Subscription::AllScopes { generation: revision },
     };
-    Ask {
+    PollRequest {
         member: Member { name: String::arbitrary(g), incarnation: u64::arbitrary(g) },
-        number: u64::arbitrary(g),
-        heard: u64::arbitrary(g),
+        sequence: u64::arbitrary(g),
+        acknowledged: u64::arbitrary(g),
         known: u64::arbitrary(g),
         in_force: u64::arbitrary(g),
-        interest,
-        fetch: several(g, |g| (scope(g), Cursor { changed: u64::arbitrary(g), key: u64::arbitrary(g) })),
+        subscription: interest,
+        fetch: several(g, |g| (scope(g), Cursor { revision: u64::arbitrary(g), key: u64::arbitrary(g) })),
     }
 }
 
@@ -73,9 +74,9 @@
     Change { scope: scope(g), key: Key(u64::arbitrary(g)), entry: some(g) }
 }
 
-fn causes(g: &mut Gen) -> Causes {
-    let mut tally = || Tally { messages: u64::arbitrary(g), bytes: u64::arbitrary(g) };
-    Causes { asks: tally(), leases: tally(), changes: tally(), starts: tally(), staff: tally() }
+fn causes(g: &mut Gen) -> TrafficByCause {
+    let mut tally = || TrafficCount { messages: u64::arbitrary(g), bytes: u64::arbitrary(g) };
+    TrafficByCause { polls: tally(), leases: tally(), changes: tally(), fetches: tally(), admin: tally() }
 }
 
 fn status(g: &mut Gen) -> Status {
@@ -83,28 +84,32 @@
         name: String::arbitrary(g),
         in_force: u64::arbitrary(g),
         through: u64::arbitrary(g),
-        sum: Digest(u128::arbitrary(g)),
+        digest: Digest(u128::arbitrary(g)),
         followers: u64::arbitrary(g),
         lease_ms: Option::arbitrary(g),
-        counts: Counts { read: causes(g), written: causes(g) },
+        traffic: Traffic { read: causes(g), written: causes(g) },
     }
 }
 
-fn grant(g: &mut Gen) -> Grant {
-    Grant {
-        number: u64::arbitrary(g),
-        interest: u64::arbitrary(g),
+fn poll_response(g: &mut Gen) -> PollResponse {
+    PollResponse {
+        sequence: u64::arbitrary(g),
+        generation: u64::arbitrary(g),
         lease_us: u64::arbitrary(g),
         in_force: u64::arbitrary(g),
         through: u64::arbitrary(g),
-        parts: several(g, |g| Part {
+        chunks: several(g, |g| ScopeChunk {
             scope: scope(g),
-            anew: bool::arbitrary(g),
-            entries: several(g, |g| (u64::arbitrary(g), Key(u64::arbitrary(g)), some(g))),
-            whole: bool::arbitrary(g).then(|| Digest(u128::arbitrary(g))),
+            restart: bool::arbitrary(g),
+            entries: several(g, |g| ChunkEntry {
+                revision: u64::arbitrary(g),
+                key: Key(u64::arbitrary(g)),
+                entry: some(g),
+            }),
+            complete: bool::arbitrary(g).then(|| Digest(u128::arbitrary(g))),
         }),
-        behind: several(g, scope),
-        pending: several(g, |g| Version { number: u64::arbitrary(g), changes: several(g, change) }),
+        stale: several(g, scope),
+        pending: several(g, |g| ChangeSet { revision: u64::arbitrary(g), changes: several(g, change) }),
     }
 }
 
@@ -112,11 +117,11 @@
     fn arbitrary(g: &mut Gen) -> Self {
         let number = u64::arbitrary(g);
         Any(match u8::arbitrary(g) % 6 {
-            0 => Message::Ask(ask(g)),
-            1 => Message::Grant(grant(g)),
-            2 => Message::Propose { number, changes: several(g, change) },
-            3 => Message::Proposed { number, version: Result::arbitrary(g) },
-            4 => Message::Look,
+            0 => Message::PollRequest(poll_request(g)),
+            1 => Message::PollResponse(poll_response(g)),
+            2 => Message::Propose { proposal_id: number, changes: several(g, change) },
+            3 => Message::Proposed { proposal_id: number, revision: Result::arbitrary(g) },
+            4 => Message::GetStatus,
             _ => Message::Status(status(g)),
         })
     }
@@ -149,8 +154,8 @@
 
     fn random_bytes_never_panic(bytes: Vec<u8>) -> bool {
         // A length, a format and a checksum that fit, before content that does not.
-        let mut framed = ((bytes.len() + HEADER - 4) as u32).to_be_bytes().to_vec();
-        framed.push(FORMAT);
+        let mut framed = ((bytes.len() + HEADER_BYTES - 4) as u32).to_be_bytes().to_vec();
+        framed.push(FORMAT_VERSION);
         framed.extend(crc32fast::hash(&bytes).to_be_bytes());
         framed.extend(&bytes);
         let content = match decode(&framed) {
@@ -173,30 +178,31 @@
 
 #[test]
 fn lengths_and_formats_out_of_bounds_are_told_before_the_rest_has_come() {
-    let long = ((LONGEST - 3) as u32).to_be_bytes();
-    assert_eq!(decode(&long), Err(Malformed::Length(LONGEST + 1)));
-    assert_eq!(decode(&4u32.to_be_bytes()), Err(Malformed::Length(8)));
-    assert_eq!(decode(&[0, 0, 0, 9, FORMAT + 1]), Err(Malformed::Format(FORMAT + 1)));
-    let words = Malformed::Format(9).to_string();
+    let long = ((MAX_FRAME_BYTES - 3) as u32).to_be_bytes();
+    assert_eq!(decode(&long), Err(FrameError::Length(MAX_FRAME_BYTES + 1)));
+    assert_eq!(decode(&4u32.to_be_bytes()), Err(FrameError::Length(8)));
+    assert_eq!(decode(&[0, 0, 0, 9, FORMAT_VERSION + 1]), Err(FrameError::Format(FORMAT_VERSION + 1)));
+    let words = FrameError::Format(9).to_string();
     assert!(words.contains("format 9") && words.contains("expected 1"), "{words}");
 }
 
 #[test]
 fn a_message_past_the_longest_frame_is_not_written() {
     let mut bytes = Vec::new();
-    let entries = vec![(u64::MAX, Key(u64::MAX), None); LONGEST / 20];
-    let part = Part { scope: Scope::Zones, anew: true, entries, whole: None };
-    let grant = Grant {
-        number: 1,
-        interest: 1,
+    let entries =
+        vec![ChunkEntry { revision: u64::MAX, key: Key(u64::MAX), entry: None }; MAX_FRAME_BYTES / 20];
+    let part = ScopeChunk { scope: Scope::Zones, restart: true, entries, complete: None };
+    let grant = PollResponse {
+        sequence: 1,
+        generation: 1,
         lease_us: 1,
         in_force: 1,
         through: 1,
-        parts: vec![part],
-        behind: vec![],
+        chunks: vec![part],
+        stale: vec![],
         pending: vec![],
     };
-    assert!(matches!(encode(&Message::Grant(grant), &mut bytes), Err(Malformed::Length(_))));
+    assert!(matches!(encode(&Message::PollResponse(grant), &mut bytes), Err(FrameError::Length(_))));
     assert!(bytes.is_empty());
 }
 
@@ -204,10 +210,10 @@
 fn a_host_that_two_versions_place_differently_takes_no_work_by_the_stricter() {
     let host = |port, drains| {
         let address = SocketAddrV4::new(Ipv4Addr::LOCALHOST, port);
-        Some(Entry::Host(Host { address, zone: 1, drains, weight_milli: 1000, started_s: 0 }))
+        Some(Entry::Host(Host { address, zone: 1, draining: drains, weight_milli: 1000, started_s: 0 }))
     };
     let serves = |a, b| match stricter(Scope::Hosts(1), a, b) {
-        Some(Entry::Host(host)) => !host.drains,
+        Some(Entry::Host(host)) => !host.draining,
         _ => false,
     };
     assert!(serves(host(1, false), host(1, false)));
@@ -218,7 +224,8 @@
 
 #[test]
 fn a_digest_is_the_same_whatever_the_order_and_comes_back_when_entries_go() {
-    let put = |digest: &mut Digest, n: u32| digest.add(Scope::Tenants(1), Key::numbered(n), &Entry::Quota(n));
+    let put =
+        |digest: &mut Digest, n: u32| digest.add(Scope::Tenants(1), Key::from_number(n), &Entry::Quota(n));
     let (mut a, mut b) = (Digest::default(), Digest::default());
     (0..9).for_each(|n| put(&mut a, n));
     (0..9).rev().for_each(|n| put(&mut b, n));
@@ -226,7 +233,7 @@
     let before = a;
     put(&mut a, 77);
     assert_ne!(a, before);
-    a.remove(Scope::Tenants(1), Key::numbered(77), &Entry::Quota(77));
+    a.remove(Scope::Tenants(1), Key::from_number(77), &Entry::Quota(77));
     assert_eq!(a, before);
     assert_eq!(Key::of("acme"), Key::of("acme"));
     assert_ne!(Scope::of_tenant(Key(1)), Scope::of_tenant(Key(2)));
--- a/scale-tests/src/before.rs
+++ b/scale-tests/src/before.rs
@@ -1,10 +1,10 @@
-//! What one change costs when a version is the whole state ([`ternstack_replication::version`]), at the size of a plan, and
+//! What one change costs when a version is the whole state ([`ternstack_replication::rules`]), at the size of a plan, and
 //! what it costs as a change ([`ternstack_replication::scope`]).
 use crate::world::World;
 use serde::{Deserialize, Serialize};
 use std::time::Instant;
+use ternstack_replication::rules::{conflicts, Host, RetryPolicy, Rules};
 use ternstack_replication::scope::{Digest, Entry};
-use ternstack_replication::version::{contradictions, Host, Repeat, Rules};
 
 /// The cost of one change of one quota.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
@@ -35,16 +35,16 @@
     }
     for n in 0..world.size.hosts as u32 {
         let address = world.host(n).2.address.to_string();
-        rules.hosts.insert(format!("host-{n}"), Host { address, drains: false });
+        rules.hosts.insert(format!("host-{n}"), Host { address, draining: false });
     }
     for n in 0..7 {
-        rules.classes.insert(format!("class-{n}"), Repeat::Within(800));
+        rules.classes.insert(format!("class-{n}"), RetryPolicy::Within(800));
     }
     let bytes = serde_json::to_vec(&rules).map_or(0, |b| b.len() as u64);
     let (digest_ms, _) = ms(|| rules.digest());
     let (look_ms, mut other) = ms(|| rules.clone());
     other.quotas.insert("tenant-0".into(), 1);
-    let (contradictions_ms, _) = ms(|| contradictions(&rules, &other));
+    let (contradictions_ms, _) = ms(|| conflicts(&rules, &other));
     let (scope, key) = world.tenant(0);
     let mut digest = Digest::default();
     const TIMES: u32 = 1000;
--- a/scale-tests/src/fleet.rs
+++ b/scale-tests/src/fleet.rs
@@ -13,10 +13,10 @@
 use ternstack_control_plane::beside::save;
 use ternstack_fault_tests::links::{Faults, Link};
 use ternstack_fault_tests::process::Launch;
-use ternstack_replication::placing;
-use ternstack_replication::scope::{Digest, Key, Number, Scope};
+use ternstack_replication::placement;
+use ternstack_replication::scope::{Digest, Key, Revision, Scope};
 use ternstack_replication::snapshot::Snapshot;
-use ternstack_replication::store::Keeps;
+use ternstack_replication::store::Storage;
 use ternstack_replication::tables::Tables;
 use ternstack_replication::wire::{decode, encode, Message, Status};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
@@ -128,8 +128,9 @@
     fn machines_for(&self, world: &World, gateway: usize) -> (Vec<MachineAt>, Vec<usize>) {
         let at = world.zone_of(gateway);
         let machines = self.machines_of(world, world.region_of(at));
-        let all: Vec<placing::Machine> = machines.iter().map(crate::hollow::placed).collect();
-        let order = placing::order(&hollow(gateway), &zone(at), &region(world.region_of(at)), &all);
+        let all: Vec<placement::ReplicaLocation> = machines.iter().map(crate::hollow::placed).collect();
+        let order =
+            placement::preference_order(&hollow(gateway), &zone(at), &region(world.region_of(at)), &all);
         (machines, order)
     }
 
@@ -196,9 +197,9 @@
     }
 
     /// How it is at the hollow gateways, of all together; `versions` with the time of their proposal.
-    pub async fn report(&mut self, versions: &[(Number, u64)]) -> Result<Report, String> {
+    pub async fn report(&mut self, versions: &[(Revision, u64)]) -> Result<Report, String> {
         let told = self.order(&Order::Report(versions.to_vec()), false).await?;
-        let mut all = Report { least: Number::MAX, ..Report::default() };
+        let mut all = Report { least: Revision::MAX, ..Report::default() };
         for told in told {
             let Told::Report(one) = told else { return Err("hollows: told no report".into()) };
             all.followers += one.followers;
@@ -217,7 +218,9 @@
     }
 
     /// The same of the followers of everything; `None` where there are none.
-    pub async fn report_everything(&mut self, versions: &[(Number, u64)]) -> Result<Option<Report>, String> {
+    pub async fn report_everything(
+        &mut self, versions: &[(Revision, u64)],
+    ) -> Result<Option<Report>, String> {
         let Some(part) = &mut self.everything else { return Ok(None) };
         match part.order(&Order::Report(versions.to_vec())).await? {
             Told::Report(report) => Ok(Some(*report)),
@@ -226,8 +229,8 @@
     }
 
     /// From when to when anybody acted on each version.
-    pub async fn spans(&mut self) -> Result<BTreeMap<Number, Span>, String> {
-        let mut all: BTreeMap<Number, Span> = BTreeMap::new();
+    pub async fn spans(&mut self) -> Result<BTreeMap<Revision, Span>, String> {
+        let mut all: BTreeMap<Revision, Span> = BTreeMap::new();
         for told in self.order(&Order::Spans, true).await? {
             let Told::Spans(spans) = told else { return Err("hollows: told no spans".into()) };
             for (number, span) in spans {
@@ -299,7 +302,7 @@
     let asking = async {
         let mut stream = TcpStream::connect(at).await.map_err(|e| e.to_string())?;
         let mut bytes = Vec::new();
-        encode(&Message::Look, &mut bytes).map_err(|e| e.to_string())?;
+        encode(&Message::GetStatus, &mut bytes).map_err(|e| e.to_string())?;
         stream.write_all(&bytes).await.map_err(|e| e.to_string())?;
         let mut buffer = Vec::new();
         loop {
@@ -320,16 +323,16 @@
 
 impl Traffic {
     /// What a control machine counted.
-    pub fn of(counts: &ternstack_replication::wire::Counts) -> Traffic {
-        let sums = |causes: &ternstack_replication::wire::Causes| {
+    pub fn of(counts: &ternstack_replication::wire::Traffic) -> Traffic {
+        let sums = |causes: &ternstack_replication::wire::TrafficByCause| {
             let all = [
-                ("asks", causes.asks),
+                ("asks", causes.polls),
                 ("leases", causes.leases),
                 ("changes", causes.changes),
-                ("starts", causes.starts),
-                ("staff", causes.staff),
+                ("starts", causes.fetches),
+                ("staff", causes.admin),
             ];
-            let sum = |tally: ternstack_replication::wire::Tally| crate::traffic::Sum {
+            let sum = |tally: ternstack_replication::wire::TrafficCount| crate::traffic::Sum {
                 messages: tally.messages as f64,
                 bytes: tally.bytes as f64,
             };
--- a/scale-tests/src/hollow.rs
+++ b/scale-tests/src/hollow.rs
@@ -14,18 +14,18 @@
 use std::time::Duration;
 use ternstack_control_plane::follow::{Beside, Follow, Following, Machine, Told as Heard};
 use ternstack_control_plane::serve;
-use ternstack_replication::distributor::Distributor;
-use ternstack_replication::follower::{Acting, News};
-use ternstack_replication::origin::Origin;
-use ternstack_replication::placing;
+use ternstack_replication::follower::{FollowerEvent, ScopeMode};
+use ternstack_replication::placement;
+use ternstack_replication::primary::Primary;
+use ternstack_replication::replica::Replica;
 use ternstack_replication::scope::{Digest, Entry, Key, Scope};
-use ternstack_replication::store::{Keeps, Store};
+use ternstack_replication::store::{Storage, Store};
 use ternstack_replication::wire::Member;
 use tokio::sync::mpsc;
 
 /// A distributor, as the choice among them sees it.
-pub fn placed(machine: &MachineAt) -> placing::Machine {
-    placing::Machine {
+pub fn placed(machine: &MachineAt) -> placement::ReplicaLocation {
+    placement::ReplicaLocation {
         name: machine.name.clone(),
         zone: machine.zone.clone(),
         region: machine.region.clone(),
@@ -94,10 +94,10 @@
             for (scope, key, entry) in World::draw(common.size)?.entries() {
                 store.load(scope, key, 1, Some(entry));
             }
-            store.in_force(1);
+            store.advance_to(1);
             let listener = bind(SocketAddr::from(([127, 0, 0, 1], 0))).await?;
             let at = local(&listener)?;
-            let machine = serve::Machine::<Origin>::origin("origin", common.terms, store);
+            let machine = serve::Machine::<Primary>::origin("origin", common.terms, store);
             tokio::spawn(machine.run(listener));
             at
         }
@@ -105,7 +105,7 @@
             let listener = bind(*listen).await?;
             let at = local(&listener)?;
             let member = Member { name: name.clone(), incarnation: now_us() };
-            let machine = serve::Machine::<Distributor>::distributor(member, common.terms);
+            let machine = serve::Machine::<Replica>::distributor(member, common.terms);
             tokio::spawn(machine.run(listener, vec![*origin], common.terms));
             at
         }
@@ -138,9 +138,11 @@
         match heard {
             Heard::Leased => self.track.leased(at_us),
             Heard::LeaseLost => self.track.lost(at_us),
-            Heard::News(News::InForce(number)) => self.track.in_force(at_us, number),
-            Heard::News(News::Whole(scope)) => drop(self.missing.remove(&scope)),
-            Heard::News(News::Behind(scope) | News::Anew(scope)) => drop(self.missing.insert(scope)),
+            Heard::News(FollowerEvent::InForce(number)) => self.track.in_force(at_us, number),
+            Heard::News(FollowerEvent::Complete(scope)) => drop(self.missing.remove(&scope)),
+            Heard::News(FollowerEvent::Stale(scope) | FollowerEvent::Restarted(scope)) => {
+                self.missing.insert(scope);
+            }
             Heard::News(_) => {}
         }
         if self.missing.is_empty() && self.track.number() > 0 {
@@ -294,7 +296,8 @@
         let mut report = Report { least: u64::MAX, ..Report::default() };
         for seat in &self.seats {
             let following = &seat.life.following;
-            let (whole, bytes) = following.with(|core, _| (core.is_complete(), core.keeps().bytes()));
+            let (whole, bytes) =
+                following.with(|core, _| (core.is_complete(), core.storage().memory_bytes()));
             let kept = lock(&seat.life.kept);
             report.followers += 1;
             report.whole += u64::from(whole);
@@ -320,8 +323,8 @@
         let mut all: HashMap<(Scope, Digest), u64> = HashMap::new();
         for seat in &self.seats {
             seat.life.following.with(|core, _| {
-                for (scope, _) in core.whole() {
-                    *all.entry((scope, core.keeps().digest(scope))).or_insert(0) += 1;
+                for (scope, _) in core.complete_scopes() {
+                    *all.entry((scope, core.storage().digest(scope))).or_insert(0) += 1;
                 }
             });
         }
@@ -333,12 +336,12 @@
         let (mut asked, mut still) = (0, 0);
         for seat in &self.seats {
             let following = &seat.life.following;
-            if following.acting(scope) == Acting::Unknown {
+            if following.acting(scope) == ScopeMode::Unknown {
                 continue;
             }
             asked += 1;
             let entry = following.entry(scope, key);
-            still += u64::from(matches!(entry, Some(Entry::Host(host)) if !host.drains));
+            still += u64::from(matches!(entry, Some(Entry::Host(host)) if !host.draining));
         }
         Told::Probe { asked, still }
     }
--- a/scale-tests/src/judge.rs
+++ b/scale-tests/src/judge.rs
@@ -2,8 +2,8 @@
 use crate::record::Span;
 use serde::Serialize;
 use std::collections::BTreeMap;
-use ternstack_replication::lease::Terms;
-use ternstack_replication::scope::{Digest, Number, Scope};
+use ternstack_replication::lease::LeaseConfig;
+use ternstack_replication::scope::{Digest, Revision, Scope};
 
 /// Who follows a scope and has it whole at the end, by what they hold.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -37,7 +37,7 @@
     /// Followers that should be whole at the end, and those that are, at the origin's version.
     pub followers: (u64, u64),
     /// From when to when anybody acted on each version.
-    pub spans: BTreeMap<Number, Span>,
+    pub spans: BTreeMap<Revision, Span>,
     /// How often anybody acted on an older version than before.
     pub went_back: u64,
     /// Drains that were told and looked after.
@@ -79,7 +79,7 @@
 
 /// The longest time, in us, for which two acted on different versions: from the first act on a later version to the last
 /// on this one. 0 where that never was.
-pub fn longest_contradiction(spans: &BTreeMap<Number, Span>) -> (Number, u64) {
+pub fn longest_contradiction(spans: &BTreeMap<Revision, Span>) -> (Revision, u64) {
     let mut worst = (0, 0);
     let mut later = u64::MAX;
     for (number, span) in spans.iter().rev() {
@@ -93,7 +93,7 @@
 }
 
 /// All offences.
-pub fn judge(evidence: &Evidence, terms: &Terms) -> Vec<Offence> {
+pub fn judge(evidence: &Evidence, terms: &LeaseConfig) -> Vec<Offence> {
     let mut found = Vec::new();
     let mut tell = |promise, words: String| found.push(Offence { promise, words });
     let (all, there) = evidence.followers;
@@ -111,8 +111,8 @@
         tell(Promise::NeverBack, format!("{} times an older version came into force", evidence.went_back));
     }
     let (number, longest_us) = longest_contradiction(&evidence.spans);
-    if longest_us as f64 / 1e3 > terms.contradiction_ms() {
-        let (ms, most) = (longest_us as f64 / 1e3, terms.contradiction_ms());
+    if longest_us as f64 / 1e3 > terms.max_conflict_ms() {
+        let (ms, most) = (longest_us as f64 / 1e3, terms.max_conflict_ms());
         let by = evidence.spans.get(&number).map_or(0, |span| span.last_by);
         let words = format!(
             "version {number} was acted on for {ms:.0} ms beside a later one, at last by gateway {by}; at most \
--- a/scale-tests/src/measure.rs
+++ b/scale-tests/src/measure.rs
@@ -80,7 +80,7 @@
         let mut distributors = Vec::new();
         for part in &fleet.distributors {
             let status = look(part.at).await?;
-            distributors.push((part.pid(), part.usage(), Traffic::of(&status.counts)));
+            distributors.push((part.pid(), part.usage(), Traffic::of(&status.traffic)));
         }
         let origin = look(fleet.origin.at).await?;
         let report = fleet.report(&[]).await?;
@@ -89,7 +89,7 @@
             report,
             everything: everything.and_then(|r| Some((fleet.everything.as_ref()?.usage(), r))),
             distributors,
-            origin: (fleet.origin.usage(), Traffic::of(&origin.counts)),
+            origin: (fleet.origin.usage(), Traffic::of(&origin.traffic)),
             hollows: fleet.hollows.iter().map(|p| (p.pid(), p.usage())).collect(),
             run: Usage::of(std::process::id()).unwrap_or_default(),
             machine: Machine::now(),
--- a/scale-tests/src/options.rs
+++ b/scale-tests/src/options.rs
@@ -2,7 +2,7 @@
 use crate::faults::Fault;
 use crate::world::Size;
 use std::path::PathBuf;
-use ternstack_replication::lease::Terms;
+use ternstack_replication::lease::LeaseConfig;
 
 /// A run: a fleet of hollow gateways before an installation that is drawn from a seed.
 #[derive(Clone, Debug, clap::Args)]
@@ -120,7 +120,7 @@
     /// Whether two real gateways run beside the fleet.
     pub real: bool,
     /// The leases' terms, with the bytes that a gateway may be sent.
-    pub terms: Terms,
+    pub terms: LeaseConfig,
 }
 
 /// 62,100 machines a day fail or are restarted, of 200,000, with three states each.
@@ -212,10 +212,10 @@
             everything: self.everything,
             real: self.real,
             per_process: self.per_process,
-            terms: Terms {
+            terms: LeaseConfig {
                 lease_ms: self.lease_ms,
                 bytes_per_s: f64::from(self.bytes_per_s),
-                ..Terms::default()
+                ..LeaseConfig::default()
             },
         })
     }
--- a/scale-tests/src/part.rs
+++ b/scale-tests/src/part.rs
@@ -11,8 +11,8 @@
 use std::process::Stdio;
 use std::time::Duration;
 use ternstack_fault_tests::process::Launch;
-use ternstack_replication::lease::Terms;
-use ternstack_replication::scope::{Digest, Key, Number, Scope};
+use ternstack_replication::lease::LeaseConfig;
+use ternstack_replication::scope::{Digest, Key, Revision, Scope};
 use tokio::io::{AsyncBufReadExt, AsyncWriteExt, BufReader, Lines};
 use tokio::process::{Child, ChildStdin, ChildStdout, Command};
 use tokio::time::timeout;
@@ -23,7 +23,7 @@
     /// The installation.
     pub size: Size,
     /// The leases' terms, with the bytes that a gateway may be sent.
-    pub terms: Terms,
+    pub terms: LeaseConfig,
 }
 
 /// A distributor, as a follower is told of it.
@@ -94,7 +94,7 @@
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub enum Order {
     /// Tell how it is, and of these versions, with the time of their proposal in us.
-    Report(Vec<(Number, u64)>),
+    Report(Vec<(Revision, u64)>),
     /// Start some anew.
     Restart {
         /// Of so many, one.
@@ -120,7 +120,7 @@
     /// How it is.
     Report(Box<Report>),
     /// From when to when each version was acted on.
-    Spans(Vec<(Number, Span)>),
+    Spans(Vec<(Revision, Span)>),
     /// What scopes sum up to, with how many hold it so; only of followers that have them whole.
     Holdings(Vec<(Scope, Digest, u64)>),
     /// How many were asked, and how many of them give the host new work.
@@ -142,7 +142,7 @@
     /// Those that hold a lease now.
     pub leased: u64,
     /// The least version in force at any.
-    pub least: Number,
+    pub least: Revision,
     /// Times from the begin of a life until all was whole, over the lives since the last restart.
     pub start: crate::hist::Times,
     /// The versions asked about.
--- a/scale-tests/src/proposer.rs
+++ b/scale-tests/src/proposer.rs
@@ -5,7 +5,7 @@
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
-use ternstack_replication::scope::{Change, Digest, Entry, Key, Number, Scope};
+use ternstack_replication::scope::{Change, Digest, Entry, Key, Revision, Scope};
 use ternstack_replication::wire::{decode, encode, Message};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::tcp::{OwnedReadHalf, OwnedWriteHalf};
@@ -17,12 +17,12 @@
 #[derive(Debug, Default)]
 pub struct Log {
     /// The version that each accepted proposal is part of, and when it was proposed, in us. In order.
-    pub accepted: Vec<(Number, u64)>,
+    pub accepted: Vec<(Revision, u64)>,
     /// What the accepted changes leave under each key.
     pub left: BTreeMap<(Scope, Key), Option<Entry>>,
     /// Why proposals were refused.
     pub refused: Vec<String>,
-    open: VecDeque<(u64, u64, Vec<Change>)>, // Number, when, what.
+    open: VecDeque<(u64, u64, Vec<Change>)>, // Revision, when, what.
 }
 
 /// Proposes to the origin, over a connection that is made anew where the origin has ended it as idle.
@@ -62,7 +62,7 @@
         let number = self.number;
         self.log().open.push_back((number, now_us(), changes.clone()));
         let mut bytes = Vec::new();
-        encode(&Message::Propose { number, changes }, &mut bytes).map_err(|e| e.to_string())?;
+        encode(&Message::Propose { proposal_id: number, changes }, &mut bytes).map_err(|e| e.to_string())?;
         self.line().await?.write_all(&bytes).await.map_err(|e| format!("origin: {e}"))
     }
 
@@ -102,16 +102,16 @@
 
 impl Log {
     /// The last accepted version; 0 where there is none.
-    pub fn last(&self) -> Number {
+    pub fn last(&self) -> Revision {
         self.accepted.iter().map(|(number, _)| *number).max().unwrap_or(0)
     }
 
     /// The accepted versions that were proposed from `from_us` on, before `to_us`.
-    pub fn between(&self, from_us: u64, to_us: u64) -> Vec<(Number, u64)> {
+    pub fn between(&self, from_us: u64, to_us: u64) -> Vec<(Revision, u64)> {
         self.accepted.iter().copied().filter(|(_, at)| (from_us..to_us).contains(at)).collect()
     }
 
-    fn answered(&mut self, answer: u64, version: Result<Number, String>) {
+    fn answered(&mut self, answer: u64, version: Result<Revision, String>) {
         let Some(at) = self.open.iter().position(|(number, ..)| *number == answer) else { return };
         let Some((_, proposed_us, changes)) = self.open.remove(at) else { return };
         match version {
@@ -147,7 +147,7 @@
     while read.read_buf(&mut buffer).await.is_ok_and(|n| n > 0) {
         while let Ok(Some((message, used))) = decode(&buffer) {
             buffer.drain(..used);
-            if let Message::Proposed { number, version } = message {
+            if let Message::Proposed { proposal_id: number, revision: version } = message {
                 log.lock().unwrap_or_else(PoisonError::into_inner).answered(number, version);
             }
         }
--- a/scale-tests/src/real.rs
+++ b/scale-tests/src/real.rs
@@ -111,7 +111,7 @@
     }
 
     fn entry(&self, number: usize, address: SocketAddrV4, drains: bool, weight_milli: u32) -> Change {
-        let host = Host { address, zone: 0, drains, weight_milli, started_s: 0 };
+        let host = Host { address, zone: 0, draining: drains, weight_milli, started_s: 0 };
         let (scope, key) = (Scope::Hosts(self.service), Key::of(&format!("real-{number}")));
         Change { scope, key, entry: Some(Entry::Host(host)) }
     }
--- a/scale-tests/src/record.rs
+++ b/scale-tests/src/record.rs
@@ -2,12 +2,12 @@
 use crate::hist::Times;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
-use ternstack_replication::scope::Number;
+use ternstack_replication::scope::Revision;
 
 /// A follower acted on a version from one moment to another, in us.
 #[derive(Clone, Copy, Debug, PartialEq)]
 struct Period {
-    number: Number,
+    number: Revision,
     from_us: u64,
     to_us: u64,
 }
@@ -20,7 +20,7 @@
     over: Vec<Period>,
     /// Since when it has acted on the version that is in force here, if it holds a lease.
     since_us: Option<u64>,
-    in_force: Number,
+    in_force: Revision,
     went_back: u64,
     whole_us: Option<u64>,
 }
@@ -53,7 +53,7 @@
     }
 
     /// A version came into force here.
-    pub fn in_force(&mut self, at_us: u64, number: Number) {
+    pub fn in_force(&mut self, at_us: u64, number: Revision) {
         self.went_back += u64::from(number < self.in_force);
         let acts = self.since_us.is_some();
         self.lost(at_us);
@@ -105,7 +105,7 @@
     }
 
     /// The version it acts on; 0 where it acts on none.
-    pub fn number(&self) -> Number {
+    pub fn number(&self) -> Revision {
         self.since_us.map_or(0, |_| self.in_force)
     }
 
@@ -121,7 +121,7 @@
     }
 
     /// When this version or a later one was first acted on here.
-    fn reached(&self, number: Number) -> Option<u64> {
+    fn reached(&self, number: Revision) -> Option<u64> {
         let at = self.over.partition_point(|p| p.number < number);
         let open = || self.since_us.filter(|_| self.in_force >= number);
         self.over.get(at).map(|p| p.from_us).or_else(open)
@@ -129,7 +129,7 @@
 }
 
 /// From when to when anybody of these acted on each version; each with its gateway's number.
-pub fn spans<'a>(tracks: impl Iterator<Item = (usize, &'a Track)>, now_us: u64) -> BTreeMap<Number, Span> {
+pub fn spans<'a>(tracks: impl Iterator<Item = (usize, &'a Track)>, now_us: u64) -> BTreeMap<Revision, Span> {
     let mut all = BTreeMap::new();
     for (gateway, period) in tracks.flat_map(|(n, t)| t.periods(now_us).map(move |p| (n, p))) {
         let span = Span { first_us: period.from_us, last_us: period.to_us, last_by: gateway };
@@ -149,7 +149,7 @@
 
 impl Reached {
     /// Takes in the times from each `(version, proposed at)` to in force at one follower in one of its lives.
-    pub fn take(&mut self, track: &Track, versions: &[(Number, u64)]) {
+    pub fn take(&mut self, track: &Track, versions: &[(Revision, u64)]) {
         for (number, proposed_us) in versions {
             if track.began_us > *proposed_us {
                 continue;
--- a/scale-tests/src/run.rs
+++ b/scale-tests/src/run.rs
@@ -15,7 +15,7 @@
 use std::time::Duration;
 use ternstack_fault_tests::links::{Faults, Way};
 use ternstack_fault_tests::process::Launch;
-use ternstack_replication::scope::{Change, Entry, Key, Number, Scope};
+use ternstack_replication::scope::{Change, Entry, Key, Revision, Scope};
 use tokio::time::{sleep, sleep_until, Instant};
 
 /// The operators' bound on a change, in force everywhere: a drain that was told is obeyed within it.
@@ -158,7 +158,7 @@
         rows,
         drains,
         accepted,
-        contradiction_ms: (longest_us as f64 / 1e3, plan.terms.contradiction_ms()),
+        contradiction_ms: (longest_us as f64 / 1e3, plan.terms.max_conflict_ms()),
         before,
         real,
         real_drain,
@@ -179,7 +179,7 @@
             let mut behind = 0;
             for part in &self.fleet.distributors {
                 let status = look(part.at).await?;
-                behind += usize::from(status.sum != origin.sum || status.in_force != origin.in_force);
+                behind += usize::from(status.digest != origin.digest || status.in_force != origin.in_force);
             }
             if behind == 0 {
                 return Ok(());
@@ -255,7 +255,7 @@
         }
     }
 
-    async fn row(&mut self, name: &str, begin: &Mark, versions: &[(Number, u64)]) -> Result<Row, String> {
+    async fn row(&mut self, name: &str, begin: &Mark, versions: &[(Revision, u64)]) -> Result<Row, String> {
         let end = self.mark().await?;
         let mut row = Row::between(name, begin, &end, self.plan);
         if !versions.is_empty() {
@@ -288,7 +288,7 @@
         let number = self.drained % self.world.spared().min(self.world.hosts_of(0));
         self.drained += 1;
         let (scope, key, host) = self.world.host(number);
-        let entry = Some(Entry::Host(ternstack_replication::scope::Host { drains: true, ..host }));
+        let entry = Some(Entry::Host(ternstack_replication::scope::Host { draining: true, ..host }));
         self.staff.propose(vec![Change { scope, key, entry }]).await?;
         Ok((scope, key))
     }
@@ -349,7 +349,7 @@
 
     async fn zone(&mut self, serves: bool) -> Result<(), String> {
         let entry = Some(Entry::Zone(serves));
-        self.staff.propose(vec![Change { scope: Scope::Zones, key: Key::numbered(0), entry }]).await
+        self.staff.propose(vec![Change { scope: Scope::Zones, key: Key::from_number(0), entry }]).await
     }
 
     /// A fault with changes all through it, a drain in it, and what comes after it until all are there again.
@@ -430,7 +430,7 @@
             spans: self.fleet.spans().await?,
             ended: self.fleet.ended(),
             drains: Vec::new(),
-            origin_keeps_all: origin.sum == sum,
+            origin_keeps_all: origin.digest == sum,
             distributors_keep_all,
             ..Evidence::default()
         };
--- a/scale-tests/src/world.rs
+++ b/scale-tests/src/world.rs
@@ -4,8 +4,8 @@
 use serde::{Deserialize, Serialize};
 use std::collections::VecDeque;
 use std::net::{Ipv4Addr, SocketAddrV4};
-use ternstack_replication::scope::{Change, Entry, Host, Key, Route, Scope, TENANT_SCOPES};
-use ternstack_replication::version::Repeat;
+use ternstack_replication::rules::RetryPolicy;
+use ternstack_replication::scope::{Change, Entry, Host, Key, Route, Scope, TENANT_SCOPE_COUNT};
 
 /// How large an installation is.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
@@ -111,7 +111,7 @@
         let [a, b, c, d] = host.to_be_bytes();
         let address = SocketAddrV4::new(Ipv4Addr::new(10 + a, b, c, d), 8080);
         let zone = (host as usize % self.size.zones) as u16;
-        let entry = Host { address, zone, drains: false, weight_milli: 1000, started_s: 0 };
+        let entry = Host { address, zone, draining: false, weight_milli: 1000, started_s: 0 };
         (scope, Key::of(&format!("host-{host}")), entry)
     }
 
@@ -134,7 +134,7 @@
         });
         let routes = self.routes.iter().enumerate().flat_map(|(service, count)| {
             (0..*count).map(move |n| {
-                let route = Route { class: (n % 7) as u16, repeat: Repeat::Never };
+                let route = Route { class: (n % 7) as u16, retry_policy: RetryPolicy::Never };
                 (Scope::Routes(service as u32), Key::of(&format!("route-{service}-{n}")), Entry::Route(route))
             })
         });
@@ -142,9 +142,11 @@
             let (scope, key) = self.tenant(n);
             (scope, key, Entry::Quota(5 + (n % 50) as u32))
         });
-        let zones = (0..self.size.zones as u32).map(|z| (Scope::Zones, Key::numbered(z), Entry::Zone(true)));
-        let fleet = (0..7)
-            .map(|n| (Scope::Fleet, Key::of(&format!("class-{n}")), Entry::Repeat(Repeat::Within(800))));
+        let zones =
+            (0..self.size.zones as u32).map(|z| (Scope::Zones, Key::from_number(z), Entry::Zone(true)));
+        let fleet = (0..7).map(|n| {
+            (Scope::Fleet, Key::of(&format!("class-{n}")), Entry::RetryPolicy(RetryPolicy::Within(800)))
+        });
         hosts.chain(routes).chain(tenants).chain(zones).chain(fleet)
     }
 
@@ -171,8 +173,8 @@
             }
         }
         drawn.clear();
-        while drawn.len() < shards.min(TENANT_SCOPES as usize) {
-            let shard = rng.random_range(0..TENANT_SCOPES);
+        while drawn.len() < shards.min(TENANT_SCOPE_COUNT as usize) {
+            let shard = rng.random_range(0..TENANT_SCOPE_COUNT);
             if drawn.insert(shard) {
                 scopes.push(Scope::Tenants(shard));
             }
@@ -217,7 +219,7 @@
 
     /// A change of configuration: six in ten of a tenant's quota, three of a route, one of the whole fleet.
     pub fn configuration(&mut self) -> Change {
-        let repeat = Repeat::Within(self.rng.random_range(100..10_000));
+        let repeat = RetryPolicy::Within(self.rng.random_range(100..10_000));
         match self.rng.random_range(0..10) {
             0..6 => {
                 let (scope, key) = self.world.tenant(self.rng.random_range(0..self.world.size.tenants));
@@ -226,12 +228,12 @@
             6..9 => {
                 let service = self.world.drawn_service(&mut self.rng);
                 let n = self.rng.random_range(0..self.world.routes[service as usize]);
-                let entry = Some(Entry::Route(Route { class: (n % 7) as u16, repeat }));
+                let entry = Some(Entry::Route(Route { class: (n % 7) as u16, retry_policy: repeat }));
                 Change { scope: Scope::Routes(service), key: Key::of(&format!("route-{service}-{n}")), entry }
             }
             _ => {
                 let key = Key::of(&format!("class-{}", self.rng.random_range(0..7)));
-                Change { scope: Scope::Fleet, key, entry: Some(Entry::Repeat(repeat)) }
+                Change { scope: Scope::Fleet, key, entry: Some(Entry::RetryPolicy(repeat)) }
             }
         }
     }
@@ -253,7 +255,7 @@
         let (scope, key, mut entry) = self.world.host(host);
         let entry = match stage {
             Stage::Drains => {
-                entry.drains = true;
+                entry.draining = true;
                 self.underway.push_back((host, Stage::Gone));
                 Some(entry)
             }
--- a/scale-tests/tests/judge.rs
+++ b/scale-tests/tests/judge.rs
@@ -1,13 +1,13 @@
 //! The judge catches each planted offender, and holds nothing against a sound run.
 use std::collections::BTreeMap;
-use ternstack_replication::lease::Terms;
+use ternstack_replication::lease::LeaseConfig;
 use ternstack_replication::scope::{Digest, Entry, Key, Scope};
 use ternstack_scale_tests::judge::{judge, longest_contradiction, Drain, Evidence, Held, Promise};
 use ternstack_scale_tests::record::{spans, Reached, Track};
 
 /// Of these the judge takes the promise of 1,919 ms.
-fn terms() -> Terms {
-    Terms { lease_ms: 1900.0, drift: 0.01, ..Terms::default() }
+fn terms() -> LeaseConfig {
+    LeaseConfig { lease_ms: 1900.0, clock_drift_ratio: 0.01, ..LeaseConfig::default() }
 }
 
 /// What befalls a follower, at which ms.
@@ -33,7 +33,7 @@
 
 fn sound() -> Evidence {
     let mut digest = Digest::default();
-    digest.add(Scope::Zones, Key::numbered(1), &Entry::Zone(true));
+    digest.add(Scope::Zones, Key::from_number(1), &Entry::Zone(true));
     let tracks = [
         track(&[(0, Leased), (0, InForce(1)), (800, InForce(2))]),
         track(&[(100, Leased), (100, InForce(1)), (900, InForce(2))]),
@@ -64,7 +64,7 @@
 fn one_that_holds_another_state_is_caught() {
     let mut evidence = sound();
     let mut other = Digest::default();
-    other.add(Scope::Zones, Key::numbered(1), &Entry::Zone(false));
+    other.add(Scope::Zones, Key::from_number(1), &Entry::Zone(false));
     evidence.held.push(Held { scope: Scope::Zones, digest: other, followers: 1 });
     assert_eq!(broken(&evidence), [Promise::SameState]);
 }
--- a/scale-tests/tests/world.rs
+++ b/scale-tests/tests/world.rs
@@ -55,7 +55,7 @@
     for _ in 0..600 {
         let change = stream.host();
         assert!(!spared.contains(&change.key));
-        let drains = |e: &Option<Entry>| matches!(e, Some(Entry::Host(h)) if h.drains);
+        let drains = |e: &Option<Entry>| matches!(e, Some(Entry::Host(h)) if h.draining);
         let before = last.insert(change.key, change.entry);
         let step = match (&before, &change.entry) {
             (_, e) if drains(e) => 0,
