--- a/gateway/src/listener/request.rs
+++ b/gateway/src/listener/request.rs
@@ -50,7 +50,7 @@
         if !has_one_id || fields.get(CORRELATION_ID).is_none_or(<[u8]>::is_empty) {
             return Err(InvalidRequest::CorrelationId);
         }
-        let class = fields.text(SERVICE_CLASS).and_then(|name| self.site.names.class(name));
+        let class = fields.text(SERVICE_CLASS).and_then(|name| self.site.names.class_index(name));
         let class = class.ok_or(InvalidRequest::ServiceClass)?;
         let settings = &self.site.balancer.classes[class];
         // Without its key no server could drop a duplicate.
@@ -59,7 +59,7 @@
             return Err(InvalidRequest::MissingIdempotencyKey);
         }
         let time_left_ms = parse_time_left_ms(message, settings.deadline_ms)?;
-        let tenant = fields.text(TENANT).and_then(|name| self.site.names.tenant(name));
+        let tenant = fields.text(TENANT).and_then(|name| self.site.names.tenant_index(name));
         let id = self.next_request_id();
         // Its time runs since it arrived, which is earlier for pipelined requests and after a stall.
         let now = Instant::now();
