--- a/gateway/src/config.rs
+++ b/gateway/src/config.rs
@@ -30,13 +30,13 @@
     /// The seed of the random generator.
     pub seed: u64,
     /// The maximum number of open sockets.
-    pub sockets: usize,
+    pub max_sockets: usize,
     /// The cached endpoint list.
-    pub known: EndpointList,
+    pub cached_list: EndpointList,
     /// The settings.
     pub site: Site,
     /// The least severe level that is logged.
-    pub log: LevelFilter,
+    pub log_level: LevelFilter,
 }
 
 /// Why there is no configuration. The text names the faulty key or variable.
@@ -87,7 +87,7 @@
     Seed,
     /// The cached endpoint list is malformed.
     #[error("LB_CONFIG: known: {0}")]
-    Known(#[from] EndpointListError),
+    CachedList(#[from] EndpointListError),
     /// The settings cannot be worked with.
     #[error("LB_CONFIG: settings: {0}")]
     Settings(String),
@@ -147,18 +147,18 @@
     pub fn read(text: &str, variable: impl Fn(&str) -> Option<String>) -> Result<Self, ConfigError> {
         let file: Value = serde_json::from_str(text).map_err(ConfigError::Json)?;
         let source = Source { file: &file, variable: &variable };
-        let sockets = match file.pointer("/limits/sockets") {
+        let max_sockets = match file.pointer("/limits/sockets") {
             None | Some(Value::Null) => DEFAULT_SOCKET_COUNT,
             Some(value) => {
                 value.as_u64().filter(|count| *count >= MIN_SOCKET_COUNT).ok_or(ConfigError::Sockets)?
             }
         };
-        let known = match file.get("known") {
+        let cached_list = match file.get("known") {
             None | Some(Value::Null) => EndpointList::default(),
             Some(value) => EndpointList::from_value(value)?,
         };
         let settings = file.get("settings").ok_or(ConfigError::Missing { key: "settings" })?;
-        let log = match variable("LB_LOG") {
+        let log_level = match variable("LB_LOG") {
             None => LevelFilter::INFO,
             Some(level) => level.parse().map_err(|_| ConfigError::LogLevel(level))?,
         };
@@ -168,10 +168,10 @@
             listen: source.address("LB_LISTEN", "listen")?,
             discovery: source.address("LB_DISCOVERY", "discovery")?,
             seed: parse_seed(file.get("seed"))?,
-            sockets: usize::try_from(sockets).unwrap_or(usize::MAX),
-            known,
+            max_sockets: usize::try_from(max_sockets).unwrap_or(usize::MAX),
+            cached_list,
             site: ternstack_settings::read(settings).map_err(|e| ConfigError::Settings(e.to_string()))?,
-            log,
+            log_level,
         })
     }
 }
--- a/gateway/src/discovery/connection.rs
+++ b/gateway/src/discovery/connection.rs
@@ -1,7 +1,7 @@
 //! The connection to discovery, and the descriptor that is reserved for it.
 use super::WatchError;
 use crate::http1::{CompleteMessage, Reader, StatusLine};
-use crate::sockets::{self, has_no_route, is_local, opened, socket};
+use crate::sockets::{self, has_no_route, is_local, socket, with_nodelay};
 use std::io;
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -61,7 +61,7 @@
             Some(reserved) => reserved,
             None => socket(address)?,
         };
-        opened(timeout_at(deadline, socket.connect(address)).await?)
+        with_nodelay(timeout_at(deadline, socket.connect(address)).await?)
     }
 
     /// Sends a request and receives the response.
--- a/gateway/src/listener/accept.rs
+++ b/gateway/src/listener/accept.rs
@@ -2,7 +2,7 @@
 use super::connection::ClientConnection;
 use super::{Admission, ConnectionGuard, Frontend, ShutdownPhase};
 use crate::descriptors::AdmittedClient;
-use crate::sockets::{concerns_one_connection, lacks_descriptors, opened};
+use crate::sockets::{concerns_one_connection, lacks_descriptors, with_nodelay};
 use std::io;
 use std::sync::Arc;
 use std::time::Duration;
@@ -51,7 +51,7 @@
                 }
             };
             let arrived_at = *waiting_since.get_or_insert_with(|| self.lag.arrival());
-            match opened(accepted.map(|(stream, _)| stream)) {
+            match with_nodelay(accepted.map(|(stream, _)| stream)) {
                 Ok(stream) => {
                     if self.admit(stream, spare, arrived_at) {
                         // The evicted connection ends before the next is accepted, which keeps within the budget.
@@ -90,7 +90,7 @@
                 Err(_) => return,
             };
             let stream = stream.set_nonblocking(true).and_then(|()| TcpStream::from_std(stream));
-            match (opened(stream), self.spare.clone().try_acquire_owned()) {
+            match (with_nodelay(stream), self.spare.clone().try_acquire_owned()) {
                 (Ok(stream), Ok(spare)) => drop(self.admit(stream, spare, Instant::now())),
                 (Err(e), _) => debug!("cannot accept a connection: {e}"),
                 (_, Err(_)) => warn!("too many clients at shutdown; one gets no response"),
--- a/gateway/src/program/mod.rs
+++ b/gateway/src/program/mod.rs
@@ -111,7 +111,7 @@
     let (log, _guard) = NonBlockingBuilder::default()
         .buffered_lines_limit(MAX_BUFFERED_LOG_LINE_COUNT)
         .finish(std::io::stderr());
-    tracing_subscriber::fmt().with_max_level(config.log).with_ansi(false).with_writer(log).init();
+    tracing_subscriber::fmt().with_max_level(config.log_level).with_ansi(false).with_writer(log).init();
     match serve(config, control, signals).await {
         Ok(()) => ExitCode::SUCCESS,
         Err(e) => {
--- a/gateway/src/serve.rs
+++ b/gateway/src/serve.rs
@@ -94,7 +94,7 @@
     fn start(
         config: Config, control: Option<Control>, listener: TcpListener, discovery: DiscoveryAddress,
     ) -> Result<Self, ServeError> {
-        let Config { name, seed, sockets, known, site, .. } = config;
+        let Config { name, seed, max_sockets, cached_list, site, .. } = config;
         let address = listener.local_addr().map_err(ServeError::Listener)?;
         let (events, event_queue) = mpsc::channel(EVENT_QUEUE_COUNT);
         let (watch_requests, watch_requested) = mpsc::channel(1);
@@ -104,7 +104,7 @@
             let _ = watch_requests.try_send(());
         }
         let (violations, lag) = (Violations::default(), LoopLag::default());
-        let available = sockets.saturating_sub(RESERVED_DESCRIPTOR_COUNT + SPARE_CONNECTION_COUNT);
+        let available = max_sockets.saturating_sub(RESERVED_DESCRIPTOR_COUNT + SPARE_CONNECTION_COUNT);
         let descriptors = Descriptors::new(available);
         let dial_timeout = Duration::from_secs_f64(site.dial_timeout_ms / 1000.0);
         let idle_timeout_ms = site.balancer.connection_idle_timeout_ms;
@@ -112,8 +112,8 @@
             .with_violations(violations.clone());
         let deadlines_ms = site.balancer.classes.iter().map(|class| class.deadline_ms);
         let longest_deadline = Duration::from_secs_f64(deadlines_ms.fold(0.0, f64::max) / 1000.0);
-        let list_source = ListSource::new(control, discovery, &site, &known);
-        let cached_list = if list_source.is_control() { control::renamed(known) } else { known };
+        let list_source = ListSource::new(control, discovery, &site, &cached_list);
+        let cached_list = if list_source.is_control() { control::renamed(cached_list) } else { cached_list };
         let (revision, endpoints) = (cached_list.revision, cached_list.endpoints.len());
         let dependencies =
             Dependencies { upstream, watch_requests, violations: violations.clone(), lag: lag.clone() };
--- a/gateway/src/sockets.rs
+++ b/gateway/src/sockets.rs
@@ -23,7 +23,7 @@
 ///
 /// # Errors
 /// Returns the error of `connection`.
-pub fn opened(connection: io::Result<TcpStream>) -> io::Result<TcpStream> {
+pub fn with_nodelay(connection: io::Result<TcpStream>) -> io::Result<TcpStream> {
     let stream = connection?;
     if let Err(e) = stream.set_nodelay(true) {
         debug!("TCP_NODELAY: {e}; continuing without it");
--- a/gateway/src/upstream/connection.rs
+++ b/gateway/src/upstream/connection.rs
@@ -5,7 +5,7 @@
 use super::{ConnectionSlot, Upstream};
 use crate::events::RawRequest;
 use crate::http1::{Reader, MAX_BODY_BYTES};
-use crate::sockets::{is_local, opened};
+use crate::sockets::{is_local, with_nodelay};
 use std::io;
 use std::time::Duration;
 use ternstack_balancer::Outcome;
@@ -97,7 +97,7 @@
         _ = &mut attempt.cancelled => return Err(Outcome::NotSent),
         dialled = timeout_at(dial_by, TcpStream::connect(attempt.address)) => dialled,
     };
-    match dialled.map(opened) {
+    match dialled.map(with_nodelay) {
         Ok(Ok(stream)) => Ok(stream),
         // This machine's lack of descriptors or ports is not the server's fault.
         Ok(Err(e)) if is_local(&e) => Err(Outcome::NotSent),
--- a/gateway/tests/parts.rs
+++ b/gateway/tests/parts.rs
@@ -226,7 +226,7 @@
         Config::read(&config.to_string(), |asked| (asked == name).then(|| value.to_string()))
     };
     let told = read(&good, "LB_LISTEN", "127.0.0.1:4000").expect("sound");
-    assert_eq!((told.listen.port(), told.seed, told.sockets), (4000, 0x8c1f_30d2_7a5b_e964, 256));
+    assert_eq!((told.listen.port(), told.seed, told.max_sockets), (4000, 0x8c1f_30d2_7a5b_e964, 256));
     assert!(read(&good, "LB_LISTEN", "here").unwrap_err().to_string().starts_with("LB_LISTEN"));
     assert!(read(&good, "LB_LOG", "loud").unwrap_err().to_string().starts_with("LB_LOG"));
     for (path, value, key) in [
@@ -524,7 +524,7 @@
     let odd = std::net::TcpStream::from(std::os::fd::OwnedFd::from(ours));
     assert!(odd.set_nodelay(true).is_err(), "the option is taken: this test shows nothing");
     let odd = tokio::net::TcpStream::from_std(odd).expect("a stream");
-    let mut stream = ternstack_gateway::sockets::opened(Ok(odd)).expect("a connection that goes on");
+    let mut stream = ternstack_gateway::sockets::with_nodelay(Ok(odd)).expect("a connection that goes on");
     stream.write_all(b"attempt").await.expect("written");
     drop(stream);
     let mut read = String::new();
--- a/gateway/tests/same_bytes.rs
+++ b/gateway/tests/same_bytes.rs
@@ -440,8 +440,8 @@
     let balancer = &config.site.balancer;
     let mut lines = vec![
         format!("name={} listen={} discovery={}", config.name, config.listen, config.discovery),
-        format!("seed={:016x} sockets={} log={}", config.seed, config.sockets, config.log),
-        format!("rev={} all={}", config.known.revision, config.known.is_complete),
+        format!("seed={:016x} sockets={} log={}", config.seed, config.max_sockets, config.log_level),
+        format!("rev={} all={}", config.cached_list.revision, config.cached_list.is_complete),
         format!(
             "max_open={} dial_timeout={:016x}",
             config.site.max_open,
@@ -454,7 +454,7 @@
     let tenants = ["acme", "zeta", "other"].map(|name| names.tenant(name));
     let zones = ["a", "b", "c", "new", ""].map(|name| names.zone(name));
     lines.push(format!("classes={classes:?} tenants={tenants:?} zones={zones:?}"));
-    for entry in &config.known.endpoints {
+    for entry in &config.cached_list.endpoints {
         lines.push(format!(
             "uid={} endpoint={:?} az={} pod_group={} state={} capacity_hint={:016x} boot_ms={:016x}",
             entry.uid,
