--- a/gateway/tests/common/mod.rs
+++ b/gateway/tests/common/mod.rs
@@ -424,3 +424,39 @@
         }
     }
 }
+
+/// Of a kind with the deployments' own: an unsafe class, a repeat window, no advice, no cancelling, pushed lists.
+pub fn other_settings(known: Vec<Value>, discovery: std::net::SocketAddr) -> Value {
+    let mut told = config(known, discovery);
+    told["settings"]["classes"] = json!([
+        {"name": "look", "aim_ms": 9000.0, "deadline_ms": 600_000.0, "effect": "safe"},
+        {"name": "sign", "aim_ms": 9000.0, "deadline_ms": 600_000.0, "effect": "unsafe"},
+        {"name": "hold", "aim_ms": 9000.0, "deadline_ms": 600_000.0, "effect": "keyed", "group": "all", "window_ms": 300.0}]);
+    told["settings"]["limits"]["cancel"] = false.into();
+    told["settings"]["limits"]["retry_after"] = false.into();
+    told["settings"]["limits"]["dial_timeout_ms"] = json!(20_000.0);
+    told["settings"]["limits"]["max_attempts"] = json!(6);
+    told["settings"]["discovery"] = "push".into();
+    told
+}
+
+pub fn sign(id: &str) -> String {
+    format!("POST /api HTTP/1.1\r\nX-Correlation-Id: {id}\r\nX-Service-Class: sign\r\nContent-Length: 4\r\n\r\ndesk")
+}
+
+/// A gateway that may call off, its server, a client, and the connection on which that one's request is out.
+pub async fn one_out() -> (Gateway, Peer, Client, Wire) {
+    let (server, discovery) = (Peer::start().await, Discovery::start().await);
+    let mut told = other_settings(vec![target(1, server.at, "SERVING")], discovery.at);
+    told["settings"]["limits"]["cancel"] = true.into();
+    let gateway = Gateway::start(&told).await;
+    let mut client = gateway.client().await;
+    client.send(&look("a")).await;
+    let mut wire = server.accept().await;
+    wire.request().await.expect("it is out");
+    (gateway, server, client, wire)
+}
+
+pub async fn next_answer(client: &mut Client) -> Option<u16> {
+    client.answer().await.map(|answer| answer.start_line.code)
+}
--- /dev/null
+++ b/gateway/tests/config.rs
@@ -0,0 +1,71 @@
+//! Configuration: faulty keys, and what takes precedence.
+
+mod common;
+use common::*;
+use serde_json::{json, Value};
+use ternstack_gateway::config::Config;
+
+#[test]
+fn a_faulty_configuration_names_the_key() {
+    let good = config(
+        vec![target(1, "127.0.0.1:9".parse().expect("an address"), "SERVING")],
+        ([127, 0, 0, 1], 9).into(),
+    );
+    let read = |config: &Value, name: &str, value: &str| {
+        Config::read(&config.to_string(), |asked| (asked == name).then(|| value.to_string()))
+    };
+    let told = read(&good, "LB_LISTEN", "127.0.0.1:4000").expect("sound");
+    assert_eq!((told.listen.port(), told.seed, told.max_sockets), (4000, 0x8c1f_30d2_7a5b_e964, 256));
+    assert!(read(&good, "LB_LISTEN", "here").unwrap_err().to_string().starts_with("LB_LISTEN"));
+    assert!(read(&good, "LB_LOG", "loud").unwrap_err().to_string().starts_with("LB_LOG"));
+    for (path, value, key) in [
+        ("/listen", json!("nowhere"), "listen"),
+        ("/discovery", json!(7), "discovery"),
+        ("/seed", json!("xyz"), "seed"),
+        ("/limits/sockets", json!(3), "limits.sockets"),
+        ("/known/targets/0/state", json!("NAPPING"), "known"),
+        ("/known/targets/0/endpoint", Value::Null, "endpoint"),
+        ("/settings/classes", json!([]), "classes"),
+        ("/settings/classes/0/deadline_ms", json!(-1), "classes.deadline_ms"),
+        ("/settings/classes/0/effect", json!("odd"), "classes[].effect"),
+        ("/settings/limits/dial_timeout_ms", json!(0), "limits.dial_timeout_ms"),
+        ("/settings/limits/max_open", json!("many"), "limits.max_open"),
+        ("/settings", json!(1), "settings"),
+        ("/settings/discovery", json!("pull"), "discovery"),
+        ("/settings/discovery", json!(true), "discovery"),
+        ("/settings/report/how", json!("sometimes"), "report.how"),
+        ("/settings/instances", json!(-3), "instances"),
+        ("/settings/instances", json!("two"), "instances"),
+        ("/settings/tick_ms", json!(0), "tick_ms"),
+        ("/settings/tick_ms", json!(-5), "tick_ms"),
+        ("/settings/limits/max_attempts", json!(0), "max_attempts"),
+        ("/settings/limits/max_open", json!(-1), "limits.max_open"),
+        ("/settings/limits/conn_idle_ms", json!(-1), "idle_ms"),
+        ("/settings/limits/cancel", json!("yes"), "limits.cancel"),
+        ("/settings/classes/0/aim_ms", json!(-8), "classes.aim_ms"),
+        ("/settings/classes/0/late_value", json!(7), "classes.late_value"),
+        ("/settings/classes/1/window_ms", json!(-1), "classes.window_ms"),
+        ("/settings/tenants", json!({}), "tenants"),
+    ] {
+        let mut bad = good.clone();
+        *bad.pointer_mut(path).expect("it is there") = value;
+        let problem = read(&bad, "", "").expect_err(path).to_string();
+        assert!(problem.contains(key) && problem.starts_with("LB_CONFIG"), "{path}: {problem}");
+    }
+    let mut alone = good.clone();
+    alone["settings"]["me"] = json!(1);
+    assert!(read(&alone, "", "")
+        .expect_err("one gateway is number 0")
+        .to_string()
+        .contains("me must be below instances"));
+}
+
+#[test]
+fn a_reread_file_takes_precedence_over_the_variable() {
+    let text = config(vec![], ([127, 0, 0, 1], 9).into()).to_string();
+    let variable = |name: &str| (name == "LB_DISCOVERY").then(|| "127.0.0.1:8".to_string());
+    assert_eq!(Config::read(&text, variable).expect("sound").discovery.port(), 8);
+    assert_eq!(Config::reread(&text, variable).expect("sound").discovery.port(), 9);
+    let text = text.replace("\"discovery\":\"127", "\"elsewhere\":\"127");
+    assert_eq!(Config::reread(&text, variable).expect("sound").discovery.port(), 8);
+}
