--- a/gateway/src/config.rs
+++ b/gateway/src/config.rs
@@ -7,7 +7,7 @@
 use std::env;
 use std::io;
 use std::net::SocketAddr;
-use ternstack_settings::Site;
+use ternstack_settings::{Deployment, DeploymentError};
 use thiserror::Error;
 use tracing::level_filters::LevelFilter;
 
@@ -33,8 +33,8 @@
     pub max_sockets: usize,
     /// The cached endpoint list.
     pub cached_list: EndpointList,
-    /// The settings.
-    pub site: Site,
+    /// The deployment's settings.
+    pub deployment: Deployment,
     /// The least severe level that is logged.
     pub log_level: LevelFilter,
 }
@@ -90,7 +90,7 @@
     CachedList(#[from] EndpointListError),
     /// The settings cannot be worked with.
     #[error("LB_CONFIG: settings: {0}")]
-    Settings(String),
+    Settings(#[from] DeploymentError),
     /// The log level is unknown.
     #[error("LB_LOG = {0} is none of off, error, warn, info, debug, trace")]
     LogLevel(String),
@@ -170,7 +170,7 @@
             seed: parse_seed(file.get("seed"))?,
             max_sockets: usize::try_from(max_sockets).unwrap_or(usize::MAX),
             cached_list,
-            site: ternstack_settings::read(settings).map_err(|e| ConfigError::Settings(e.to_string()))?,
+            deployment: Deployment::from_json(settings)?,
             log_level,
         })
     }
--- a/gateway/src/listener/mod.rs
+++ b/gateway/src/listener/mod.rs
@@ -16,7 +16,7 @@
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
 use ternstack_balancer::RequestId;
-use ternstack_settings::Site;
+use ternstack_settings::Deployment;
 use tokio::sync::{oneshot, watch, OwnedSemaphorePermit, Semaphore};
 use tokio::time::sleep;
 
@@ -43,7 +43,7 @@
 
 /// What all clients' connections share.
 pub struct Frontend {
-    site: Site,
+    deployment: Deployment,
     events: EventSender,
     phase: watch::Receiver<ShutdownPhase>,
     next_request_id: AtomicU64,
@@ -96,13 +96,13 @@
 impl Frontend {
     /// A frontend whose clients share the budget of `descriptors` with the connections to servers.
     pub fn new(
-        site: Site, events: EventSender, phase: watch::Receiver<ShutdownPhase>,
+        deployment: Deployment, events: EventSender, phase: watch::Receiver<ShutdownPhase>,
         descriptors: Arc<Descriptors>, lag: LoopLag,
     ) -> Arc<Self> {
         Arc::new(Frontend {
             lag,
-            max_retry_after_ms: site.balancer.max_retry_after_ms,
-            site,
+            max_retry_after_ms: deployment.balancer.max_retry_after_ms,
+            deployment,
             events,
             phase,
             next_request_id: AtomicU64::new(0),
--- a/gateway/src/upstream/connection.rs
+++ b/gateway/src/upstream/connection.rs
@@ -90,7 +90,7 @@
 
 /// Opens a connection for an attempt; the attempt's outcome if that fails.
 async fn dial(upstream: &Upstream, attempt: &mut Attempt) -> Result<TcpStream, Outcome> {
-    let dial_by = attempt.give_up_at.min(Instant::now() + upstream.dial_timeout);
+    let dial_by = attempt.give_up_at.min(Instant::now() + upstream.connect_timeout);
     let dial_by = attempt.send_by.map_or(dial_by, |send_by| send_by.min(dial_by));
     let dialled = tokio::select! {
         biased;
--- a/gateway/tests/discovery.rs
+++ b/gateway/tests/discovery.rs
@@ -63,7 +63,7 @@
     let (queue, mut news) = mpsc::channel(16);
     let turn = discovery::renewal_delay(me, instances);
     assert!(turn < Duration::from_secs(1), "{turn:?}");
-    let config = FollowConfig { dial_timeout: LONG, revision: Some(41), renewal_delay: turn };
+    let config = FollowConfig { connect_timeout: LONG, revision: Some(41), renewal_delay: turn };
     tokio::spawn(discovery::follow(at, config, to_ask, queue));
     asked.send(()).await.expect("followed");
     for n in 0..answered {
