--- a/gateway/src/discovery/mod.rs
+++ b/gateway/src/discovery/mod.rs
@@ -49,7 +49,7 @@
 #[derive(Debug)]
 pub struct FollowConfig {
     /// A connection that is not up after this has failed.
-    pub dial_timeout: Duration,
+    pub connect_timeout: Duration,
     /// The revision of the cached list; `None` without one.
     pub revision: Option<u64>,
     /// How long this gateway waits before it renews a silent watch ([`renewal_delay`]).
@@ -61,7 +61,7 @@
 pub async fn follow(
     discovery: DiscoveryAddress, config: FollowConfig, requests: mpsc::Receiver<()>, events: EventSender,
 ) {
-    let mut connection = DiscoveryConnection::new(config.dial_timeout);
+    let mut connection = DiscoveryConnection::new(config.connect_timeout);
     connection.reserve(*discovery.borrow());
     let watcher = Watcher {
         discovery,
--- a/gateway/src/serve.rs
+++ b/gateway/src/serve.rs
@@ -94,31 +94,31 @@
     fn start(
         config: Config, control: Option<Control>, listener: TcpListener, discovery: DiscoveryAddress,
     ) -> Result<Self, ServeError> {
-        let Config { name, seed, sockets, known, site, .. } = config;
+        let Config { name, seed, max_sockets, cached_list, deployment, .. } = config;
         let address = listener.local_addr().map_err(ServeError::Listener)?;
         let (events, event_queue) = mpsc::channel(EVENT_QUEUE_COUNT);
         let (watch_requests, watch_requested) = mpsc::channel(1);
         let (phase, phase_now) = watch::channel(ShutdownPhase::Serving);
-        if !site.balancer.poll_discovery {
+        if !deployment.balancer.poll_discovery {
             // Pushed lists arrive on a watch too, which the balancer does not request then. The channel is empty.
             let _ = watch_requests.try_send(());
         }
         let (violations, lag) = (Violations::default(), LoopLag::default());
-        let available = sockets.saturating_sub(RESERVED_DESCRIPTOR_COUNT + SPARE_CONNECTION_COUNT);
+        let available = max_sockets.saturating_sub(RESERVED_DESCRIPTOR_COUNT + SPARE_CONNECTION_COUNT);
         let descriptors = Descriptors::new(available);
-        let dial_timeout = Duration::from_secs_f64(site.connect_timeout_ms / 1000.0);
-        let idle_timeout_ms = site.balancer.connection_idle_timeout_ms;
-        let upstream = Upstream::new(events.clone(), descriptors.clone(), idle_timeout_ms, dial_timeout)
+        let connect_timeout = Duration::from_secs_f64(deployment.connect_timeout_ms / 1000.0);
+        let idle_timeout_ms = deployment.balancer.connection_idle_timeout_ms;
+        let upstream = Upstream::new(events.clone(), descriptors.clone(), idle_timeout_ms, connect_timeout)
             .with_violations(violations.clone());
-        let deadlines_ms = site.balancer.classes.iter().map(|class| class.deadline_ms);
+        let deadlines_ms = deployment.balancer.classes.iter().map(|class| class.deadline_ms);
         let longest_deadline = Duration::from_secs_f64(deadlines_ms.fold(0.0, f64::max) / 1000.0);
-        let list_source = ListSource::new(control, discovery, &site, &known);
-        let cached_list = if list_source.is_control() { control::renamed(known) } else { known };
+        let list_source = ListSource::new(control, discovery, &deployment, &cached_list);
+        let cached_list = if list_source.is_control() { control::renamed(cached_list) } else { cached_list };
         let (revision, endpoints) = (cached_list.revision, cached_list.endpoints.len());
         let dependencies =
             Dependencies { upstream, watch_requests, violations: violations.clone(), lag: lag.clone() };
-        let event_loop = EventLoop::new(site.clone(), seed, cached_list, dependencies)?;
-        let frontend = Frontend::new(site, events.clone(), phase_now, descriptors, lag.clone());
+        let event_loop = EventLoop::new(deployment.clone(), seed, cached_list, dependencies)?;
+        let frontend = Frontend::new(deployment, events.clone(), phase_now, descriptors, lag.clone());
 
         let lag_monitor = tokio::spawn(lag.run());
         let event_loop = tokio::spawn(event_loop.run(event_queue));
@@ -187,16 +187,18 @@
 
 impl ListSource {
     fn new(
-        control: Option<Control>, address: DiscoveryAddress, site: &Deployment, cached_list: &EndpointList,
+        control: Option<Control>, address: DiscoveryAddress, deployment: &Deployment,
+        cached_list: &EndpointList,
     ) -> Self {
         if let Some(control) = control {
             return ListSource::Control { control: Box::new(control), cached_list: cached_list.clone() };
         }
         // Where lists are pushed, each gateway polls a discovery of its own and has no others to wait for.
-        let gateway_count = if site.balancer.poll_discovery { site.balancer.gateway_count } else { 1 };
-        let index = site.balancer.gateway_index.min(gateway_count - 1);
+        let gateway_count =
+            if deployment.balancer.poll_discovery { deployment.balancer.gateway_count } else { 1 };
+        let index = deployment.balancer.gateway_index.min(gateway_count - 1);
         let config = FollowConfig {
-            dial_timeout: Duration::from_secs_f64(site.connect_timeout_ms / 1000.0),
+            connect_timeout: Duration::from_secs_f64(deployment.connect_timeout_ms / 1000.0),
             // A cached list of any revision, 0 too, is continued with changes.
             revision: (!cached_list.endpoints.is_empty()).then_some(cached_list.revision),
             renewal_delay: discovery::renewal_delay(index, gateway_count),
