--- a/control-plane/src/asking.rs
+++ b/control-plane/src/asking.rs
@@ -12,7 +12,7 @@
 use std::time::Duration;
 use ternstack_replication::follower::{Follower, FollowerEvent, ResponseError};
 use ternstack_replication::replica::Replica;
-use ternstack_replication::store::Storage;
+use ternstack_replication::storage::Storage;
 use ternstack_replication::wire::{Message, PollRequest, PollResponse};
 use tokio::net::TcpStream;
 use tokio::sync::Notify;
--- a/control-plane/tests/faults.rs
+++ b/control-plane/tests/faults.rs
@@ -6,7 +6,7 @@
 use ternstack_control_plane::frames::{write, Frames};
 use ternstack_control_plane::staff;
 use ternstack_replication::scope::{Change, Entry, Key, Scope};
-use ternstack_replication::store::Storage;
+use ternstack_replication::storage::Storage;
 use ternstack_replication::wire::{
     encode, Cursor, Member, Message, PollRequest, Subscription, HEADER_BYTES, MAX_FRAME_BYTES,
 };
--- a/control-plane/tests/recorded_bytes.rs
+++ b/control-plane/tests/recorded_bytes.rs
@@ -12,7 +12,7 @@
 use ternstack_replication::rules::RetryPolicy;
 use ternstack_replication::scope::{Change, ChangeSet, Digest, Entry, Host, Key, Route, Scope};
 use ternstack_replication::snapshot::Snapshot;
-use ternstack_replication::store::Storage;
+use ternstack_replication::storage::Storage;
 use ternstack_replication::tables::Tables;
 use ternstack_replication::wire::{
     ChunkEntry, Cursor, Member, Message, PollRequest, PollResponse, ScopeChunk, Status, Subscription,
--- a/fleet-simulator/src/capacity/control.rs
+++ b/fleet-simulator/src/capacity/control.rs
@@ -8,7 +8,8 @@
 use ternstack_replication::lessor::Lessor;
 use ternstack_replication::scope::{Change, ChangeSet, Entry, Host, Key, Revision, Scope};
 use ternstack_replication::snapshot::Snapshot;
-use ternstack_replication::store::{Storage, Store};
+use ternstack_replication::storage::Storage;
+use ternstack_replication::store::Store;
 use ternstack_replication::tables::Tables;
 use ternstack_replication::wire::{decode, encode, Member, Message, PollRequest, Subscription};
 
--- a/gateway/src/control.rs
+++ b/gateway/src/control.rs
@@ -14,7 +14,7 @@
 use ternstack_control_plane::operator::Operator;
 use ternstack_replication::follower::{Follower, FollowerEvent as Agreed, ScopeMode};
 use ternstack_replication::scope::{Entry, Host, Key, Scope};
-use ternstack_replication::store::Storage;
+use ternstack_replication::storage::Storage;
 use ternstack_replication::tables::Tables;
 use tokio::sync::{mpsc, Notify};
 use tracing::{debug, info, warn};
--- a/replication/benches/state.rs
+++ b/replication/benches/state.rs
@@ -13,7 +13,8 @@
 use ternstack_replication::endpoint_list::{validate, EndpointList};
 use ternstack_replication::rules::{self, conflicts, RetryPolicy, Rules};
 use ternstack_replication::scope::{Change, ChangeSet, Digest, Entry, Host, Key, Revision, Route, Scope};
-use ternstack_replication::store::{Storage, Store};
+use ternstack_replication::storage::Storage;
+use ternstack_replication::store::Store;
 use ternstack_replication::tables::Tables;
 use ternstack_replication::wire::Cursor;
 
--- a/replication/src/follower.rs
+++ b/replication/src/follower.rs
@@ -5,7 +5,7 @@
 use crate::lease::LeaseConfig;
 use crate::scope::{stricter, Change, Entry, Key, Revision, Scope};
 use crate::snapshot::Snapshot;
-use crate::store::Storage;
+use crate::storage::Storage;
 use crate::tables::Tables;
 use crate::wire::{Cursor, Member, PollRequest, PollResponse, Subscription};
 use std::collections::BTreeMap;
--- a/replication/src/follower/apply.rs
+++ b/replication/src/follower/apply.rs
@@ -1,7 +1,7 @@
 //! Taking an answer: what was known comes into force, pieces go where they belong, and what is to come is kept.
 use super::{Asked, Fetch, Follower, FollowerEvent, Staged};
 use crate::scope::{Change, Revision, Scope};
-use crate::store::Storage;
+use crate::storage::Storage;
 use crate::wire::{Cursor, PollResponse, ScopeChunk};
 use std::collections::BTreeMap;
 
--- a/replication/src/lease.rs
+++ b/replication/src/lease.rs
@@ -1,29 +1,38 @@
-//! The figures that the promises are made of, and the formulas of what they promise.
+//! Settings of leases, and the bounds that follow from them.
 //!
-//! A member acts on the version in force only while it holds a lease, and by the neutral rules otherwise. The origin first
-//! sees to it that every holder of a lease *knows* a version; then it comes *into force*, and from then on leases are
-//! granted for it alone. Who has not heard storage the old version until its lease runs out.
+//! A gateway acts on the revision in force only while it holds a lease, and by conservative rules otherwise. The primary
+//! first makes sure that every lease holder *knows* a revision; then the revision comes *into force*, and from then on
+//! leases are granted for it alone. A gateway that has not heard of it keeps the old revision until its lease expires.
 use serde::{Deserialize, Serialize};
 
-/// The settings of agreement. All times are in ms.
+/// Polls in the duration of one lease: four may be lost before it expires.
+const POLLS_PER_LEASE_COUNT: f64 = 5.0;
+/// A replica polls so many times as often as a gateway: its lease bounds those of its followers.
+const REPLICA_POLL_RATIO: f64 = 2.0;
+/// A follower with progress to report would poll so many times in a regular interval.
+const PROMPT_POLLS_PER_INTERVAL_COUNT: f64 = 8.0;
+/// A follower gives up on so many responses, at least, before a lease expires.
+const RESPONSE_TIMEOUTS_PER_LEASE_COUNT: f64 = 2.0;
+
+/// The settings of leases and of what followers may send and receive.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct LeaseConfig {
-    /// How long a lease lasts, from the moment its holder asked for it.
+    /// How long a lease lasts from the moment its holder asked for it, in ms.
     pub lease_ms: f64,
-    /// How much faster or slower than true a clock may run: 0.01 for one in a hundred.
+    /// How much faster or slower than true time a clock may run, as a ratio: 0.01 is one percent.
     #[serde(rename = "drift")]
     pub clock_drift_ratio: f64,
-    /// Proposals that come within this time of each other may be put into one version.
+    /// The primary creates a revision at most once in this time, in ms; proposals wait for the next one.
     pub batch_ms: f64,
-    /// The longest time from an ask to its answer for which [`LeaseConfig::max_activation_ms`] is promised.
+    /// The longest round trip of a poll, in ms, for which [`LeaseConfig::max_activation_ms`] holds.
     pub round_trip_ms: f64,
-    /// What a gateway may spend on asks and answers, in bytes a second.
+    /// What a gateway's polls and their responses may use, in bytes per second.
     pub bytes_per_s: f64,
-    /// What a machine between may spend on its own asks and their answers, in bytes a second.
+    /// What a replica's own polls and their responses may use, in bytes per second.
     #[serde(rename = "between_bytes_per_s")]
     pub replica_bytes_per_s: f64,
-    /// How many seconds of these bytes may be saved up.
+    /// How many seconds of these bytes may accumulate, in s.
     pub burst_s: f64,
 }
 
@@ -42,54 +51,55 @@
 }
 
 impl LeaseConfig {
-    /// The promise: no two members act on versions that contradict each other for longer, in ms of true time.
+    /// The longest time for which two members may act on revisions that conflict, in ms of true time.
     pub fn max_conflict_ms(&self) -> f64 {
         self.lease_ms / (1.0 - self.clock_drift_ratio)
     }
 
-    /// How long a grantor counts a lease of full length as held, by its own clock: longer than its holder does by any other.
+    /// How long a lessor counts a lease of full length as held, in ms of its own clock.
     pub fn max_held_ms(&self) -> f64 {
         self.held_for_ms(self.lease_ms)
     }
 
-    /// How long a grantor counts a lease of `lease_ms` as held, by its own clock.
+    /// How long a lessor counts a lease of `lease_ms` as held, in ms of its own clock: never shorter than its holder does,
+    /// whatever the two clocks do.
     pub fn held_for_ms(&self, lease_ms: f64) -> f64 {
         lease_ms * (1.0 + self.clock_drift_ratio) / (1.0 - self.clock_drift_ratio)
     }
 
-    /// The longest lease that may be handed on by who holds one for `remaining_ms` more by its own clock: it ends no later,
-    /// whatever the two clocks do, and [`LeaseConfig::held_for_ms`] of it is no longer.
+    /// The longest lease, in ms, that may be granted by a replica whose own lease lasts `remaining_ms` by its clock: it ends
+    /// no later than the replica's, whatever the two clocks do, and [`LeaseConfig::held_for_ms`] of it is no longer.
     pub fn sublease_ms(&self, remaining_ms: f64) -> f64 {
         remaining_ms * (1.0 - self.clock_drift_ratio) / (1.0 + self.clock_drift_ratio)
     }
 
-    /// How often a member asks anew, in ms.
+    /// How often a gateway polls, in ms.
     pub fn poll_interval_ms(&self) -> f64 {
-        self.lease_ms / 5.0
+        self.lease_ms / POLLS_PER_LEASE_COUNT
     }
 
-    /// How often a machine between asks anew, in ms: its leases bound those of its followers, and its word is waited for.
+    /// How often a replica polls, in ms.
     pub fn replica_poll_interval_ms(&self) -> f64 {
-        self.poll_interval_ms() / 2.0
+        self.poll_interval_ms() / REPLICA_POLL_RATIO
     }
 
-    /// How soon a member asks anew that has something to tell: that it knows, or acts on, more than it said.
+    /// How soon a follower polls again when it knows, or acts on, a newer revision than it has reported, in ms.
     pub fn prompt_poll_delay_ms(&self) -> f64 {
-        self.poll_interval_ms() / 8.0
+        self.poll_interval_ms() / PROMPT_POLLS_PER_INTERVAL_COUNT
     }
 
-    /// How long a member waits for an answer at most before it asks anew, in ms.
+    /// The longest time for which a follower waits for a response before it polls again, in ms.
     pub fn response_timeout_ms(&self) -> f64 {
-        self.lease_ms / 2.0
+        self.lease_ms / RESPONSE_TIMEOUTS_PER_LEASE_COUNT
     }
 
-    /// The promise: a version is in force at the last gateway that can be reached so long after its proposal, in ms of true
-    /// time, with one machine between, one member dead or cut off one way, whatever versions came just before; where
-    /// no message is lost on the other ways, and none takes longer than [`LeaseConfig::round_trip_ms`] there and back.
+    /// The longest time from a proposal until its revision is in force at the last reachable gateway, in ms of true time:
+    /// with one replica in between and one member dead or cut off in one direction, whatever revisions came just before;
+    /// provided that no message is lost on the other links and none takes longer than [`LeaseConfig::round_trip_ms`].
     ///
-    /// FollowerEvent goes down by two asks that come by themselves, one at each floor, and what was taken is told up by two that come
-    /// soon. A version waits for its batch; then until who died is counted no more, or until the version before, which may
-    /// have come into force just then, is acted on by all; and has two floors to go down.
+    /// A revision travels down by two regular polls, one a level, and its acknowledgement travels up by two prompt polls. It
+    /// waits for its batch, then until a dead member's lease has expired or until all act on the revision before, which may
+    /// just have come into force; and then it travels down two levels.
     pub fn max_activation_ms(&self) -> f64 {
         let takes = |ms: f64| ms / (1.0 - self.clock_drift_ratio) + self.round_trip_ms;
         let down = takes(self.replica_poll_interval_ms()) + takes(self.poll_interval_ms());
--- a/replication/src/lib.rs
+++ b/replication/src/lib.rs
@@ -1,18 +1,20 @@
-//! What the gateways of one installation know together. State machines without I/O, clock or threads: time comes in as
-//! milliseconds of the caller's own clock, and what is to be sent comes out.
+//! Replicates the configuration and endpoint state of an installation to its gateways: versioned changes, leases, and the
+//! state machines on both ends. There is no I/O, clock or thread in here: time is passed in as milliseconds of the caller's
+//! clock, and messages to send are returned.
 //!
-//! State is cut into scopes ([`scope`]) and travels as changes. An [`primary`] puts proposals together into versions and
-//! brings them into force in two steps, so that no two gateways act on contradicting ones for longer than
-//! [`lease::LeaseConfig::contradiction_ms`]; [`replica`]s stand between it and the gateways, each of which is a [`follower`].
-//! Whoever answers followers is a [`lessor`]. [`store`] and [`tables`] keep the state, [`wire`] has the messages and their
-//! bytes, [`placement`] says which machine a gateway calls.
+//! State is divided into scopes ([`scope`]) and travels as changes. A [`primary`] puts proposals together into revisions and
+//! brings them into force in two steps, so that no two gateways act on conflicting rules for longer than
+//! [`lease::LeaseConfig::max_conflict_ms`]. [`replica`]s stand between the primary and the gateways, each of which is a
+//! [`follower`]. Primary and replicas answer followers through a [`lessor`]. [`store`] and [`tables`] implement [`storage`],
+//! [`wire`] has the messages and their bytes, and [`placement`] says which replica a gateway calls.
 //!
-//! [`rules`] says what rules are and when two contradict each other, [`endpoint_list`] which of discovery's lists may be proposed.
+//! [`rules`] has the rules as one document and says when two of them conflict; [`endpoint_list`] decides which endpoint
+//! lists from discovery may be proposed.
 //!
-//! The order of versions, and who may grant leases, come from a consensus among a few voters, which is not here yet:
-//! [`origin::Primary`] is told when its leadership has last been confirmed by a majority.
+//! The order of revisions, and who may grant leases, are to come from a consensus among voters, which is not part of this
+//! crate: [`primary::Primary::confirm_leadership`] is told when a majority has last confirmed the leader.
 #![forbid(unsafe_code)]
-#![warn(missing_docs)]
+#![deny(missing_docs, clippy::too_many_lines, clippy::cognitive_complexity)]
 
 pub mod endpoint_list;
 pub mod follower;
@@ -24,6 +26,7 @@
 pub mod rules;
 pub mod scope;
 pub mod snapshot;
+pub mod storage;
 pub mod store;
 pub mod tables;
 pub mod wire;
--- a/replication/src/placement.rs
+++ b/replication/src/placement.rs
@@ -1,11 +1,11 @@
-//! Which of the machines between a member calls: by rendezvous hashing, so that it needs no table, and the death of one
-//! machine moves nobody else and spreads its members.
+//! The order in which a gateway calls replicas, by rendezvous hashing: it needs no table, and when a replica fails, only its
+//! own followers move, and spread over the others.
 use sha2::{Digest, Sha256};
 
-/// A machine between, and where it stands.
+/// A replica and its location.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ReplicaLocation {
-    /// Its name; no two have the same.
+    /// Its name, which is unique.
     pub name: String,
     /// Its zone.
     pub zone: String,
@@ -13,35 +13,35 @@
     pub region: String,
 }
 
-/// The machines, as indices, in the order in which a member of that name and place calls them.
+/// The replicas, as indices, in the order in which a member of that name and location calls them.
 ///
-/// The first is one of its zone; without any there, of its region, and else any. From the second on one of the near (zone or
-/// region) and one of the far take turns, a draw says which begin: with two machines to a zone, the dead one's members would
-/// all meet at the other if its zone, or even its region, came first throughout.
-pub fn preference_order(member: &str, zone: &str, region: &str, machines: &[ReplicaLocation]) -> Vec<usize> {
-    let draw = |of: &str| {
+/// The first is in the member's zone if there is one, else in its region, else anywhere. After that, replicas of the region
+/// and others alternate, and the hash decides which begin: with two replicas in a zone, all followers of a failed one would
+/// move to the other if the zone, or even the region, always came first.
+pub fn preference_order(member: &str, zone: &str, region: &str, replicas: &[ReplicaLocation]) -> Vec<usize> {
+    let hash_with = |of: &str| {
         let hash = Sha256::new().chain_update(member).chain_update([0]).chain_update(of).finalize();
         hash.iter().take(8).fold(0u64, |sum, byte| sum << 8 | u64::from(*byte))
     };
-    let mut drawn: Vec<usize> = (0..machines.len()).collect();
-    drawn.sort_by_cached_key(|n| (std::cmp::Reverse(draw(&machines[*n].name)), *n));
-    let first = drawn.iter().position(|n| machines[*n].zone == zone && machines[*n].region == region);
-    let first = first.or_else(|| drawn.iter().position(|n| machines[*n].region == region)).unwrap_or(0);
-    if drawn.is_empty() {
-        return drawn;
+    let mut ranked: Vec<usize> = (0..replicas.len()).collect();
+    ranked.sort_by_cached_key(|n| (std::cmp::Reverse(hash_with(&replicas[*n].name)), *n));
+    let first = ranked.iter().position(|n| replicas[*n].zone == zone && replicas[*n].region == region);
+    let first = first.or_else(|| ranked.iter().position(|n| replicas[*n].region == region)).unwrap_or(0);
+    if ranked.is_empty() {
+        return ranked;
     }
-    let mut order = vec![drawn.remove(first)];
-    let (near, far): (Vec<usize>, Vec<usize>) =
-        drawn.into_iter().partition(|n| machines[*n].region == region);
-    let (mut one, mut other) = (near.into_iter(), far.into_iter());
-    if draw("") % 2 == 0 {
-        std::mem::swap(&mut one, &mut other);
+    let mut order = vec![ranked.remove(first)];
+    let (same_region, elsewhere): (Vec<usize>, Vec<usize>) =
+        ranked.into_iter().partition(|n| replicas[*n].region == region);
+    let (mut first_in_turn, mut second_in_turn) = (same_region.into_iter(), elsewhere.into_iter());
+    if hash_with("") % 2 == 0 {
+        std::mem::swap(&mut first_in_turn, &mut second_in_turn);
     }
     loop {
-        let before = order.len();
-        order.extend(one.next());
-        order.extend(other.next());
-        if order.len() == before {
+        let previous_len = order.len();
+        order.extend(first_in_turn.next());
+        order.extend(second_in_turn.next());
+        if order.len() == previous_len {
             return order;
         }
     }
--- a/replication/src/rules.rs
+++ b/replication/src/rules.rs
@@ -1,70 +1,70 @@
-//! Versions of the rules: what is in one, when two contradict each other, and what is within both.
+//! Rules as one document: its content, when two documents conflict, and the stricter of two.
 use serde::{Deserialize, Serialize};
 use sha2::{Digest, Sha256};
 use std::collections::BTreeMap;
 
-/// How far a class may be repeated.
+/// Whether requests of a class may be retried once they may have been executed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum RetryPolicy {
-    /// Never once it may have run.
+    /// They may not.
     Never,
-    /// For so many ms.
+    /// Within so many ms of the first attempt.
     Within(u64),
-    /// At will.
+    /// At any time.
     Always,
 }
 
-/// A south side host, as all gateways are to see it.
+/// A server, as a gateway sees it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Host {
-    /// Where it listens.
+    /// Its address, as host and port.
     pub address: String,
-    /// It gets nothing new.
+    /// It gets no new requests.
     #[serde(default, rename = "drains")]
     pub draining: bool,
 }
 
-/// The rules that may change while gateways run.
+/// The rules that may change while gateways run, as one document.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Rules {
-    /// Each tenant's quota over all gateways, in messages a second; a tenant that is not here has none.
+    /// Each tenant's quota over all gateways, in requests per second; a tenant without one is not limited.
     pub quotas: BTreeMap<String, u32>,
-    /// How far each class may be repeated; one that is not here never.
+    /// The retry policy of each class; the default is [`RetryPolicy::Never`].
     pub classes: BTreeMap<String, RetryPolicy>,
-    /// The list in force, by uid.
+    /// The hosts, by uid.
     pub hosts: BTreeMap<String, Host>,
-    /// Discovery's revision of that list.
+    /// Discovery's revision of the list of hosts.
     pub list_rev: u64,
 }
 
-/// Rules with their place in the order that all agree on.
+/// Rules with their place in the total order.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct VersionedRules {
-    /// Its place: 1 for the first. No two versions have the same.
+    /// Its place: 1 for the first. No two have the same.
     pub number: u64,
     /// The term of the consensus in which it was agreed.
     pub epoch: u64,
-    /// Who proposed it.
+    /// The proposer's name.
     pub proposer: String,
-    /// When, as Unix time in ms by the proposer's clock: for readers, never for decisions.
+    /// When it was proposed, as Unix time in ms of the proposer's clock. Informative only.
     pub proposed_ms: u64,
-    /// What it says.
+    /// The rules.
     pub rules: Rules,
 }
 
 impl Rules {
-    /// SHA-256 of the canonical bytes, in hexadecimal: the same for the same rules on every machine.
+    /// SHA-256 of the JSON text, in hexadecimal: the same for the same rules on every machine.
     pub fn digest(&self) -> String {
-        // Maps are sorted, and nothing here can fail to be written.
+        // The maps are sorted, and encoding these types into memory cannot fail.
         let bytes = serde_json::to_vec(self).unwrap_or_default();
         Sha256::digest(bytes).iter().map(|b| format!("{b:02x}")).collect()
     }
 
-    /// Whether who acts by these rules does nothing that `other` forbids: no higher quota, no repeat that is not allowed
-    /// there, no host that is not in service there, or elsewhere.
+    /// Whether acting on these rules does nothing that `other` forbids: no quota is higher, no retry is allowed that is not
+    /// allowed there, and each serving host serves there at the same address.
     pub fn is_within(&self, other: &Rules) -> bool {
         let quotas =
             other.quotas.iter().all(|(tenant, most)| self.quotas.get(tenant).is_some_and(|q| q <= most));
@@ -73,17 +73,17 @@
         quotas && repeats && hosts
     }
 
-    /// How far a class may be repeated.
+    /// The retry policy of a class.
     pub fn retry_policy(&self, class: &str) -> RetryPolicy {
         self.classes.get(class).copied().unwrap_or(RetryPolicy::Never)
     }
 
-    /// The hosts that take new work.
+    /// The hosts that get new requests.
     pub fn serving(&self) -> impl Iterator<Item = (&String, &Host)> {
         self.hosts.iter().filter(|(_, host)| !host.draining)
     }
 
-    /// The stricter of each rule of two: within both.
+    /// The stricter of each rule; the result [is within](Rules::is_within) both.
     pub fn stricter(&self, other: &Rules) -> Rules {
         let mut quotas = self.quotas.clone();
         for (tenant, most) in &other.quotas {
@@ -101,24 +101,24 @@
     }
 }
 
-/// A rule on which two versions say what cannot both be kept.
+/// A rule on which two documents differ.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Conflict {
-    /// Two quotas of one tenant.
+    /// A tenant has different quotas.
     Quota(String),
-    /// A class that may be repeated further here than there.
+    /// A class has different retry policies.
     #[serde(rename = "repeat")]
     RetryPolicy(String),
-    /// A host that takes work here and not there.
+    /// A host gets new requests by one of the two only.
     Host(String),
-    /// One host at two addresses.
+    /// A host has different addresses.
     Address(String),
 }
 
-/// All contradictions between two sets of rules, sorted.
+/// All conflicts between two documents, sorted.
 pub fn conflicts(a: &Rules, b: &Rules) -> Vec<Conflict> {
-    let mut found = Vec::new();
+    let mut conflicts = Vec::new();
     let keys = |x: Vec<&String>, y: Vec<&String>| {
         let mut all: Vec<String> = x.into_iter().chain(y).cloned().collect();
         all.sort();
@@ -127,22 +127,22 @@
     };
     for tenant in keys(a.quotas.keys().collect(), b.quotas.keys().collect()) {
         if a.quotas.get(&tenant) != b.quotas.get(&tenant) {
-            found.push(Conflict::Quota(tenant));
+            conflicts.push(Conflict::Quota(tenant));
         }
     }
     for class in keys(a.classes.keys().collect(), b.classes.keys().collect()) {
         if a.retry_policy(&class) != b.retry_policy(&class) {
-            found.push(Conflict::RetryPolicy(class));
+            conflicts.push(Conflict::RetryPolicy(class));
         }
     }
     for uid in keys(a.hosts.keys().collect(), b.hosts.keys().collect()) {
         let serves = |r: &Rules| r.hosts.get(&uid).is_some_and(|h| !h.draining);
         if serves(a) != serves(b) {
-            found.push(Conflict::Host(uid));
+            conflicts.push(Conflict::Host(uid));
         } else if serves(a) && a.hosts.get(&uid) != b.hosts.get(&uid) {
-            found.push(Conflict::Address(uid));
+            conflicts.push(Conflict::Address(uid));
         }
     }
-    found.sort();
-    found
+    conflicts.sort();
+    conflicts
 }
--- a/replication/src/scope.rs
+++ b/replication/src/scope.rs
@@ -1,26 +1,26 @@
-//! State cut into scopes: what gateways agree on, as small entries by key, and changes that name the entries they touch.
+//! The replicated state: small entries by key, divided into scopes, and changes that name the entries they touch.
 //!
-//! A gateway follows the scopes that its requests need, and a change costs what it changes, not what there is. All that is
-//! in one entry is of a fixed, small size; names are not kept, only [`Key`]s made of them.
+//! A gateway follows the scopes that its requests need, and the cost of a change depends on the change, not on the size of
+//! the state. An entry has a fixed, small size; names are hashed to [`Key`]s.
 use crate::rules::RetryPolicy;
 use serde::{Deserialize, Serialize};
 use sha2::{Digest as _, Sha256};
 use std::net::SocketAddrV4;
 
-/// A version's place in the one order that all agree on: 1 for the first, 0 for none.
+/// A place in the total order of changes: 1 for the first revision, 0 for none.
 pub type Revision = u64;
 
-/// How many scopes the tenants are spread over: about 160 of 670,000 in each.
+/// How many scopes the tenants are sharded over: about 160 of 670,000 tenants in each.
 pub const TENANT_SCOPE_COUNT: u32 = 4096;
 
-/// A part of the state that is followed as a whole.
+/// The unit of replication: a follower has all entries of a scope or fetches them.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum Scope {
-    /// Zones that are in service or lost; [`Key`] is the zone's number. Every member follows it.
+    /// Zones that are in service or lost, by the [`Key`] of the zone's number. Every member follows it.
     Zones,
-    /// What holds for the whole fleet, among it how far classes may be repeated. Every member follows it.
+    /// Rules of the whole fleet: the retry policy of each request class. Every member follows it.
     Fleet,
-    /// The servers of a service, by the [`Key`] of their uid.
+    /// The hosts of a service, by the [`Key`] of their uid.
     Hosts(u32),
     /// The routes that lead to a service, by the [`Key`] of their name.
     Routes(u32),
@@ -34,14 +34,14 @@
         Scope::Tenants((tenant.0 % u64::from(TENANT_SCOPE_COUNT)) as u32)
     }
 
-    /// Whether every member follows it, asked or not.
+    /// Whether every member follows it.
     pub fn is_global(self) -> bool {
         matches!(self, Scope::Zones | Scope::Fleet)
     }
 }
 
-/// A name as it is kept and sent: the first 64 bits of its SHA-256. Among a million names two are alike once in 37 million
-/// installations; whoever proposes an entry has to refuse a name whose key is another's.
+/// A hashed name: the first 64 bits of its SHA-256. Among a million names two have the same key in one of 37 million
+/// installations; whoever proposes an entry has to reject a name whose key is taken by another name.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Key(pub u64);
 
@@ -52,53 +52,53 @@
         Key(u64::from_le_bytes([hash[0], hash[1], hash[2], hash[3], hash[4], hash[5], hash[6], hash[7]]))
     }
 
-    /// The key of a number, as zones have.
+    /// The key of a numbered item, such as a zone.
     pub fn from_number(number: u32) -> Key {
         Key(u64::from(number))
     }
 }
 
-/// A server, as all gateways are to see it. It takes new work while it serves and its zone does.
+/// A server. It gets new requests unless it drains or its zone is out of service.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Host {
     /// Where it listens.
     pub address: SocketAddrV4,
     /// The number of its zone.
     pub zone: u16,
-    /// It gets nothing new.
+    /// It gets no new requests.
     pub draining: bool,
-    /// Its size in relation to others, in thousandths.
+    /// Its capacity in relation to other hosts, in thousandths.
     pub weight_milli: u32,
-    /// Its last start, as Unix time in seconds; 0 for long ago.
+    /// Its last start, as Unix time in s; 0 if that is long ago.
     pub started_s: u32,
 }
 
 /// A route to a service.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Route {
-    /// The number of the class that its requests have in the settings.
+    /// The number that the settings give to the class of its requests.
     pub class: u16,
-    /// How far these may be repeated.
+    /// Whether these requests may be retried.
     pub retry_policy: RetryPolicy,
 }
 
-/// What is agreed under one key.
+/// The value under a key.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Entry {
-    /// A server, in [`Scope::Hosts`].
+    /// A host, in [`Scope::Hosts`].
     Host(Host),
     /// A route, in [`Scope::Routes`].
     Route(Route),
     /// A tenant's quota over all gateways, in requests a second, in [`Scope::Tenants`].
     Quota(u32),
-    /// How far a class may be repeated, in [`Scope::Fleet`].
+    /// The retry policy of a class, in [`Scope::Fleet`].
     RetryPolicy(RetryPolicy),
-    /// Whether a zone is in service, in [`Scope::Zones`]. A zone without an entry is.
+    /// Whether a zone is in service, in [`Scope::Zones`]; a zone without an entry is.
     Zone(bool),
 }
 
 impl Entry {
-    /// Whether it may stand in that scope.
+    /// Whether entries of this kind belong into a scope.
     pub fn fits(&self, scope: Scope) -> bool {
         matches!(
             (self, scope),
@@ -111,9 +111,9 @@
     }
 }
 
-/// The stricter of two things that may be agreed under one key, either of which may be absent: who acts by it does nothing
-/// that one of the two forbids. A server takes work only where both say the same of it; an absent quota is no limit; an
-/// absent repeat is none; an absent zone is in service.
+/// The stricter of two values of one key, either of which may be absent: acting on it does nothing that one of the two
+/// forbids. A host gets new requests only if both values allow it at the same address; an absent quota is no limit; an absent
+/// retry policy allows no retry; an absent zone is in service.
 pub fn stricter(scope: Scope, a: Option<Entry>, b: Option<Entry>) -> Option<Entry> {
     match (scope, a, b) {
         (Scope::Hosts(_), Some(Entry::Host(a)), Some(Entry::Host(b))) => {
@@ -134,50 +134,50 @@
     }
 }
 
-/// One entry that is set or, where `entry` is `None`, removed.
+/// An entry that is set or, if `entry` is `None`, removed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Change {
-    /// Where.
+    /// The scope of the entry.
     pub scope: Scope,
-    /// Under which key.
+    /// Its key.
     pub key: Key,
-    /// What is there from then on.
+    /// The new value.
     pub entry: Option<Entry>,
 }
 
-/// Changes with their place in the order that all agree on.
+/// The changes that one revision makes.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ChangeSet {
-    /// Its place.
+    /// The revision.
     pub revision: Revision,
-    /// What it changes; to a follower, only in the scopes that it has.
+    /// The changes; in a message to a follower, only those in its scopes.
     pub changes: Vec<Change>,
 }
 
-/// What a set of entries sums up to: the sum, without carry over 128 bits, of a hash of each. It is kept up by change; the
-/// order of changes does not matter. It tells mistakes, not forgeries.
+/// A digest of a set of entries: the sum of a 128-bit hash of each, modulo 2^128. It is updated change by change, in any
+/// order. It detects errors, not forgeries.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Digest(pub u128);
 
 impl Digest {
-    /// Takes an entry in.
+    /// Adds an entry to the set.
     pub fn add(&mut self, scope: Scope, key: Key, entry: &Entry) {
         self.0 = self.0.wrapping_add(hash(scope, key, entry));
     }
 
-    /// Takes an entry out that was taken in.
+    /// Removes an entry that was added.
     pub fn remove(&mut self, scope: Scope, key: Key, entry: &Entry) {
         self.0 = self.0.wrapping_sub(hash(scope, key, entry));
     }
 
-    /// Takes another set in that shares nothing with this one.
+    /// Adds all entries of another set, which has none in common with this one.
     pub fn join(&mut self, other: Digest) {
         self.0 = self.0.wrapping_add(other.0);
     }
 }
 
 fn hash(scope: Scope, key: Key, entry: &Entry) -> u128 {
-    // Nothing of these types can fail to be written.
+    // Encoding these types into memory cannot fail.
     let bytes = postcard::to_allocvec(&(scope, key, entry)).unwrap_or_default();
     let hash = Sha256::digest(bytes);
     hash.iter().take(16).fold(0, |sum, byte| sum << 8 | u128::from(*byte))
--- a/replication/src/tables.rs
+++ b/replication/src/tables.rs
@@ -2,7 +2,7 @@
 //! fit beside each other in the memory a gateway may spend on them.
 use crate::rules::RetryPolicy;
 use crate::scope::{Digest, Entry, Host, Key, Revision, Route, Scope};
-use crate::store::Storage;
+use crate::storage::Storage;
 use serde::de::{DeserializeSeed, Error, MapAccess, Visitor};
 use serde::{Deserialize, Deserializer, Serialize, Serializer};
 use std::collections::BTreeMap;
--- a/replication/tests/agreement.rs
+++ b/replication/tests/agreement.rs
@@ -302,12 +302,16 @@
     assert_eq!(validate(&in_force, &seen(7, true, vec![]), true), Verdict::Outdated);
     // An empty list, by mistake or not: somebody has to confirm it. What it says of single hosts passes at once.
     let drained = seen(50, true, vec![(3, Some(host(true))), (4, None)]);
-    let Verdict::NeedsConfirmation { meanwhile, all } = validate(&in_force, &drained, false) else {
+    let Verdict::NeedsConfirmation { explicit_changes, all_changes } = validate(&in_force, &drained, false)
+    else {
         panic!("it passed")
     };
-    assert!(meanwhile.hosts["s-3"].draining && !meanwhile.hosts.contains_key("s-4"));
-    assert_eq!((meanwhile.hosts.len(), meanwhile.list_rev, all.hosts.len()), (1199, 41, 1));
-    assert_eq!(validate(&in_force, &drained, true), Verdict::Propose(all));
+    assert!(explicit_changes.hosts["s-3"].draining && !explicit_changes.hosts.contains_key("s-4"));
+    assert_eq!(
+        (explicit_changes.hosts.len(), explicit_changes.list_rev, all_changes.hosts.len()),
+        (1199, 41, 1)
+    );
+    assert_eq!(validate(&in_force, &drained, true), Verdict::Propose(all_changes));
     // Explicit removals pass, however many.
     let gone = seen(51, false, (0..1200).map(|n| (n, None)).collect());
     let Verdict::Propose(rules) = validate(&in_force, &gone, false) else { panic!("held up") };
--- a/replication/tests/apart.rs
+++ b/replication/tests/apart.rs
@@ -5,7 +5,8 @@
 use ternstack_replication::primary::{Primary, PrimaryEvent, ProposalError, Proposer, MAX_PROPOSAL_BYTES};
 use ternstack_replication::replica::Replica;
 use ternstack_replication::scope::{Change, Entry, Host, Key, Scope};
-use ternstack_replication::store::{Storage, Store};
+use ternstack_replication::storage::Storage;
+use ternstack_replication::store::Store;
 use ternstack_replication::tables::Tables;
 use ternstack_replication::wire::{encode, Member, Message, PollRequest, PollResponse};
 
--- a/replication/tests/common/judge.rs
+++ b/replication/tests/common/judge.rs
@@ -4,7 +4,7 @@
 use ternstack_fault_tests::history::What;
 use ternstack_replication::follower::ScopeMode;
 use ternstack_replication::primary::PrimaryEvent;
-use ternstack_replication::store::Storage;
+use ternstack_replication::storage::Storage;
 
 impl World {
     /// The leader of today puts versions together and brings them into force.
--- a/replication/tests/same_bytes.rs
+++ b/replication/tests/same_bytes.rs
@@ -8,7 +8,8 @@
 use ternstack_replication::rules::{self, conflicts, Rules};
 use ternstack_replication::scope::{stricter, Change, ChangeSet, Digest, Key, Scope};
 use ternstack_replication::snapshot::Snapshot;
-use ternstack_replication::store::{Storage, Store};
+use ternstack_replication::storage::Storage;
+use ternstack_replication::store::Store;
 use ternstack_replication::tables::Tables;
 use ternstack_replication::wire::{
     decode, ChunkEntry, Cursor, Member, Message, PollRequest, PollResponse, ScopeChunk, Status, Subscription,
@@ -275,7 +276,9 @@
             let (kind, texts) = match validate(&one, &list, confirmed) {
                 Verdict::Outdated => (0, vec![]),
                 Verdict::Propose(rules) => (1, vec![json(&rules)]),
-                Verdict::NeedsConfirmation { meanwhile, all } => (2, vec![json(&meanwhile), json(&all)]),
+                Verdict::NeedsConfirmation { explicit_changes, all_changes } => {
+                    (2, vec![json(&explicit_changes), json(&all_changes)])
+                }
             };
             lines.push((format!("look-{seed}-{confirmed}"), format!("{kind} {}", texts.concat())));
         }
--- a/replication/tests/same_exchanges.rs
+++ b/replication/tests/same_exchanges.rs
@@ -6,7 +6,8 @@
 use ternstack_replication::primary::{Primary, PrimaryEvent, Proposer};
 use ternstack_replication::replica::Replica;
 use ternstack_replication::scope::{Change, ChangeSet, Key, Scope};
-use ternstack_replication::store::{Storage, Store};
+use ternstack_replication::storage::Storage;
+use ternstack_replication::store::Store;
 use ternstack_replication::tables::Tables;
 use ternstack_replication::wire::{Cursor, Member, Message, PollRequest, PollResponse, Subscription};
 
--- a/replication/tests/store.rs
+++ b/replication/tests/store.rs
@@ -6,7 +6,8 @@
 use std::net::{Ipv4Addr, SocketAddrV4};
 use ternstack_replication::rules::RetryPolicy;
 use ternstack_replication::scope::{Change, ChangeSet, Digest, Entry, Host, Key, Revision, Route, Scope};
-use ternstack_replication::store::{Storage, Store};
+use ternstack_replication::storage::Storage;
+use ternstack_replication::store::Store;
 use ternstack_replication::wire::{ChunkEntry, Cursor, ScopeChunk};
 
 const SCOPES: [Scope; 6] =
--- a/replication/tests/tables.rs
+++ b/replication/tests/tables.rs
@@ -7,7 +7,7 @@
 use ternstack_replication::rules::RetryPolicy;
 use ternstack_replication::scope::{Digest, Entry, Host, Key, Route, Scope};
 use ternstack_replication::snapshot::{Snapshot, SnapshotError, FORMAT_VERSION, HEADER_BYTES, MAGIC};
-use ternstack_replication::store::Storage;
+use ternstack_replication::storage::Storage;
 use ternstack_replication::tables::Tables;
 
 const SCOPES: [Scope; 7] = [
--- a/scale-tests/src/fleet.rs
+++ b/scale-tests/src/fleet.rs
@@ -16,7 +16,7 @@
 use ternstack_replication::placement;
 use ternstack_replication::scope::{Digest, Key, Revision, Scope};
 use ternstack_replication::snapshot::Snapshot;
-use ternstack_replication::store::Storage;
+use ternstack_replication::storage::Storage;
 use ternstack_replication::tables::Tables;
 use ternstack_replication::wire::{decode, encode, Message, Status};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
--- a/scale-tests/src/hollow.rs
+++ b/scale-tests/src/hollow.rs
@@ -19,7 +19,8 @@
 use ternstack_replication::primary::Primary;
 use ternstack_replication::replica::Replica;
 use ternstack_replication::scope::{Digest, Entry, Key, Scope};
-use ternstack_replication::store::{Storage, Store};
+use ternstack_replication::storage::Storage;
+use ternstack_replication::store::Store;
 use ternstack_replication::wire::Member;
 use tokio::sync::mpsc;
 
