--- a/replication/src/follower.rs
+++ b/replication/src/follower.rs
@@ -1,349 +1,238 @@
-//! A follower's side: it asks, takes answers, catches up scope by scope, and says what to act by.
+//! The following side: polls, applies responses, fetches scopes, and says which rules apply.
 //!
-//! It has one ask out and takes the answer to its last ask and no other, whole or not at all. A lease counts from the moment
-//! of the ask. Whoever acts has to ask with the time of the act: a process that slept wakes without a lease.
+//! One poll is outstanding at a time, and only the response to the last poll is accepted, completely or not at all. A lease
+//! lasts from the moment of the poll. Whoever acts on the state has to ask with the time of the action: a process that was
+//! suspended wakes up without a lease.
+mod apply;
+mod event;
+mod fetch;
+mod poll_state;
+mod subscription;
+
 use crate::lease::LeaseConfig;
 use crate::scope::{stricter, Change, Entry, Key, Revision, Scope};
 use crate::snapshot::Snapshot;
 use crate::storage::Storage;
 use crate::tables::Tables;
 use crate::wire::{Cursor, Member, PollRequest, PollResponse, Subscription};
+pub use event::{FollowerEvent, ResponseError, ScopeMode};
+use fetch::Fetch;
+pub(crate) use poll_state::OutstandingPoll;
+use poll_state::PollState;
 use std::collections::BTreeMap;
+use subscription::SubscriptionState;
 
-mod apply;
-
-/// Scopes that one ask tells to be wanted, at most: more than an answer within the bytes of half a second holds.
-const FETCHED_AT_ONCE: usize = 64;
-/// The same for a machine between, whose answers are as long as a frame.
-const FETCHED_BETWEEN: usize = 4096;
-
-/// What a gateway acts by in a scope.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum ScopeMode {
-    /// The version in force.
-    Agreed(Revision),
-    /// Neutral rules: the stricter of all that it knows of each entry.
-    Conservative,
-    /// The scope is not there.
-    Unknown,
-}
-
-/// What an answer has changed.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum FollowerEvent {
-    /// This version is in force.
-    InForce(Revision),
-    /// All versions up to this one are known.
-    Known(Revision),
-    /// A scope is whole.
-    Complete(Scope),
-    /// A scope that was whole is stale: neutral rules hold in it.
-    Stale(Scope),
-    /// A scope did not sum up to what its grantor has. It is forgotten, and fetched from the start.
-    Restarted(Scope),
-    /// What to act by under this key may be another: a version in force or one to come touches it.
-    EntryChanged(Scope, Key),
-}
-
-/// Why an answer was not taken.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum ResponseError {
-    /// It answers no ask that is out: it is doubled, late, or another's.
-    Unsolicited,
-    /// The grantor does not know which scopes are whole here. The next ask tells.
-    SubscriptionMismatch,
-    /// The grantor is stale: it knows, or has in force, less than is known, or in force, here.
-    Outdated {
-        /// What is in force there.
-        in_force: Revision,
-        /// What is known there.
-        through: Revision,
-    },
-}
-
-impl std::fmt::Display for ResponseError {
-    fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        match self {
-            ResponseError::Unsolicited => write!(f, "an answer to no ask that is out"),
-            ResponseError::SubscriptionMismatch => {
-                write!(f, "an answer by who does not know which scopes are whole here")
-            }
-            ResponseError::Outdated { in_force, through } => {
-                write!(f, "an answer by who is stale: {in_force} in force there, {through} known")
-            }
-        }
-    }
-}
-
-impl std::error::Error for ResponseError {}
-
-/// A scope that is not whole.
-#[derive(Clone, Debug)]
-struct Fetch {
-    since: Cursor, // Where it began.
-    cursor: Cursor,
-    heat: f64,
-    /// `Some` where the scope is stale: what has come so far. Where it is starting, this goes to what is kept at once.
-    staged: Option<Staged>,
-}
-
-impl Fetch {
-    fn starting(heat: f64) -> Self {
-        Fetch { since: Cursor::default(), cursor: Cursor::default(), heat, staged: None }
-    }
-}
-
-/// What has come of a scope that is behind.
-#[derive(Clone, Debug, Default)]
-struct Staged {
-    /// It takes the place of all that was there.
-    restart: bool,
-    entries: BTreeMap<Key, (Revision, Option<Entry>)>,
-}
-
-impl Staged {
-    fn put(&mut self, key: Key, changed: Revision, entry: Option<Entry>) {
-        let there = self.entries.entry(key).or_insert((changed, entry));
-        if there.0 <= changed {
-            *there = (changed, entry);
-        }
-    }
-}
-
-/// The ask that is out.
-#[derive(Clone, Debug)]
-pub(crate) struct Asked {
-    at: f64,
-    known: Revision,
-    in_force: Revision,
-    revision: u64,
-    first: bool, // As far as is known, of this grantor.
-    fetch: BTreeMap<Scope, Cursor>,
-}
+/// The most scopes that one poll of a gateway fetches: more than fit a response within the bytes of half a second.
+const MAX_FETCHES_COUNT: usize = 64;
+/// The same for a replica, whose responses may be as long as a frame.
+const MAX_REPLICA_FETCHES_COUNT: usize = 4096;
 
-/// A follower. Times are ms of the caller's clock; memory is by what it follows.
+/// A follower with its state in `S`. Times are in ms of the caller's clock.
 #[derive(Clone, Debug)]
-pub struct Follower<K> {
-    terms: LeaseConfig,
+pub struct Follower<S> {
+    config: LeaseConfig,
     member: Member,
-    storage: K,
-    everything: bool,
-    whole: BTreeMap<Scope, f64>, // With its heat.
+    storage: S,
+    /// It follows every scope, as a replica does.
+    all_scopes: bool,
+    /// Complete scopes, with their priority.
+    complete: BTreeMap<Scope, f64>,
     fetching: BTreeMap<Scope, Fetch>,
-    pending: BTreeMap<Revision, Vec<Change>>, // After `in_force`; in scopes that are whole or behind.
+    /// Changes of revisions after `in_force`, in complete and stale scopes.
+    pending: BTreeMap<Revision, Vec<Change>>,
     known: Revision,
     in_force: Revision,
-    until: f64,
-    last: u64,
-    heard: u64,
-    asked: Option<Asked>,
-    due: f64,
-    patience_ms: f64, // With the ask that is out.
-    revision: u64,
-    told: Option<u64>,              // The revision that the grantor has.
-    changed: BTreeMap<Scope, bool>, // What is whole since `told` and what no more, as far as the last ask said.
-    later: BTreeMap<Scope, bool>,   // The same since the last ask.
+    lease_until: f64,
+    poll: PollState,
+    subscription: SubscriptionState,
 }
 
-impl<K: Storage> Follower<K> {
+impl<S: Storage> Follower<S> {
     /// A gateway that knows nothing; `storage` has to be empty.
-    pub fn new(terms: LeaseConfig, member: Member, storage: K) -> Self {
-        let mut follower = Follower {
-            terms,
+    pub fn new(config: LeaseConfig, member: Member, storage: S) -> Self {
+        let mut follower = Follower::without_scopes(config, member, storage, config.poll_interval_ms());
+        for scope in [Scope::Zones, Scope::Fleet] {
+            follower.subscribe(scope, f64::INFINITY);
+        }
+        follower
+    }
+
+    /// A replica, which follows every scope. Its owner keeps the pending revisions.
+    pub fn following_all(config: LeaseConfig, member: Member, storage: S) -> Self {
+        let interval_ms = config.replica_poll_interval_ms();
+        Follower { all_scopes: true, ..Follower::without_scopes(config, member, storage, interval_ms) }
+    }
+
+    fn without_scopes(config: LeaseConfig, member: Member, storage: S, interval_ms: f64) -> Self {
+        Follower {
+            config,
             member,
             storage,
-            everything: false,
-            whole: BTreeMap::new(),
+            all_scopes: false,
+            complete: BTreeMap::new(),
             fetching: BTreeMap::new(),
             pending: BTreeMap::new(),
             known: 0,
             in_force: 0,
-            until: f64::NEG_INFINITY,
-            last: 0,
-            heard: 0,
-            asked: None,
-            due: f64::NEG_INFINITY,
-            patience_ms: terms.poll_interval_ms(),
-            revision: 1,
-            told: None,
-            changed: BTreeMap::new(),
-            later: BTreeMap::new(),
-        };
-        [Scope::Zones, Scope::Fleet].into_iter().for_each(|scope| follower.subscribe(scope, f64::INFINITY));
-        follower
-    }
-
-    /// A machine between: it follows every scope there is. Versions to come are for its owner to keep.
-    pub fn following_all(terms: LeaseConfig, member: Member, storage: K) -> Self {
-        let mut follower = Follower::new(terms, member, storage);
-        follower.everything = true;
-        follower.patience_ms = terms.replica_poll_interval_ms();
-        follower.fetching.clear();
-        follower
+            lease_until: f64::NEG_INFINITY,
+            poll: PollState::new(interval_ms),
+            subscription: SubscriptionState::new(),
+        }
     }
 
-    /// A request needs a scope, which is so hot: the hottest ones are fetched first.
-    pub fn subscribe(&mut self, scope: Scope, heat: f64) {
-        let heat = if scope.is_global() { f64::INFINITY } else { heat };
-        if let Some(whole) = self.whole.get_mut(&scope) {
-            *whole = heat;
-        } else if !self.everything {
-            self.fetching.entry(scope).or_insert_with(|| Fetch::starting(heat)).heat = heat;
+    /// Follows a scope, or changes its priority: the scopes with the highest priority are fetched first.
+    pub fn subscribe(&mut self, scope: Scope, priority: f64) {
+        let priority = if scope.is_global() { f64::INFINITY } else { priority };
+        if let Some(current) = self.complete.get_mut(&scope) {
+            *current = priority;
+        } else if !self.all_scopes {
+            let fetch = self.fetching.entry(scope).or_insert_with(|| Fetch::from_start(priority));
+            fetch.priority = priority;
         }
     }
 
-    /// A scope is needed no more. Those that all follow stay.
+    /// Stops following a scope. Scopes that every member follows stay.
     pub fn unsubscribe(&mut self, scope: Scope) {
-        if scope.is_global() || self.everything {
+        if scope.is_global() || self.all_scopes {
             return;
         }
         self.drop_scope(scope);
     }
 
     fn drop_scope(&mut self, scope: Scope) {
-        if self.whole.remove(&scope).is_some() {
-            self.later.insert(scope, false);
+        if self.complete.remove(&scope).is_some() {
+            self.subscription.record(scope, false);
         }
         self.fetching.remove(&scope);
-        self.pending.values_mut().for_each(|changes| changes.retain(|c| c.scope != scope));
+        self.pending.values_mut().for_each(|changes| changes.retain(|change| change.scope != scope));
         self.pending.retain(|_, changes| !changes.is_empty());
         self.storage.remove_scope(scope);
     }
 
-    /// The next ask goes to another grantor, or over another connection: it tells the whole, and may go out at once.
+    /// The next poll goes to another lessor, or over another connection: it is due at once, and carries the complete
+    /// subscription.
     pub fn reconnected(&mut self) {
-        (self.told, self.asked) = (None, None);
-        self.due = f64::NEG_INFINITY;
+        self.subscription.reset();
+        self.poll.reset();
     }
 
-    fn every_ms(&self) -> f64 {
-        if self.everything {
-            self.terms.replica_poll_interval_ms()
+    fn poll_interval_ms(&self) -> f64 {
+        if self.all_scopes {
+            self.config.replica_poll_interval_ms()
         } else {
-            self.terms.poll_interval_ms()
+            self.config.poll_interval_ms()
         }
     }
 
-    /// When the next ask is due; in the past where it is at once. Without an answer it is after as long as with one, so that
-    /// a lost message is made good soon; once answers have come too late, after twice as long, up to half a lease.
+    /// When the next poll is due, in ms; in the past if it is due at once.
+    ///
+    /// Without a response the next poll is due after the regular interval; when responses arrive too late, the wait doubles,
+    /// up to [`LeaseConfig::response_timeout_ms`].
     pub fn next_poll(&self) -> f64 {
-        self.asked.as_ref().map_or(self.due, |asked| asked.at + self.patience_ms)
+        self.poll.next_due()
     }
 
-    /// The next ask, if it is due at `now`. The answer to the one before will not be taken any more.
+    /// The next poll, if it is due at `now`. The response to the previous one will be rejected.
     pub fn poll(&mut self, now: f64) -> Option<PollRequest> {
         (now >= self.next_poll()).then(|| self.poll_for(now, self.known, self.in_force))
     }
 
-    /// An ask on behalf of others, too, who know and act on no less than this.
+    /// A poll that reports the progress of others, too, which is no higher than this follower's.
     pub(crate) fn poll_for(&mut self, now: f64, known: Revision, in_force: Revision) -> PollRequest {
-        self.last += 1;
-        if !self.later.is_empty() {
-            self.revision += 1;
-            self.changed.append(&mut self.later);
-        }
-        if self.told.is_none() {
-            self.begin_again();
+        self.poll.sequence += 1;
+        self.subscription.begin_poll();
+        let is_first = !self.subscription.is_confirmed();
+        if is_first {
+            self.restart_fetches();
         }
-        let fetch = self.hottest();
-        self.asked = Some(Asked {
-            at: now,
+        let fetch = self.next_fetches();
+        self.poll.outstanding = Some(OutstandingPoll {
+            sent_at: now,
             known,
             in_force,
-            revision: self.revision,
-            first: self.told.is_none(),
+            generation: self.subscription.generation(),
+            is_first,
             fetch: fetch.iter().copied().collect(),
         });
         PollRequest {
             member: self.member.clone(),
-            sequence: self.last,
-            acknowledged: self.heard,
+            sequence: self.poll.sequence,
+            acknowledged: self.poll.acknowledged,
             known,
             in_force,
-            subscription: self.subscription(),
+            subscription: self.subscription_message(),
             fetch,
         }
     }
 
-    /// What was begun with one grantor is not gone on with at another: that one may have begun itself since, and not know
-    /// what was removed before.
-    fn begin_again(&mut self) {
+    /// Restarts all fetches. A fetch does not continue at another lessor: that one may have started since, and not know what
+    /// was removed before.
+    fn restart_fetches(&mut self) {
         for (scope, fetch) in &mut self.fetching {
-            if fetch.staged.is_none() && fetch.cursor != fetch.since {
+            if !fetch.is_stale() && fetch.cursor != fetch.since {
                 self.storage.clear(*scope);
             }
             fetch.cursor = fetch.since;
         }
     }
 
-    fn subscription(&self) -> Subscription {
-        let generation = self.revision;
-        match self.told {
-            _ if self.everything => Subscription::AllScopes { generation },
-            Some(told) if told == generation => Subscription::Unchanged { generation },
-            Some(from) => {
-                let these = |whole| self.changed.iter().filter(move |c| *c.1 == whole).map(|c| *c.0);
-                Subscription::Delta {
-                    from,
-                    generation,
-                    added: these(true).collect(),
-                    removed: these(false).collect(),
-                }
-            }
-            None => Subscription::Complete { generation, scopes: self.whole.keys().copied().collect() },
+    fn subscription_message(&self) -> Subscription {
+        if self.all_scopes {
+            return Subscription::AllScopes { generation: self.subscription.generation() };
         }
-    }
-
-    fn hottest(&self) -> Vec<(Scope, Cursor)> {
-        let most = if self.everything { FETCHED_BETWEEN } else { FETCHED_AT_ONCE };
-        let mut all: Vec<_> = self.fetching.iter().map(|(scope, f)| (f.heat, *scope, f.cursor)).collect();
-        if all.len() > most {
-            all.select_nth_unstable_by(most, |a, b| b.0.total_cmp(&a.0).then(a.1.cmp(&b.1)));
-            all.truncate(most);
+        self.subscription.message(self.complete.keys())
+    }
+
+    /// The scopes to fetch next, by descending priority.
+    fn next_fetches(&self) -> Vec<(Scope, Cursor)> {
+        let max_count = if self.all_scopes { MAX_REPLICA_FETCHES_COUNT } else { MAX_FETCHES_COUNT };
+        let by_priority =
+            |a: &(f64, Scope, Cursor), b: &(f64, Scope, Cursor)| b.0.total_cmp(&a.0).then(a.1.cmp(&b.1));
+        let mut fetches: Vec<_> =
+            self.fetching.iter().map(|(scope, fetch)| (fetch.priority, *scope, fetch.cursor)).collect();
+        if fetches.len() > max_count {
+            fetches.select_nth_unstable_by(max_count, by_priority);
+            fetches.truncate(max_count);
         }
-        all.sort_by(|a, b| b.0.total_cmp(&a.0).then(a.1.cmp(&b.1)));
-        all.into_iter().map(|(_, scope, cursor)| (scope, cursor)).collect()
+        fetches.sort_by(by_priority);
+        fetches.into_iter().map(|(_, scope, cursor)| (scope, cursor)).collect()
     }
 
-    /// Takes an answer that came at `now`.
+    /// Applies a response that has arrived at `now`, and says what it has changed.
+    ///
+    /// # Errors
+    /// A [`ResponseError`] if the response is rejected; the follower is then as before, but for the time of its next poll.
     pub fn handle_response(
-        &mut self, now: f64, grant: PollResponse,
+        &mut self, now: f64, response: PollResponse,
     ) -> Result<Vec<FollowerEvent>, ResponseError> {
-        let asked = self.accept(&grant)?;
-        Ok(self.apply_response(now, asked, grant))
+        let poll = self.accept(&response)?;
+        Ok(self.apply_response(now, poll, response))
     }
 
-    /// Whether an answer may be taken. If so no other one will be.
-    pub(crate) fn accept(&mut self, grant: &PollResponse) -> Result<Asked, ResponseError> {
-        if grant.sequence != self.last {
-            // One that was not waited for: the way is longer than the patience.
-            if self.asked.is_some() && (self.heard + 1..self.last).contains(&grant.sequence) {
-                self.patience_ms = (2.0 * self.patience_ms).min(self.terms.response_timeout_ms());
-            }
-            return Err(ResponseError::Unsolicited);
-        }
-        let asked = self.asked.take().ok_or(ResponseError::Unsolicited)?;
-        self.heard = grant.sequence;
-        if grant.generation != asked.revision {
-            self.told = None;
-            self.due = asked.at + self.terms.prompt_poll_delay_ms();
+    /// Takes the outstanding poll if a response may be applied; no other response to it will be accepted.
+    pub(crate) fn accept(&mut self, response: &PollResponse) -> Result<OutstandingPoll, ResponseError> {
+        let poll = self.poll.accept(response.sequence, self.config.response_timeout_ms())?;
+        if response.generation != poll.generation {
+            self.subscription.reset();
+            self.poll.due = poll.sent_at + self.config.prompt_poll_delay_ms();
             return Err(ResponseError::SubscriptionMismatch);
         }
-        // Guards against a grantor of the past. Had it less of what is to come than is known here, a scope that becomes
-        // whole by its answer would lack the rest.
-        if grant.in_force < self.in_force || grant.through < self.known.max(grant.in_force) {
-            self.due = asked.at + self.every_ms();
-            return Err(ResponseError::Outdated { in_force: grant.in_force, through: grant.through });
+        // If the lessor knew fewer pending revisions, a scope that becomes complete with its response would lack some.
+        let is_outdated =
+            response.in_force < self.in_force || response.through < self.known.max(response.in_force);
+        if is_outdated {
+            self.poll.due = poll.sent_at + self.poll_interval_ms();
+            return Err(ResponseError::Outdated { in_force: response.in_force, through: response.through });
         }
-        Ok(asked)
+        Ok(poll)
     }
 
-    /// What to act by in a scope at `now`, which has to be the time of the act.
+    /// Which rules apply in a scope at `now`, which has to be the time of the action.
     pub fn scope_mode(&self, now: f64, scope: Scope) -> ScopeMode {
         match self.fetching.get(&scope) {
-            Some(fetch) if fetch.staged.is_some() => ScopeMode::Conservative,
-            None if self.whole.contains_key(&scope) => {
-                if now < self.until {
+            Some(fetch) if fetch.is_stale() => ScopeMode::Conservative,
+            None if self.complete.contains_key(&scope) => {
+                if now < self.lease_until {
                     ScopeMode::Agreed(self.in_force)
                 } else {
                     ScopeMode::Conservative
@@ -353,85 +242,89 @@
         }
     }
 
-    /// What holds under a key at `now`, by [`Follower::scope_mode`].
+    /// The entry that applies under a key at `now`, by [`Follower::scope_mode`].
     pub fn entry(&self, now: f64, scope: Scope, key: Key) -> Option<Entry> {
         match self.scope_mode(now, scope) {
             ScopeMode::Agreed(_) => self.storage.get(scope, key),
             ScopeMode::Unknown => None,
-            ScopeMode::Conservative => {
-                let staged = self.fetching.get(&scope).and_then(|f| f.staged.as_ref()?.entries.get(&key));
-                let to_come = self.pending.values().flatten().filter(|c| c.scope == scope && c.key == key);
-                let others = staged.map(|(_, entry)| *entry).into_iter().chain(to_come.map(|c| c.entry));
-                others.fold(self.storage.get(scope, key), |strict, entry| stricter(scope, strict, entry))
-            }
+            ScopeMode::Conservative => self.strictest_entry(scope, key),
         }
     }
 
-    /// Until when its lease lasts; it holds none from then on.
+    /// The strictest of the stored, staged and pending values of a key.
+    fn strictest_entry(&self, scope: Scope, key: Key) -> Option<Entry> {
+        let staged = self.fetching.get(&scope).and_then(|fetch| fetch.staged.as_ref()?.entries.get(&key));
+        let changes = self.pending.values().flatten();
+        let pending = changes.filter(|change| change.scope == scope && change.key == key);
+        let others = staged.map(|(_, entry)| *entry).into_iter().chain(pending.map(|change| change.entry));
+        others.fold(self.storage.get(scope, key), |strictest, entry| stricter(scope, strictest, entry))
+    }
+
+    /// When the lease expires, in ms; there is none from then on.
     pub fn lease_until(&self) -> f64 {
-        self.until
+        self.lease_until
     }
 
-    /// All versions up to this one are known to it, in its scopes.
+    /// All revisions up to this one are known, in complete scopes.
     pub fn known(&self) -> Revision {
         self.known
     }
 
-    /// The version that came into force last here.
+    /// The revision that came into force last.
     pub fn in_force(&self) -> Revision {
         self.in_force
     }
 
-    /// Who it is.
+    /// Who polls.
     pub fn member(&self) -> &Member {
         &self.member
     }
 
-    /// What it storage its state in, at the version in force. Scopes that are starting are in there in part.
-    pub fn storage(&self) -> &K {
+    /// The entries at the revision in force. Scopes that are fetched for the first time are in there in part.
+    pub fn storage(&self) -> &S {
         &self.storage
     }
 
-    pub(crate) fn storage_mut(&mut self) -> &mut K {
+    pub(crate) fn storage_mut(&mut self) -> &mut S {
         &mut self.storage
     }
 
-    /// Whether an ask is out whose answer would still be taken.
+    /// Whether a poll is outstanding.
     pub fn is_polling(&self) -> bool {
-        self.asked.is_some()
+        self.poll.outstanding.is_some()
     }
 
-    /// The scopes that it has whole, with their heat.
+    /// The complete scopes, with their priority.
     pub fn complete_scopes(&self) -> impl Iterator<Item = (Scope, f64)> + '_ {
-        self.whole.iter().map(|(scope, heat)| (*scope, *heat))
+        self.complete.iter().map(|(scope, priority)| (*scope, *priority))
     }
 
-    /// The scopes that are starting or behind.
+    /// The scopes that are being fetched, for the first time or because they are stale.
     pub fn fetching_scopes(&self) -> impl Iterator<Item = Scope> + '_ {
         self.fetching.keys().copied()
     }
 
-    /// Whether nothing that it follows is starting or behind.
+    /// Whether all scopes that it follows are complete.
     pub fn is_complete(&self) -> bool {
         self.known > 0 && self.fetching.is_empty()
     }
 }
 
 impl Follower<Tables> {
-    /// A gateway in a new life that has kept a snapshot. The scopes in it are whole, as of the version in force then.
-    pub fn restore(terms: LeaseConfig, member: Member, snapshot: Snapshot) -> Self {
+    /// A gateway that restarts with a snapshot. The scopes in it are complete at the snapshot's revision in force; pending
+    /// revisions are not part of it and have to be sent again.
+    pub fn restore(config: LeaseConfig, member: Member, snapshot: Snapshot) -> Self {
         let scopes: Vec<Scope> = snapshot.tables.scopes().collect();
-        let mut follower = Follower::new(terms, member, snapshot.tables);
-        // What was to come is not in there: it has to be told again.
+        let mut follower = Follower::new(config, member, snapshot.tables);
         (follower.known, follower.in_force) = (snapshot.in_force, snapshot.in_force);
         for scope in scopes {
-            let heat = follower.fetching.remove(&scope).map_or(0.0, |fetch| fetch.heat);
-            follower.whole.insert(scope, heat);
+            let priority = follower.fetching.remove(&scope).map_or(0.0, |fetch| fetch.priority);
+            follower.complete.insert(scope, priority);
         }
         follower
     }
 
-    /// What to keep for the next life: the scopes that are whole, as of the version in force. Costs a copy of them.
+    /// The complete scopes at the revision in force, to restart with. The cost is that of a copy.
     pub fn snapshot(&self) -> Snapshot {
         let mut tables = self.storage.clone();
         self.fetching.keys().for_each(|scope| tables.remove_scope(*scope));
--- a/replication/src/follower/apply.rs
+++ b/replication/src/follower/apply.rs
@@ -1,187 +1,180 @@
-//! Taking an answer: what was known comes into force, pieces go where they belong, and what is to come is kept.
-use super::{Asked, Fetch, Follower, FollowerEvent, Staged};
-use crate::scope::{Change, Revision, Scope};
+//! Applies a response: known revisions come into force, chunks are stored or staged, and pending revisions are kept.
+use super::fetch::{store_chunk, Fetch};
+use super::poll_state::OutstandingPoll;
+use super::{Follower, FollowerEvent};
+use crate::scope::{Change, Digest, Revision, Scope};
 use crate::storage::Storage;
 use crate::wire::{Cursor, PollResponse, ScopeChunk};
-use std::collections::BTreeMap;
 
-impl<K: Storage> Follower<K> {
-    /// Takes an answer that was accepted.
+impl<S: Storage> Follower<S> {
+    /// Applies a response that was accepted.
     pub(crate) fn apply_response(
-        &mut self, now: f64, asked: Asked, grant: PollResponse,
+        &mut self, now: f64, poll: OutstandingPoll, response: PollResponse,
     ) -> Vec<FollowerEvent> {
-        let mut news = Vec::new();
-        (self.told, self.changed) = (Some(asked.revision), BTreeMap::new());
-        // What was known comes into force before what has come, which is younger.
-        let later = self.pending.split_off(&(grant.in_force + 1));
-        for (number, changes) in std::mem::replace(&mut self.pending, later) {
-            self.apply_revision(number, &changes, &mut news);
-        }
-        for part in &grant.chunks {
-            self.apply_chunk(part, &asked, &mut news);
-        }
-        for scope in &grant.stale {
-            self.mark_stale(*scope, asked.known, &mut news);
-        }
-        if !self.everything {
-            for version in grant.pending.iter().filter(|v| v.revision > grant.in_force) {
-                self.stage_pending_revision(version.revision, &version.changes, &mut news);
+        let mut events = Vec::new();
+        self.subscription.confirm(poll.generation);
+        // Known revisions first: what the response carries is newer.
+        let still_pending = self.pending.split_off(&(response.in_force + 1));
+        for (revision, changes) in std::mem::replace(&mut self.pending, still_pending) {
+            self.apply_revision(revision, &changes, &mut events);
+        }
+        for chunk in &response.chunks {
+            self.apply_chunk(chunk, &poll, &mut events);
+        }
+        for scope in &response.stale {
+            self.mark_stale(*scope, poll.known, &mut events);
+        }
+        if !self.all_scopes {
+            for change_set in response.pending.iter().filter(|c| c.revision > response.in_force) {
+                self.stage_pending_revision(change_set.revision, &change_set.changes, &mut events);
             }
         }
-        if grant.in_force > self.in_force {
-            news.push(FollowerEvent::InForce(grant.in_force));
+        self.record_progress(&response, &mut events);
+        if response.lease_us > 0 {
+            // The lease lasts from the poll on, not from its response: the lessor counts from a later moment.
+            self.lease_until = self.lease_until.max(poll.sent_at + response.lease_us as f64 / 1000.0);
         }
-        if grant.through > self.known {
-            news.push(FollowerEvent::Known(grant.through));
-        }
-        (self.known, self.in_force) = (grant.through, grant.in_force);
-        if grant.lease_us > 0 {
-            // From the ask on, not from the answer: the grantor counts from a later moment.
-            self.until = self.until.max(asked.at + grant.lease_us as f64 / 1000.0);
+        self.schedule_next_poll(now, &poll);
+        events
+    }
+
+    fn record_progress(&mut self, response: &PollResponse, events: &mut Vec<FollowerEvent>) {
+        if response.in_force > self.in_force {
+            events.push(FollowerEvent::InForce(response.in_force));
         }
-        // A way that has become short again.
-        if now - asked.at < self.every_ms() / 2.0 {
-            self.patience_ms = self.every_ms();
+        if response.through > self.known {
+            events.push(FollowerEvent::Known(response.through));
         }
-        let starts = self.everything && !self.fetching.is_empty();
-        // The first answer gives no lease: that it was heard has to be told first.
-        let tells = starts || asked.first || self.known > asked.known || self.in_force > asked.in_force;
-        let pause = if tells { self.terms.prompt_poll_delay_ms() } else { self.every_ms() };
-        self.due = (asked.at + pause).max(now.min(asked.at + self.every_ms()));
-        news
+        (self.known, self.in_force) = (response.through, response.in_force);
     }
 
-    /// A version that was known is in force.
-    fn apply_revision(&mut self, number: Revision, changes: &[Change], news: &mut Vec<FollowerEvent>) {
+    /// The next poll is prompt if it has something to report or to fetch: progress, or that the first response of a lessor
+    /// has arrived, without which that lessor grants no lease.
+    fn schedule_next_poll(&mut self, now: f64, poll: &OutstandingPoll) {
+        let interval_ms = self.poll_interval_ms();
+        // The round trip is short again.
+        if now - poll.sent_at < interval_ms / 2.0 {
+            self.poll.timeout_ms = interval_ms;
+        }
+        let is_fetching_all = self.all_scopes && !self.fetching.is_empty();
+        let has_progressed = self.known > poll.known || self.in_force > poll.in_force;
+        let is_prompt = is_fetching_all || poll.is_first || has_progressed;
+        let delay_ms = if is_prompt { self.config.prompt_poll_delay_ms() } else { interval_ms };
+        self.poll.due = (poll.sent_at + delay_ms).max(now.min(poll.sent_at + interval_ms));
+    }
+
+    /// A known revision comes into force.
+    fn apply_revision(&mut self, revision: Revision, changes: &[Change], events: &mut Vec<FollowerEvent>) {
         for change in changes {
-            if self.whole.contains_key(&change.scope) {
-                self.storage.set(change.scope, change.key, number, change.entry);
-                news.push(FollowerEvent::EntryChanged(change.scope, change.key));
-            } else if let Some(staged) = self.fetching.get_mut(&change.scope).and_then(|f| f.staged.as_mut())
-            {
-                staged.put(change.key, number, change.entry);
+            if self.complete.contains_key(&change.scope) {
+                self.storage.set(change.scope, change.key, revision, change.entry);
+                events.push(FollowerEvent::EntryChanged(change.scope, change.key));
+                continue;
+            }
+            let fetch = self.fetching.get_mut(&change.scope);
+            if let Some(staged) = fetch.and_then(|fetch| fetch.staged.as_mut()) {
+                staged.put(change.key, revision, change.entry);
             }
         }
     }
 
-    /// A version that is to come. Of one that is known it may tell more: what it changes in a scope that is whole only now.
+    /// Keeps a pending revision. One that is known may carry more now: its changes in a scope that has just become complete.
     fn stage_pending_revision(
-        &mut self, number: Revision, changes: &[Change], news: &mut Vec<FollowerEvent>,
+        &mut self, revision: Revision, changes: &[Change], events: &mut Vec<FollowerEvent>,
     ) {
-        let mut mine = Vec::new();
-        for change in changes {
-            let behind = self.fetching.get(&change.scope).is_some_and(|f| f.staged.is_some());
-            if behind || self.whole.contains_key(&change.scope) {
-                mine.push(*change);
-            }
-        }
-        if mine.is_empty() {
+        let is_concerned = |change: &&Change| {
+            let is_stale = self.fetching.get(&change.scope).is_some_and(Fetch::is_stale);
+            is_stale || self.complete.contains_key(&change.scope)
+        };
+        let concerning: Vec<Change> = changes.iter().filter(is_concerned).copied().collect();
+        if concerning.is_empty() {
             return;
         }
-        let known = self.pending.entry(number).or_default();
-        for change in mine {
+        let known = self.pending.entry(revision).or_default();
+        for change in concerning {
             if !known.contains(&change) {
                 known.push(change);
-                news.push(FollowerEvent::EntryChanged(change.scope, change.key));
+                events.push(FollowerEvent::EntryChanged(change.scope, change.key));
             }
         }
     }
 
-    /// A piece of a scope.
-    fn apply_chunk(&mut self, part: &ScopeChunk, asked: &Asked, news: &mut Vec<FollowerEvent>) {
-        let scope = part.scope;
+    /// Applies a chunk of a scope that is fetched, or the changes in a complete scope.
+    fn apply_chunk(&mut self, chunk: &ScopeChunk, poll: &OutstandingPoll, events: &mut Vec<FollowerEvent>) {
+        let scope = chunk.scope;
         let Some(fetch) = self.fetching.get_mut(&scope) else {
-            if self.everything || self.whole.contains_key(&scope) {
-                self.apply_changes(part, asked, news);
+            if self.all_scopes || self.complete.contains_key(&scope) {
+                self.apply_changes(chunk, poll.known, events);
             }
             return;
         };
-        // It was forgotten and wanted again since the ask, or not asked for: it does not go on from what is here.
-        if asked.fetch.get(&scope) != Some(&fetch.cursor) {
+        // The scope was not in the poll, or has been unsubscribed and subscribed since: the chunk does not continue the fetch.
+        if poll.fetch.get(&scope) != Some(&fetch.cursor) {
             return;
         }
-        if let Some(last) = part.entries.last() {
+        if let Some(last) = chunk.entries.last() {
             fetch.cursor = Cursor { revision: last.revision, key: last.key.0 };
         }
-        if let Some(staged) = &mut fetch.staged {
-            if part.restart {
-                // What was staged stays known to the neutral rules.
-                for (key, (changed, entry)) in std::mem::take(&mut staged.entries) {
-                    self.storage.set(scope, key, changed, entry);
-                }
-                staged.restart = true;
-            }
-            for one in &part.entries {
-                staged.put(one.key, one.revision, one.entry);
-            }
-        } else {
-            if part.restart {
-                self.storage.clear(scope);
-            }
-            for one in &part.entries {
-                self.storage.set(scope, one.key, one.revision, one.entry);
-            }
+        match &mut fetch.staged {
+            Some(staged) => staged.put_chunk(chunk, &mut self.storage),
+            None => store_chunk(chunk, &mut self.storage),
+        }
+        if let Some(digest) = chunk.complete {
+            self.complete_fetch(scope, digest, events);
         }
-        let Some(digest) = part.complete else { return };
+    }
+
+    /// All chunks of a scope have arrived.
+    fn complete_fetch(&mut self, scope: Scope, digest: Digest, events: &mut Vec<FollowerEvent>) {
         let Some(fetch) = self.fetching.remove(&scope) else { return };
         if let Some(staged) = fetch.staged {
-            if staged.restart {
-                self.storage.clear(scope);
-            }
-            for (key, (changed, entry)) in staged.entries {
-                self.storage.set(scope, key, changed, entry);
-            }
+            staged.complete(scope, &mut self.storage);
         }
-        self.whole.insert(scope, fetch.heat);
-        self.later.insert(scope, true);
+        self.complete.insert(scope, fetch.priority);
+        self.subscription.record(scope, true);
         if self.storage.digest(scope) == digest {
-            news.push(FollowerEvent::Complete(scope));
+            events.push(FollowerEvent::Complete(scope));
         } else {
-            self.restart_fetch(scope, news);
+            self.restart_fetch(scope, events);
         }
     }
 
-    /// What has changed in a scope that is whole.
-    fn apply_changes(&mut self, part: &ScopeChunk, asked: &Asked, news: &mut Vec<FollowerEvent>) {
-        let scope = part.scope;
-        let Some(digest) = part.complete else {
-            // No grantor tells half of the changes; the rest is to be fetched.
-            return self.mark_stale(scope, asked.known, news);
+    /// Applies the changes in a complete scope. A lessor that cannot send all of them sends the scope as stale, so a chunk
+    /// that does not complete the scope makes it stale.
+    fn apply_changes(&mut self, chunk: &ScopeChunk, known: Revision, events: &mut Vec<FollowerEvent>) {
+        let scope = chunk.scope;
+        let Some(digest) = chunk.complete else {
+            return self.mark_stale(scope, known, events);
         };
-        if part.restart {
-            self.storage.clear(scope);
-        }
-        for one in &part.entries {
-            self.storage.set(scope, one.key, one.revision, one.entry);
-            if !self.everything {
-                news.push(FollowerEvent::EntryChanged(scope, one.key));
-            }
+        store_chunk(chunk, &mut self.storage);
+        if !self.all_scopes {
+            let changed = chunk.entries.iter().map(|change| FollowerEvent::EntryChanged(scope, change.key));
+            events.extend(changed);
         }
-        self.whole.entry(scope).or_default();
+        self.complete.entry(scope).or_default();
         if self.storage.digest(scope) != digest {
-            self.restart_fetch(scope, news);
-        } else if part.restart {
-            news.push(FollowerEvent::Complete(scope));
+            self.restart_fetch(scope, events);
+        } else if chunk.restart {
+            events.push(FollowerEvent::Complete(scope));
         }
     }
 
-    fn restart_fetch(&mut self, scope: Scope, news: &mut Vec<FollowerEvent>) {
-        let heat = self.whole.get(&scope).copied().unwrap_or_default();
+    /// Drops a scope whose digest differs from the lessor's, and fetches it from the start.
+    fn restart_fetch(&mut self, scope: Scope, events: &mut Vec<FollowerEvent>) {
+        let priority = self.complete.get(&scope).copied().unwrap_or_default();
         self.drop_scope(scope);
-        self.fetching.insert(scope, Fetch::starting(heat));
-        news.push(FollowerEvent::Restarted(scope));
+        self.fetching.insert(scope, Fetch::from_start(priority));
+        events.push(FollowerEvent::Restarted(scope));
     }
 
-    /// A scope's changes since `known` did not fit in.
-    fn mark_stale(&mut self, scope: Scope, known: Revision, news: &mut Vec<FollowerEvent>) {
-        if let Some(heat) = self.whole.remove(&scope) {
-            let since = Cursor::after(known);
-            let staged = Some(Staged::default());
-            self.fetching.insert(scope, Fetch { since, cursor: since, heat, staged });
-            self.later.insert(scope, false);
-            news.push(FollowerEvent::Stale(scope));
-        } else if self.everything {
-            self.fetching.entry(scope).or_insert_with(|| Fetch::starting(0.0));
+    /// The changes of a scope since a revision did not fit the response: they are to be fetched.
+    fn mark_stale(&mut self, scope: Scope, known: Revision, events: &mut Vec<FollowerEvent>) {
+        if let Some(priority) = self.complete.remove(&scope) {
+            self.fetching.insert(scope, Fetch::after(known, priority));
+            self.subscription.record(scope, false);
+            events.push(FollowerEvent::Stale(scope));
+        } else if self.all_scopes {
+            self.fetching.entry(scope).or_insert_with(|| Fetch::from_start(0.0));
         }
     }
 }
--- a/replication/src/lib.rs
+++ b/replication/src/lib.rs
@@ -22,6 +22,7 @@
 pub mod lessor;
 pub mod placement;
 pub mod primary;
+pub mod progress;
 pub mod replica;
 pub mod rules;
 pub mod scope;
--- a/replication/src/primary.rs
+++ b/replication/src/primary.rs
@@ -1,227 +1,157 @@
-//! Where versions begin: proposals are put together into versions, and these come into force in two steps.
+//! The source of revisions: it puts proposals together into revisions, and brings these into force in two steps.
 //!
-//! The order of versions, and that one is in force, are agreed among voters. Here this is one machine's word;
-//! [`Primary::confirm_leadership`] is told when its leadership has last been confirmed.
+//! The order of revisions, and that one is in force, are to be agreed among voters. For now they are the decision of one
+//! server, and [`Primary::confirm_leadership`] is told when its leadership has last been confirmed.
+mod proposal;
+
 use crate::lease::LeaseConfig;
 use crate::lessor::Lessor;
-use crate::scope::{Change, ChangeSet, Key, Revision, Scope};
+use crate::scope::{Change, ChangeSet, Revision};
 use crate::store::Store;
 use crate::wire::{PollRequest, PollResponse};
+pub use proposal::{ProposalError, Proposer, MAX_PROPOSAL_BYTES};
+use proposal::{ProposalQueue, QueuedProposal};
 use sha2::{Digest as _, Sha256};
 use std::collections::BTreeMap;
 
-/// The most bytes of one proposal, as encoded: several fit a frame, with room for the rest.
-pub const MAX_PROPOSAL_BYTES: usize = 64 * 1024;
-
-/// Who proposed, and when.
+/// How a revision came about. Informative only.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Proposer {
-    /// Its name.
-    pub name: String,
-    /// Unix time in ms by its clock: for readers, never for decisions.
-    pub proposed_ms: u64,
-}
-
-/// What is told of a version to readers.
-#[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Record {
+pub struct RevisionRecord {
     /// The term of the consensus in which it was agreed.
     pub epoch: u64,
-    /// Whose proposals it is made of, in their order.
+    /// Who made its proposals, in their order.
     pub proposers: Vec<Proposer>,
-    /// SHA-256 of its changes as encoded.
+    /// SHA-256 of its encoded changes.
     pub digest: [u8; 32],
 }
 
-/// Why a proposal is not taken.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum ProposalError {
-    /// It changes nothing.
-    Empty,
-    /// An entry may not stand in that scope.
-    MisplacedEntry {
-        /// Where it was to stand.
-        scope: Scope,
-        /// Under which key.
-        key: Key,
-    },
-    /// It has so many bytes as encoded, which is over [`MAX_PROPOSAL_BYTES`].
-    TooLong(usize),
-}
-
-impl std::fmt::Display for ProposalError {
-    fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        match self {
-            ProposalError::Empty => write!(f, "a proposal that changes nothing"),
-            ProposalError::MisplacedEntry { scope, key } => {
-                write!(f, "the entry under key {:016x} may not stand in {scope:?}", key.0)
-            }
-            ProposalError::TooLong(bytes) => {
-                write!(f, "a proposal of {bytes} bytes, expected {MAX_PROPOSAL_BYTES} at most")
-            }
-        }
-    }
-}
-
-impl std::error::Error for ProposalError {}
-
-/// What has happened.
+/// What a primary has done.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum PrimaryEvent {
-    /// Proposals, by the numbers that [`Primary::propose`] gave them, make up a version.
+    /// Proposals have become a revision, which is pending.
     Agreed {
-        /// The version.
+        /// The revision.
         revision: Revision,
-        /// The proposals.
+        /// The ids that [`Primary::propose`] gave to the proposals.
         proposals: Vec<u64>,
     },
-    /// All versions up to this one are in force.
+    /// All revisions up to this one are in force.
     InForce(Revision),
 }
 
-#[derive(Clone, Debug)]
-struct Waiting {
-    number: u64,
-    proposer: Proposer,
-    changes: Vec<Change>,
-    bytes: usize,
-}
-
-/// The origin, for as long as it leads. Times are ms of the caller's clock.
+/// The primary, for as long as it leads. Times are in ms of the caller's clock.
 #[derive(Clone, Debug)]
 pub struct Primary {
-    terms: LeaseConfig,
+    config: LeaseConfig,
     epoch: u64,
-    began: f64,
-    confirmed: f64,
+    leads_since: f64,
+    confirmed_at: f64,
     store: Store,
     lessor: Lessor,
-    waiting: Vec<Waiting>,
-    proposed: u64,
-    batched: f64,
-    records: BTreeMap<Revision, Record>,
+    queue: ProposalQueue,
+    batched_at: f64,
+    records: BTreeMap<Revision, RevisionRecord>,
 }
 
 impl Primary {
-    /// A leader from `now` on, in a term of the consensus, with all agreed versions, in force or to come.
-    pub fn new(terms: LeaseConfig, now: f64, epoch: u64, store: Store) -> Self {
+    /// A leader from `now` on, in a term of the consensus, with all agreed revisions, in force or pending.
+    pub fn new(config: LeaseConfig, now: f64, epoch: u64, store: Store) -> Self {
         Primary {
-            terms,
+            config,
             epoch,
-            began: now,
-            confirmed: now,
+            leads_since: now,
+            confirmed_at: now,
             store,
-            lessor: Lessor::new(terms, now),
-            waiting: Vec::new(),
-            proposed: 0,
-            batched: f64::NEG_INFINITY,
+            lessor: Lessor::new(config, now),
+            queue: ProposalQueue::default(),
+            batched_at: f64::NEG_INFINITY,
             records: BTreeMap::new(),
         }
     }
 
-    /// Takes a proposal, all of whose changes come into force in one version, and numbers it.
+    /// Queues a proposal, all of whose changes come into force in one revision, and returns its id.
+    ///
+    /// # Errors
+    /// A [`ProposalError`] if the proposal is rejected.
     pub fn propose(&mut self, proposer: Proposer, changes: Vec<Change>) -> Result<u64, ProposalError> {
-        if changes.is_empty() {
-            return Err(ProposalError::Empty);
-        }
-        if let Some(c) = changes.iter().find(|c| c.entry.is_some_and(|entry| !entry.fits(c.scope))) {
-            return Err(ProposalError::MisplacedEntry { scope: c.scope, key: c.key });
-        }
-        // Nothing of these types can fail to be written.
-        let bytes = postcard::to_allocvec(&changes).map_or(usize::MAX, |b| b.len());
-        if bytes > MAX_PROPOSAL_BYTES {
-            return Err(ProposalError::TooLong(bytes));
-        }
-        self.proposed += 1;
-        self.waiting.push(Waiting { number: self.proposed, proposer, changes, bytes });
-        Ok(self.proposed)
+        self.queue.push(proposer, changes)
     }
 
-    /// When [`Primary::tick`] has something to do by itself: the end of a batch, if proposals wait. Whatever is asked may give it more.
+    /// When [`Primary::tick`] has to be called, in ms, if proposals are queued. It has to be called after each poll, too.
     pub fn next_tick(&self) -> Option<f64> {
-        (!self.waiting.is_empty()).then_some(self.batched + self.terms.batch_ms)
+        (!self.queue.is_empty()).then_some(self.batched_at + self.config.batch_ms)
     }
 
-    /// Puts waiting proposals together where it is time, and brings into force what may be.
+    /// Creates a revision if one is due, and brings into force what may be.
     pub fn tick(&mut self, now: f64) -> Vec<PrimaryEvent> {
-        let mut happened: Vec<_> = self.batch(now).into_iter().collect();
-        if let Some(number) = self.ready(now) {
-            self.advance_to(number);
-            happened.push(PrimaryEvent::InForce(number));
+        let mut events: Vec<_> = self.batch(now).into_iter().collect();
+        if let Some(revision) = self.ready(now) {
+            self.advance_to(revision);
+            events.push(PrimaryEvent::InForce(revision));
         }
-        happened
+        events
     }
 
-    /// Puts the proposals that wait together into a version, unless the last one was just now.
+    /// Puts queued proposals together into a revision, unless the last one is too recent.
     pub fn batch(&mut self, now: f64) -> Option<PrimaryEvent> {
-        if self.waiting.is_empty() || now < self.batched + self.terms.batch_ms {
+        if self.queue.is_empty() || now < self.batched_at + self.config.batch_ms {
             return None;
         }
-        self.batched = now;
-        let mut bytes = 0;
-        let fits = |w: &Waiting| {
-            bytes += w.bytes;
-            bytes <= MAX_PROPOSAL_BYTES
-        };
-        let count = self.waiting.iter().map(fits).take_while(|fits| *fits).count().max(1);
-        let taken: Vec<Waiting> = self.waiting.drain(..count).collect();
-        let mut changes = BTreeMap::new();
-        for change in taken.iter().flat_map(|w| &w.changes) {
-            // The last word on a key counts.
-            changes.insert((change.scope, change.key), *change);
-        }
-        let changes: Vec<Change> = changes.into_values().collect();
-        let number = self.store.through() + 1;
-        let bytes = postcard::to_allocvec(&changes).unwrap_or_default();
-        let proposals = taken.iter().map(|w| w.number).collect();
-        let record = Record {
+        self.batched_at = now;
+        let proposals = self.queue.take_batch();
+        let changes = last_changes(&proposals);
+        let revision = self.store.through() + 1;
+        let encoded = postcard::to_allocvec(&changes).unwrap_or_default();
+        let ids = proposals.iter().map(|proposal| proposal.id).collect();
+        let record = RevisionRecord {
             epoch: self.epoch,
-            proposers: taken.into_iter().map(|w| w.proposer).collect(),
-            digest: Sha256::digest(bytes).into(),
+            proposers: proposals.into_iter().map(|proposal| proposal.proposer).collect(),
+            digest: Sha256::digest(encoded).into(),
         };
-        self.records.insert(number, record);
-        self.store.add_pending(ChangeSet { revision: number, changes });
-        Some(PrimaryEvent::Agreed { revision: number, proposals })
+        self.records.insert(revision, record);
+        self.store.add_pending(ChangeSet { revision, changes });
+        Some(PrimaryEvent::Agreed { revision, proposals: ids })
     }
 
-    /// The version up to which all may come into force at `now`, if any: every lease is held by who knows it and acts on the
-    /// one in force, or has run out. Guards against versions that follow each other so fast that somebody is always behind.
+    /// The revision up to which all may come into force at `now`, if any: every lease that lasts is held by a member that
+    /// knows it and acts on the one in force, so that no member falls two revisions behind.
     pub fn ready(&self, now: f64) -> Option<Revision> {
-        let (number, through) = (self.store.in_force(), self.store.through());
-        // Guards against leases of the leader before, of whom nothing is known here.
-        if through == number || number > 0 && now < self.began + self.terms.max_held_ms() {
+        let (in_force, through) = (self.store.in_force(), self.store.through());
+        // Leases of the previous leader are unknown here until they have expired.
+        let may_have_older_leases = in_force > 0 && now < self.leads_since + self.config.max_held_ms();
+        if through == in_force || may_have_older_leases {
             return None;
         }
         match self.lessor.min_progress(now) {
             None => Some(through),
-            Some((known, in_force)) => {
-                let next = known.min(through);
-                (next > number && in_force >= number).then_some(next)
+            Some(lowest) => {
+                let next = lowest.known.min(through);
+                (next > in_force && lowest.in_force >= in_force).then_some(next)
             }
         }
     }
 
-    /// It has been agreed that all versions up to this one are in force.
-    pub fn advance_to(&mut self, number: Revision) {
-        self.store.advance_to(number);
+    /// It has been agreed that all revisions up to this one are in force.
+    pub fn advance_to(&mut self, revision: Revision) {
+        self.store.advance_to(revision);
     }
 
-    /// A majority has confirmed that this was the leader at `at`.
+    /// A majority has confirmed that this was the leader at `at`, in ms.
     pub fn confirm_leadership(&mut self, at: f64) {
-        self.confirmed = self.confirmed.max(at);
+        self.confirmed_at = self.confirmed_at.max(at);
     }
 
-    /// A member asks at `now`. There is no answer unless a majority confirmed the leadership after the ask came (the caller
-    /// holds it back so long), nor before there is a version in force.
-    pub fn handle_poll(&mut self, now: f64, ask: &PollRequest) -> Option<PollResponse> {
-        // Guards against a leader that has been replaced and does not know: its confirmations are old.
-        if self.confirmed < now || self.store.in_force() == 0 {
+    /// The response to a poll that has arrived at `now`. There is none before a revision is in force, nor unless a majority
+    /// has confirmed the leadership since the poll arrived: a leader that was replaced does not know it, and its last
+    /// confirmation is older.
+    pub fn handle_poll(&mut self, now: f64, request: &PollRequest) -> Option<PollResponse> {
+        if self.confirmed_at < now || self.store.in_force() == 0 {
             return None;
         }
-        Some(self.lessor.handle_poll(now, &self.store, self.terms.lease_ms, ask))
+        Some(self.lessor.handle_poll(now, &self.store, self.config.lease_ms, request))
     }
 
-    /// State in force, and versions to come.
+    /// The state in force, and pending revisions.
     pub fn store(&self) -> &Store {
         &self.store
     }
@@ -231,19 +161,28 @@
         &self.lessor
     }
 
-    /// How many proposals wait for their version.
+    /// The number of proposals that wait for a revision.
     pub fn queued_proposals(&self) -> usize {
-        self.waiting.len()
+        self.queue.len()
     }
 
-    /// What is told of a version, if it was put together here and not forgotten.
-    pub fn record(&self, number: Revision) -> Option<&Record> {
-        self.records.get(&number)
+    /// How a revision came about, if it was created here and its record is not compacted.
+    pub fn record(&self, revision: Revision) -> Option<&RevisionRecord> {
+        self.records.get(&revision)
     }
 
-    /// Forgets records, and what was removed, before a version.
+    /// Forgets records and tombstones older than a revision.
     pub fn compact(&mut self, before: Revision) {
         self.records = self.records.split_off(&before);
         self.store.purge_tombstones(before);
     }
 }
+
+/// The last change of each key, by scope and key.
+fn last_changes(proposals: &[QueuedProposal]) -> Vec<Change> {
+    let mut changes = BTreeMap::new();
+    for change in proposals.iter().flat_map(|proposal| &proposal.changes) {
+        changes.insert((change.scope, change.key), *change);
+    }
+    changes.into_values().collect()
+}
--- a/replication/src/replica.rs
+++ b/replication/src/replica.rs
@@ -1,107 +1,115 @@
-//! A machine between: a follower of everything, of an origin, whose followers get what it has, and leases that never outlast its own.
+//! A control server between the primary and gateways: it follows every scope, and answers followers of its own with leases
+//! that end no later than its lease.
 //!
-//! It tells its grantor the least that is known to, and acted on by, itself and all whose leases by it still last. What it has
-//! said never goes back, and a new follower cannot make it a lie: whoever takes an answer knows all that was known here when
-//! it was given, and nobody holds a lease without having taken an answer.
+//! It reports to the primary the lowest progress of itself and of all who hold its leases. A new follower cannot invalidate a
+//! report, so reports never go back: whoever applies a response knows all that the replica knew when it sent it, and nobody
+//! holds a lease without having applied a response.
 use crate::follower::{Follower, FollowerEvent, ResponseError};
 use crate::lease::LeaseConfig;
 use crate::lessor::Lessor;
+use crate::progress::Progress;
 use crate::scope::Revision;
 use crate::store::Store;
 use crate::wire::{Member, PollRequest, PollResponse};
 
-/// A machine between. Times are ms of the caller's clock.
+/// A replica. Times are in ms of the caller's clock.
 #[derive(Clone, Debug)]
 pub struct Replica {
-    terms: LeaseConfig,
+    config: LeaseConfig,
     follower: Follower<Store>,
     lessor: Lessor,
-    said: (Revision, Revision), // Known and in force, as last told, or as could have been.
-    asked: (Revision, Revision), // As last told.
-    asked_at: f64,
+    /// The highest progress that may be reported.
+    reportable: Progress,
+    /// The progress in the last poll.
+    reported: Progress,
+    polled_at: f64,
 }
 
 impl Replica {
-    /// One that knows nothing, and so answers nobody yet.
-    pub fn new(terms: LeaseConfig, member: Member, now: f64) -> Self {
+    /// A replica that knows nothing and does not answer polls yet.
+    pub fn new(config: LeaseConfig, member: Member, now: f64) -> Self {
         Replica {
-            terms,
-            follower: Follower::following_all(terms, member, Store::new()),
-            lessor: Lessor::new(terms, now),
-            said: (0, 0),
-            asked: (0, 0),
-            asked_at: f64::NEG_INFINITY,
+            config,
+            follower: Follower::following_all(config, member, Store::new()),
+            lessor: Lessor::new(config, now),
+            reportable: Progress::default(),
+            reported: Progress::default(),
+            polled_at: f64::NEG_INFINITY,
         }
     }
 
-    /// What may be said of all at `now`.
-    fn settle(&mut self, now: f64) -> (Revision, Revision) {
-        let own = (self.follower.known(), self.follower.in_force());
-        let least = self.lessor.min_progress(now).map_or(own, |(k, f)| (k.min(own.0), f.min(own.1)));
-        self.said = (self.said.0.max(least.0), self.said.1.max(least.1));
-        self.said
+    /// Updates the reportable progress at `now`, and returns it.
+    fn update_reportable(&mut self, now: f64) -> Progress {
+        let own = Progress { known: self.follower.known(), in_force: self.follower.in_force() };
+        let lowest = self.lessor.min_progress(now).map_or(own, |holders| holders.min(own));
+        self.reportable = self.reportable.max(lowest);
+        self.reportable
     }
 
-    /// When the next ask is due; sooner once there is more to tell than was told.
+    /// When the next poll is due, in ms; it is prompt if there is progress to report.
     pub fn next_poll(&mut self, now: f64) -> f64 {
         let due = self.follower.next_poll();
-        if self.follower.is_polling() || self.settle(now) == self.asked {
+        if self.follower.is_polling() || self.update_reportable(now) == self.reported {
             return due;
         }
-        due.min(self.asked_at + self.terms.prompt_poll_delay_ms())
+        due.min(self.polled_at + self.config.prompt_poll_delay_ms())
     }
 
-    /// The next ask, if it is due at `now`.
+    /// The next poll, if it is due at `now`.
     pub fn poll(&mut self, now: f64) -> Option<PollRequest> {
         if now < self.next_poll(now) {
             return None;
         }
-        self.asked = self.settle(now);
-        self.asked_at = now;
-        Some(self.follower.poll_for(now, self.asked.0, self.asked.1))
+        self.reported = self.update_reportable(now);
+        self.polled_at = now;
+        Some(self.follower.poll_for(now, self.reported.known, self.reported.in_force))
     }
 
-    /// Takes an answer that came at `now`.
+    /// Applies a response that has arrived at `now`, and says what it has changed.
+    ///
+    /// # Errors
+    /// A [`ResponseError`] if the response is rejected.
     pub fn handle_response(
-        &mut self, now: f64, mut grant: PollResponse,
+        &mut self, now: f64, mut response: PollResponse,
     ) -> Result<Vec<FollowerEvent>, ResponseError> {
-        let asked = self.follower.accept(&grant)?;
-        let in_force = grant.in_force;
+        let poll = self.follower.accept(&response)?;
+        let in_force = response.in_force;
         let store = self.follower.storage_mut();
-        // What was known comes into force first; what the answer has in pieces is younger.
+        // Known revisions come into force first: the chunks in the response are newer.
         store.advance_to(in_force);
-        for version in std::mem::take(&mut grant.pending) {
-            store.add_pending(version);
+        for change_set in std::mem::take(&mut response.pending) {
+            store.add_pending(change_set);
         }
-        let news = self.follower.apply_response(now, asked, grant);
-        // Scopes that begin with these pieces begin at this version.
+        let events = self.follower.apply_response(now, poll, response);
+        // Scopes that were fetched from the start begin at this revision.
         self.follower.storage_mut().advance_to(in_force);
-        // Before anybody else gets a lease here.
-        self.settle(now);
-        Ok(news)
+        // Before another follower gets a lease.
+        self.update_reportable(now);
+        Ok(events)
     }
 
-    /// The answer to an ask that came at `now`; none while it has not everything itself, so that the follower goes elsewhere.
-    pub fn handle_poll(&mut self, now: f64, ask: &PollRequest) -> Option<PollResponse> {
+    /// The response to a poll that has arrived at `now`; `None` while the replica is not complete itself, so that the
+    /// follower moves to another lessor.
+    pub fn handle_poll(&mut self, now: f64, request: &PollRequest) -> Option<PollResponse> {
         if !self.follower.is_complete() || self.follower.in_force() == 0 {
             return None;
         }
-        let remaining = (self.follower.lease_until() - now).max(0.0);
-        let may_lease_ms = self.terms.sublease_ms(remaining);
-        Some(self.lessor.handle_poll(now, self.follower.storage(), may_lease_ms, ask))
+        let remaining_ms = (self.follower.lease_until() - now).max(0.0);
+        let max_lease_ms = self.config.sublease_ms(remaining_ms);
+        Some(self.lessor.handle_poll(now, self.follower.storage(), max_lease_ms, request))
     }
 
-    /// The connection above is another.
+    /// The connection to the lessor is a new one.
     pub fn reconnected(&mut self) {
         self.follower.reconnected();
     }
 
-    /// What it has.
+    /// Its state.
     pub fn store(&self) -> &Store {
         self.follower.storage()
     }
 
-    /// Its own side towards its grantor.
+    /// Its side towards its lessor.
     pub fn follower(&self) -> &Follower<Store> {
         &self.follower
     }
@@ -111,7 +119,7 @@
         &self.lessor
     }
 
-    /// Forgets what was removed before a version.
+    /// Forgets tombstones older than a revision.
     pub fn purge_tombstones(&mut self, before: Revision) {
         self.follower.storage_mut().purge_tombstones(before);
     }
--- a/replication/src/storage.rs
+++ b/replication/src/storage.rs
@@ -18,3 +18,8 @@
     /// The heap memory in use, in bytes.
     fn memory_bytes(&self) -> usize;
 }
+
+/// An estimate of the memory of a B-tree, in bytes, from that of its keys and values: nodes are about three quarters full.
+pub(crate) fn tree_bytes(filled_bytes: usize) -> usize {
+    filled_bytes * 4 / 3
+}
--- a/replication/src/store.rs
+++ b/replication/src/store.rs
@@ -8,16 +8,12 @@
 mod scope_entries;
 
 use crate::scope::{Change, ChangeSet, Digest, Entry, Key, Revision, Scope};
-use crate::storage::Storage;
+use crate::storage::{tree_bytes, Storage};
 use crate::wire::{Cursor, ScopeChunk};
 pub use check::InconsistentStore;
 use scope_entries::{Position, ScopeEntries};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// B-tree nodes are about three quarters full; the ratio is 4 / 3 of the memory of the entries.
-const TREE_FILL_NUMERATOR_COUNT: usize = 4;
-const TREE_FILL_DENOMINATOR_COUNT: usize = 3;
-
 /// The state at the revision in force, and pending revisions.
 #[derive(Clone, Debug, Default)]
 pub struct Store {
@@ -262,6 +258,6 @@
             size_of::<(Key, Revision)>() + size_of::<Position>() + size_of::<(Revision, Scope, Key)>();
         let scope = size_of::<(Scope, ScopeEntries)>() + size_of::<(Revision, Scope)>();
         let filled = entry * self.entry_count + tombstone * self.tombstones.len() + scope * self.scopes.len();
-        filled * TREE_FILL_NUMERATOR_COUNT / TREE_FILL_DENOMINATOR_COUNT
+        tree_bytes(filled)
     }
 }
--- a/replication/tests/common/judge.rs
+++ b/replication/tests/common/judge.rs
@@ -24,7 +24,8 @@
         let ready = match self.setup.planted {
             Planted::Hurries => {
                 let next = in_force + 1;
-                (origin.lessor().holders(local).all(|(_, known, _)| known >= next) && through >= next)
+                (origin.lessor().holders(local).all(|(_, progress)| progress.known >= next)
+                    && through >= next)
                     .then_some(next)
             }
             Planted::SkipsFirstStep => (through > in_force).then_some(in_force + 1),
@@ -33,7 +34,7 @@
         if let Some(next) = ready {
             // As the leader sees it, and as it is.
             let holders = origin.lessor().holders(local);
-            let unknown = holders.filter(|(_, known, _)| *known < next).count();
+            let unknown = holders.filter(|(_, progress)| progress.known < next).count();
             let truly = self.gateways.iter().filter(|g| {
                 let holds = now * g.process.rate < g.follower.lease_until();
                 holds && (g.follower.known() < next || g.follower.in_force() < in_force)
--- a/replication/tests/control.rs
+++ b/replication/tests/control.rs
@@ -8,6 +8,7 @@
 use ternstack_replication::lease::LeaseConfig;
 use ternstack_replication::lessor::Lessor;
 use ternstack_replication::placement::{preference_order, ReplicaLocation};
+use ternstack_replication::progress::Progress;
 use ternstack_replication::rules::RetryPolicy;
 use ternstack_replication::scope::{Change, ChangeSet, Entry, Host, Key, Scope};
 use ternstack_replication::store::Store;
@@ -297,7 +298,7 @@
     assert!(given[3..].windows(2).all(|two| two[0] > two[1] || two[1] == 0), "{given:?}");
     assert_eq!(given[8..], [0; 31]);
     let (third, held) = (3.0 * 380.0, terms.max_held_ms());
-    assert_eq!(grantor.min_progress(third + held - 1.0), Some((1, 1)));
+    assert_eq!(grantor.min_progress(third + held - 1.0), Some(Progress { known: 1, in_force: 1 }));
     assert_eq!(grantor.min_progress(third + held + 1.0), None);
     // Once it hears again it gets a lease again.
     assert_eq!(lease(&mut grantor, 15_200.0, &ask("cut", 40, 39)), 1_900_000);
--- a/replication/tests/same_exchanges.rs
+++ b/replication/tests/same_exchanges.rs
@@ -4,6 +4,7 @@
 use ternstack_replication::lease::LeaseConfig;
 use ternstack_replication::lessor::Lessor;
 use ternstack_replication::primary::{Primary, PrimaryEvent, Proposer};
+use ternstack_replication::progress::Progress;
 use ternstack_replication::replica::Replica;
 use ternstack_replication::scope::{Change, ChangeSet, Key, Scope};
 use ternstack_replication::storage::Storage;
@@ -275,10 +276,10 @@
         }
         for grantor in self.between.iter().map(Replica::lessor).chain([self.origin.lessor()]) {
             observed.number(grantor.follower_count() as u64);
-            if let Some((known, in_force)) = grantor.min_progress(now) {
+            if let Some(Progress { known, in_force }) = grantor.min_progress(now) {
                 observed.number(known << 32 | in_force);
             }
-            grantor.holders(now).for_each(|(member, known, in_force)| {
+            grantor.holders(now).for_each(|(member, Progress { known, in_force })| {
                 observed.bytes(member.name.as_bytes());
                 observed.number(known << 32 | in_force);
             });
@@ -478,7 +479,7 @@
                     let may_lease_ms = drawn.below(2_500) as f64;
                     let grant = grantor.handle_poll(now, &store, may_lease_ms, &ask);
                     observed.message(&Message::PollResponse(grant));
-                    for (member, known, in_force) in grantor.holders(now) {
+                    for (member, Progress { known, in_force }) in grantor.holders(now) {
                         observed.bytes(member.name.as_bytes());
                         observed.number(known << 32 | in_force);
                     }
