--- a/balancer/src/wakeup.rs
+++ b/balancer/src/wakeup.rs
@@ -4,10 +4,10 @@
 //! less often; and when discovery is due. An earlier wake-up than the one already asked for is asked for in
 //! addition.
 
-/// Pending requests are looked after this often.
+/// Pending requests are tried this often.
 pub(crate) const WAKE_INTERVAL_MS: f64 = 10.0;
 
-/// Without pending requests, health checks are looked after once in so many intervals.
+/// Without pending requests, health checks are sent once in this many intervals.
 const IDLE_INTERVALS_COUNT: f64 = 20.0;
 
 /// When the balancer wakes next.
@@ -19,7 +19,9 @@
 
 /// Why the balancer has to wake.
 pub(crate) struct WakeReasons {
+    /// Requests are pending.
     pub has_pending: bool,
+    /// Health checks are sent.
     pub has_health_checks: bool,
     /// When discovery is to be watched or polled next.
     pub discovery_due_at_ms: Option<f64>,
@@ -31,7 +33,8 @@
         WakeUp { tick_ms, next_at_ms: f64::INFINITY }
     }
 
-    /// A timer has come. One that came a rounding early counts as due: it would be waited for ever after.
+    /// A timer has fired. One that fires a rounding error early counts as due: no other timer would follow
+    /// it.
     pub fn on_timer(&mut self, now_ms: f64) {
         if self.next_at_ms <= now_ms + self.tick_ms {
             self.next_at_ms = f64::INFINITY;
--- a/gateway/src/upstream/connection.rs
+++ b/gateway/src/upstream/connection.rs
@@ -5,7 +5,7 @@
 use super::{ConnectionSlot, Upstream};
 use crate::events::RawRequest;
 use crate::http1::{Reader, MAX_BODY_BYTES};
-use crate::sockets::{is_local, opened};
+use crate::sockets::{is_local, with_nodelay};
 use std::io;
 use std::time::Duration;
 use ternstack_balancer::Outcome;
@@ -90,14 +90,14 @@
 
 /// Opens a connection for an attempt; the attempt's outcome if that fails.
 async fn dial(upstream: &Upstream, attempt: &mut Attempt) -> Result<TcpStream, Outcome> {
-    let dial_by = attempt.give_up_at.min(Instant::now() + upstream.dial_timeout);
+    let dial_by = attempt.give_up_at.min(Instant::now() + upstream.connect_timeout);
     let dial_by = attempt.send_by.map_or(dial_by, |send_by| send_by.min(dial_by));
     let dialled = tokio::select! {
         biased;
         _ = &mut attempt.cancelled => return Err(Outcome::NotSent),
         dialled = timeout_at(dial_by, TcpStream::connect(attempt.address)) => dialled,
     };
-    match dialled.map(opened) {
+    match dialled.map(with_nodelay) {
         Ok(Ok(stream)) => Ok(stream),
         // This machine's lack of descriptors or ports is not the server's fault.
         Ok(Err(e)) if is_local(&e) => Err(Outcome::NotSent),
--- a/gateway/src/upstream/mod.rs
+++ b/gateway/src/upstream/mod.rs
@@ -47,7 +47,7 @@
     descriptors: Arc<Descriptors>,
     violations: Violations,
     idle_timeout: Duration,
-    dial_timeout: Duration,
+    connect_timeout: Duration,
 }
 
 impl Upstream {
@@ -55,12 +55,12 @@
     /// milliseconds; these are closed a little earlier.
     pub fn new(
         events: EventSender, descriptors: Arc<Descriptors>, server_idle_timeout_ms: f64,
-        dial_timeout: Duration,
+        connect_timeout: Duration,
     ) -> Self {
         let idle_timeout_s = (server_idle_timeout_ms * IDLE_TIMEOUT_RATIO / 1000.0).min(MAX_IDLE_TIMEOUT_S);
         let idle_timeout = Duration::from_secs_f64(idle_timeout_s);
         let violations = Violations::default();
-        Upstream { pool: Arc::default(), events, descriptors, violations, idle_timeout, dial_timeout }
+        Upstream { pool: Arc::default(), events, descriptors, violations, idle_timeout, connect_timeout }
     }
 
     /// Counts violated invariants in `violations`.
