--- a/replication/src/follower/apply.rs
+++ b/replication/src/follower/apply.rs
@@ -2,10 +2,14 @@
 use super::fetch::{store_chunk, Fetch};
 use super::poll_state::OutstandingPoll;
 use super::{Follower, FollowerEvent};
+use crate::lease::US_PER_MS;
 use crate::scope::{Change, Digest, Revision, Scope};
 use crate::storage::Storage;
 use crate::wire::{Cursor, PollResponse, ScopeChunk};
 
+/// So many short round trips take one poll interval; after a short one the timeout is the interval again.
+const SHORT_ROUND_TRIPS_PER_INTERVAL_COUNT: f64 = 2.0;
+
 impl<S: Storage> Follower<S> {
     /// Applies a response that was accepted.
     pub(crate) fn apply_response(
@@ -32,7 +36,7 @@
         self.record_progress(&response, &mut events);
         if response.lease_us > 0 {
             // The lease lasts from the poll on, not from its response: the lessor counts from a later moment.
-            self.lease_until = self.lease_until.max(poll.sent_at + response.lease_us as f64 / 1000.0);
+            self.lease_until = self.lease_until.max(poll.sent_at + response.lease_us as f64 / US_PER_MS);
         }
         self.schedule_next_poll(now, &poll);
         events
@@ -53,7 +57,7 @@
     fn schedule_next_poll(&mut self, now: f64, poll: &OutstandingPoll) {
         let interval_ms = self.poll_interval_ms();
         // The round trip is short again.
-        if now - poll.sent_at < interval_ms / 2.0 {
+        if now - poll.sent_at < interval_ms / SHORT_ROUND_TRIPS_PER_INTERVAL_COUNT {
             self.poll.timeout_ms = interval_ms;
         }
         let is_fetching_all = self.all_scopes && !self.fetching.is_empty();
--- a/replication/src/follower/poll_state.rs
+++ b/replication/src/follower/poll_state.rs
@@ -4,6 +4,9 @@
 use crate::wire::Cursor;
 use std::collections::BTreeMap;
 
+/// The timeout grows by this ratio when a response arrives after it.
+const TIMEOUT_GROWTH_RATIO: f64 = 2.0;
+
 /// A poll whose response has not arrived. Times are in ms.
 #[derive(Clone, Debug)]
 pub(crate) struct OutstandingPoll {
@@ -53,7 +56,7 @@
         if sequence != self.sequence {
             let is_late = (self.acknowledged + 1..self.sequence).contains(&sequence);
             if self.outstanding.is_some() && is_late {
-                self.timeout_ms = (2.0 * self.timeout_ms).min(max_timeout_ms);
+                self.timeout_ms = (TIMEOUT_GROWTH_RATIO * self.timeout_ms).min(max_timeout_ms);
             }
             return Err(ResponseError::Unsolicited);
         }
--- a/replication/src/lease.rs
+++ b/replication/src/lease.rs
@@ -5,6 +5,11 @@
 //! leases are granted for it alone. A gateway that has not heard of it keeps the old revision until its lease expires.
 use serde::{Deserialize, Serialize};
 
+/// Milliseconds in a second.
+pub(crate) const MS_PER_S: f64 = 1000.0;
+/// Microseconds in a millisecond.
+pub(crate) const US_PER_MS: f64 = 1000.0;
+
 /// Polls in the duration of one lease: four may be lost before it expires.
 const POLLS_PER_LEASE_COUNT: f64 = 5.0;
 /// A replica polls so many times as often as a gateway: its lease bounds those of its followers.
--- a/replication/src/lessor.rs
+++ b/replication/src/lessor.rs
@@ -5,7 +5,7 @@
 mod response;
 mod scope_set;
 
-use crate::lease::LeaseConfig;
+use crate::lease::{LeaseConfig, MS_PER_S, US_PER_MS};
 use crate::progress::Progress;
 use crate::store::Store;
 use crate::wire::{Member, PollRequest, PollResponse, Subscription};
@@ -65,8 +65,8 @@
         let lease_ms = config.lease_ms.min(max_lease_ms).min(latest_end - now);
         // A follower that is not told all pending revisions must not count as knowing them.
         if is_complete && lease_ms > 0.0 {
-            response.lease_us = (lease_ms * 1000.0) as u64;
-            let held_ms = config.held_for_ms(response.lease_us as f64 / 1000.0);
+            response.lease_us = (lease_ms * US_PER_MS) as u64;
+            let held_ms = config.held_for_ms(response.lease_us as f64 / US_PER_MS);
             holder.lease_until = holder.lease_until.max(now + held_ms);
         }
         let reported = Progress { known: request.known, in_force: request.in_force };
@@ -78,7 +78,7 @@
     /// Forgets followers that have not polled for so long that their leases are over and their budgets full.
     fn expire(&mut self, now: f64) {
         let config = &self.config;
-        let idle_ms = config.max_held_ms().max(config.burst_s * 1000.0) * EXPIRY_RATIO;
+        let idle_ms = config.max_held_ms().max(config.burst_s * MS_PER_S) * EXPIRY_RATIO;
         if now > self.expired_at + idle_ms {
             self.expired_at = now;
             self.holders.retain(|_, holder| holder.lease_until > now || now - holder.polled_at < idle_ms);
--- a/replication/src/lessor/holder.rs
+++ b/replication/src/lessor/holder.rs
@@ -1,5 +1,6 @@
 //! What a lessor remembers of one follower: its complete scopes, its lease, and its budget of bytes.
 use super::scope_set::{ScopeIndex, ScopeSet};
+use crate::lease::MS_PER_S;
 use crate::progress::Progress;
 use crate::scope::Scope;
 use crate::wire::{PollRequest, Subscription};
@@ -51,7 +52,7 @@
 
     /// Adds what has accrued since the last poll, up to a burst.
     pub fn accrue(&mut self, now: f64, bytes_per_s: f64, burst_bytes: f64) {
-        let accrued = bytes_per_s * (now - self.polled_at).max(0.0) / 1000.0;
+        let accrued = bytes_per_s * (now - self.polled_at).max(0.0) / MS_PER_S;
         self.budget_bytes = (self.budget_bytes + accrued).min(burst_bytes);
         self.polled_at = self.polled_at.max(now);
     }
--- a/replication/tests/agreement.rs
+++ b/replication/tests/agreement.rs
@@ -1,5 +1,5 @@
-//! Members in virtual time, with everything that can befall them, judged by the rig's checker of contradictions.
-use common::{tenant, Moment, Planted, Seen, Setup, Way, Who, World};
+//! Members in virtual time, with everything that can befall them, outcome by the rig's checker of contradictions.
+use common::{tenant, CutDirection, Node, Observations, PlantedFault, Setup, SimEvent, Simulation};
 use quickcheck::{quickcheck, Arbitrary, Gen};
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -15,22 +15,24 @@
 
 /// What came of a play.
 #[derive(Debug)]
-struct Judged {
-    seen: Seen,
+struct Outcome {
+    seen: Observations,
     longest_ms: u64,
     broken: usize,
 }
 
-/// Plays `length_ms` of a fleet that agrees on one tenant's quota, with so many machines between.
-fn play(seed: u64, members: usize, between: usize, length_ms: f64, loss: f64, planted: Planted) -> Judged {
-    let terms = LeaseConfig::default();
+/// Simulates `length_ms` of a fleet that agrees on one tenant's quota, with so many replicas.
+fn play(
+    seed: u64, members: usize, replicas: usize, length_ms: f64, loss: f64, planted: PlantedFault,
+) -> Outcome {
+    let config = LeaseConfig::default();
     let (scope, key) = tenant("acme");
     let quota = |n: u32| vec![Change { scope, key, entry: Some(Entry::Quota(100 + n)) }];
     let setup = Setup {
-        terms,
+        config,
         seed,
         members,
-        between,
+        replicas,
         length_ms,
         loss,
         doubled: 0.1,
@@ -41,120 +43,123 @@
         planted,
         excused: vec![],
     };
-    let mut world = World::new(setup, quota(1), |_| vec![scope]);
+    let mut world = Simulation::new(setup, quota(1), |_| vec![scope]);
     world.about.push(("acme's quota".into(), scope, key));
     world.begin();
     let (mut at, mut proposed) = (0.0, 1);
     while at < length_ms {
         at += world.rng.random_range(100.0..1500.0);
-        let who = Who::Gateway(world.rng.random_range(0..members));
+        let who = Node::Gateway(world.rng.random_range(0..members));
         let for_ms = world.rng.random_range(50.0..6000.0);
         let moment = match world.rng.random_range(0..7) {
-            0 => Moment::Pause(who, for_ms),
-            1 => Moment::Restart(who, 0.0),
-            2 => Moment::Cut(who, Way::Both, for_ms),
-            3 => Moment::Reign,
+            0 => SimEvent::Pause(who, for_ms),
+            1 => SimEvent::Restart(who, 0.0),
+            2 => SimEvent::Cut(who, CutDirection::Both, for_ms),
+            3 => SimEvent::NewLeader,
             _ => {
                 proposed += 1;
-                Moment::Propose(vec![quota(proposed)])
+                SimEvent::Propose(vec![quota(proposed)])
             }
         };
         world.add(at, moment);
     }
-    // What befalls machines between comes on top, so that the schedule is the same with them and without.
+    // Faults of replicas are drawn last, so that the schedule is the same with them and without.
     let mut rng = ChaCha8Rng::seed_from_u64(!seed);
     let mut at = 0.0;
-    while between > 0 && at < length_ms {
+    while replicas > 0 && at < length_ms {
         at += rng.random_range(1000.0..8000.0);
-        let who = Who::Between(rng.random_range(0..between));
+        let who = Node::Replica(rng.random_range(0..replicas));
         let for_ms = rng.random_range(50.0..4000.0);
         let moment = match rng.random_range(0..5) {
-            0 => Moment::Pause(who, for_ms),
-            1 => Moment::Restart(who, for_ms),
-            2 => Moment::Cut(who, Way::Asks, for_ms),
-            3 => Moment::Cut(who, Way::Answers, for_ms),
-            _ => Moment::Cut(who, Way::Both, for_ms),
+            0 => SimEvent::Pause(who, for_ms),
+            1 => SimEvent::Restart(who, for_ms),
+            2 => SimEvent::Cut(who, CutDirection::Requests, for_ms),
+            3 => SimEvent::Cut(who, CutDirection::Responses, for_ms),
+            _ => SimEvent::Cut(who, CutDirection::Both, for_ms),
         };
         world.add(at, moment);
     }
     world.run();
     let (broken, longest_ms) = world.judge();
-    Judged { longest_ms, broken, seen: world.seen }
+    Outcome { longest_ms, broken, seen: world.seen }
 }
 
-fn agrees(members: [usize; 4], between: [usize; 4]) {
+fn agrees(members: [usize; 4], replicas: [usize; 4]) {
     let (mut versions, mut longest, mut neutral, mut looks) = (0, 0, 0, 0);
     for seed in 0..300 {
         let at = seed as usize % 4;
         let loss = [0.0, 0.2][seed as usize % 2];
-        let judged = play(seed, members[at], between[at], 20_000.0, loss, Planted::Nothing);
-        let seen = &judged.seen;
-        assert_eq!((judged.broken, seen.unknown_at_force), (0, 0), "seed {seed}: {judged:?}");
+        let outcome = play(seed, members[at], replicas[at], 20_000.0, loss, PlantedFault::Nothing);
+        let seen = &outcome.seen;
+        assert_eq!((outcome.broken, seen.unknown_at_force), (0, 0), "seed {seed}: {outcome:?}");
         assert_eq!(
             (seen.untrue, seen.went_back, seen.restarted, seen.stale),
             (0, 0, 0, 0),
-            "seed {seed}: {judged:?}"
+            "seed {seed}: {outcome:?}"
         );
-        // Machines between have faults of their own on top, and a fifth of all messages may be lost on either floor.
-        assert!(seen.neutral * 2 < seen.looks || between[at] > 0, "seed {seed}: {judged:?}");
+        // Replicas have faults of their own in addition, and a fifth of all messages may be lost on either level.
+        assert!(seen.neutral * 2 < seen.looks || replicas[at] > 0, "seed {seed}: {outcome:?}");
         (neutral, looks) = (neutral + seen.neutral, looks + seen.looks);
         versions += seen.versions;
-        longest = longest.max(judged.longest_ms);
+        longest = longest.max(outcome.longest_ms);
     }
     assert!(neutral * 3 < looks, "without a lease {neutral} of {looks} times");
     // It says something only if versions came into force, and some contradicted each other for a while.
     assert!(versions > 900 && longest > 500, "{versions} versions, longest {longest} ms");
-    println!("300 schedules, {between:?} between: {versions} versions in force, longest contradiction {longest} ms, {}% without a lease", neutral * 100 / looks);
+    println!("300 schedules, {replicas:?} replicas: {versions} versions in force, longest contradiction {longest} ms, {}% without a lease", neutral * 100 / looks);
 }
 
 #[test]
-fn no_two_members_contradict_each_other_for_longer_than_was_promised() {
+fn conflicting_revisions_overlap_no_longer_than_the_bound() {
     agrees([3, 5, 7, 20], [0; 4]);
 }
 
 #[test]
-fn no_two_members_contradict_each_other_for_longer_with_machines_between() {
+fn conflicting_revisions_overlap_no_longer_than_the_bound_with_replicas() {
     agrees([3, 5, 7, 20], [2, 2, 3, 3]);
 }
 
 #[test]
-fn three_hundred_and_fifty_members_agree_too() {
-    for between in [0, 3] {
-        let judged = play(77, 350, between, 8_000.0, 0.05, Planted::Nothing);
-        assert_eq!((judged.broken, judged.seen.unknown_at_force), (0, 0), "{judged:?}");
-        assert!(judged.seen.versions > 1, "{judged:?}");
+fn three_hundred_and_fifty_members_stay_within_the_bound() {
+    for replicas in [0, 3] {
+        let outcome = play(77, 350, replicas, 8_000.0, 0.05, PlantedFault::Nothing);
+        assert_eq!((outcome.broken, outcome.seen.unknown_at_force), (0, 0), "{outcome:?}");
+        assert!(outcome.seen.versions > 1, "{outcome:?}");
     }
 }
 
 #[test]
-fn planted_offenders_are_caught() {
+fn planted_faults_are_detected() {
     let all = [
-        Planted::IgnoresLease,
-        Planted::SkipsFirstStep,
-        Planted::TakesOverAtOnce,
-        Planted::Hurries,
-        Planted::Unconfirmed,
+        PlantedFault::IgnoresLease,
+        PlantedFault::SkipsFirstStep,
+        PlantedFault::TakesOverAtOnce,
+        PlantedFault::Hurries,
+        PlantedFault::Unconfirmed,
     ];
     for planted in all {
-        // Between members and a leader of the past there is somebody else who knows better, mostly.
-        for (between, schedules) in [(0, 120), (2, 400)] {
+        // With replicas in between, a replaced leader rarely reaches a gateway that knows less.
+        for (replicas, schedules) in [(0, 120), (2, 400)] {
             let caught = (0..schedules).filter(|seed| {
-                let judged = play(*seed, 5, between, 20_000.0, 0.2, planted);
-                judged.broken > 0 || judged.seen.unknown_at_force > 0
+                let outcome = play(*seed, 5, replicas, 20_000.0, 0.2, planted);
+                outcome.broken > 0 || outcome.seen.unknown_at_force > 0
             });
             let caught = caught.count();
-            println!("{planted:?} with {between} between: caught in {caught} of {schedules} schedules");
-            assert!(caught > 0, "{planted:?} was not caught in {schedules} schedules with {between} between");
+            println!("{planted:?} with {replicas} replicas: caught in {caught} of {schedules} schedules");
+            assert!(
+                caught > 0,
+                "{planted:?} was not caught in {schedules} schedules with {replicas} replicas"
+            );
         }
     }
 }
 
 #[test]
-fn a_grant_that_is_old_doubled_or_anothers_gives_no_more_than_it_may() {
-    let terms = LeaseConfig { lease_ms: 100.0, clock_drift_ratio: 0.0, ..LeaseConfig::default() };
+fn old_duplicate_and_foreign_responses_are_rejected() {
+    let config = LeaseConfig { lease_ms: 100.0, clock_drift_ratio: 0.0, ..LeaseConfig::default() };
     let (scope, key) = (Scope::Fleet, Key::of("book"));
     let member = Member { name: "g0".into(), incarnation: 1 };
-    let mut follower = Follower::new(terms, member, Tables::new());
+    let mut follower = Follower::new(config, member, Tables::new());
     let part = |number| {
         let entry = Entry::RetryPolicy(RetryPolicy::Within(number));
         let mut digest = ternstack_replication::scope::Digest::default();
@@ -263,7 +268,7 @@
 }
 
 #[test]
-fn each_kind_of_contradiction_is_named() {
+fn each_kind_of_conflict_is_reported() {
     let host = |address: &str, drains| Host { address: address.into(), draining: drains };
     let rules = |quota, repeat, hosts: Vec<(&str, Host)>| Rules {
         quotas: [("acme".into(), quota)].into(),
@@ -289,7 +294,7 @@
 }
 
 #[test]
-fn lists_that_are_old_or_lose_most_hosts_by_mistake_do_not_pass() {
+fn outdated_lists_and_lists_without_most_hosts_are_not_proposed() {
     let host = |drains| Host { address: "1:1".into(), draining: drains };
     let hosts = (0..1200).map(|n| (format!("s-{n}"), host(false))).collect();
     let in_force = Rules { hosts, list_rev: 41, ..Rules::default() };
--- a/replication/tests/common/judge.rs
+++ b/replication/tests/common/checker.rs
@@ -1,4 +1,4 @@
-//! The leader's second step, and what is to be seen of the fleet.
+//! The leader's second step, and the invariants of the fleet.
 use super::*;
 use ternstack_fault_tests::checkers::{check, Promise, Terms as Promised};
 use ternstack_fault_tests::history::What;
@@ -6,41 +6,41 @@
 use ternstack_replication::primary::PrimaryEvent;
 use ternstack_replication::storage::Storage;
 
-impl World {
-    /// The leader of today puts versions together and brings them into force.
+impl Simulation {
+    /// The current leader creates revisions and brings them into force.
     pub fn second_step(&mut self, now: f64) {
-        let reign = self.reigns.len() - 1;
-        let (origin, rate) = &mut self.reigns[reign];
+        let leader = self.leaders.len() - 1;
+        let (primary, rate) = &mut self.leaders[leader];
         let local = now * *rate;
         let mut notes = Vec::new();
-        while let Some(PrimaryEvent::Agreed { revision: version, proposals }) = origin.batch(local) {
-            notes.extend(origin.store().pending_since(version - 1).cloned());
+        while let Some(PrimaryEvent::Agreed { revision: version, proposals }) = primary.batch(local) {
+            notes.extend(primary.store().pending_since(version - 1).cloned());
             let since = self.proposed.iter().filter(|p| proposals.contains(&p.1)).map(|p| p.0);
             self.open.insert(version, since.fold(f64::INFINITY, f64::min));
             self.proposed.retain(|p| !proposals.contains(&p.1));
         }
-        let in_force = origin.store().in_force();
-        let through = origin.store().through();
+        let in_force = primary.store().in_force();
+        let through = primary.store().through();
         let ready = match self.setup.planted {
-            Planted::Hurries => {
+            PlantedFault::Hurries => {
                 let next = in_force + 1;
-                (origin.lessor().holders(local).all(|(_, progress)| progress.known >= next)
+                (primary.lessor().holders(local).all(|(_, progress)| progress.known >= next)
                     && through >= next)
                     .then_some(next)
             }
-            Planted::SkipsFirstStep => (through > in_force).then_some(in_force + 1),
-            _ => origin.ready(local),
+            PlantedFault::SkipsFirstStep => (through > in_force).then_some(in_force + 1),
+            _ => primary.ready(local),
         };
         if let Some(next) = ready {
-            // As the leader sees it, and as it is.
-            let holders = origin.lessor().holders(local);
+            // By what the leader knows, and by the actual state.
+            let holders = primary.lessor().holders(local);
             let unknown = holders.filter(|(_, progress)| progress.known < next).count();
             let truly = self.gateways.iter().filter(|g| {
                 let holds = now * g.process.rate < g.follower.lease_until();
                 holds && (g.follower.known() < next || g.follower.in_force() < in_force)
             });
             self.seen.unknown_at_force += (unknown + truly.count()) as u64;
-            origin.advance_to(next);
+            primary.advance_to(next);
             self.forced.push((now, next));
         }
         notes.into_iter().for_each(|v| self.note(v.revision, &v.changes));
@@ -48,7 +48,7 @@
 
     /// What everybody acts on, as it changes.
     pub fn watch(&mut self, now: f64, touched: Option<usize>) {
-        let long_ago = now - self.setup.terms.max_conflict_ms().ceil();
+        let long_ago = now - self.setup.config.max_conflict_ms().ceil();
         let due = self.forced.iter().rev().find(|f| f.0 < long_ago).map_or(0, |f| f.1);
         for n in 0..self.gateways.len() {
             let g = &self.gateways[n];
@@ -63,7 +63,7 @@
                 });
                 self.seen.neutral += u64::from(neutral);
             }
-            if leased == g.leased && touched != Some(n) && self.setup.planted != Planted::IgnoresLease {
+            if leased == g.leased && touched != Some(n) && self.setup.planted != PlantedFault::IgnoresLease {
                 continue;
             }
             let shows = self.shows(n, local, up);
@@ -91,7 +91,7 @@
         if !up {
             return shows;
         }
-        let ignores = self.setup.planted == Planted::IgnoresLease;
+        let ignores = self.setup.planted == PlantedFault::IgnoresLease;
         for (name, scope, key) in &self.about {
             let follower = &self.gateways[n].follower;
             match follower.scope_mode(local, *scope) {
@@ -125,7 +125,7 @@
             leave_ms: None,
             told_slack_ms: None,
             cold: None,
-            contradiction_ms: self.setup.terms.max_conflict_ms().ceil() as u64,
+            contradiction_ms: self.setup.config.max_conflict_ms().ceil() as u64,
             most_out: self.setup.members,
             limits: vec![],
         };
@@ -134,30 +134,30 @@
         (broken.len(), longest(&self.history))
     }
 
-    /// What is not as it has to be after a quiet time: all hold leases, act on the last version, and have what the origin has.
+    /// What is wrong after a quiet time: all have to hold leases, act on the last revision, and have the state of the primary.
     pub fn unsettled(&self) -> Vec<String> {
-        let origin = self.reigns[self.reigns.len() - 1].0.store();
+        let primary = self.leaders[self.leaders.len() - 1].0.store();
         let mut faults = Vec::new();
         for (n, g) in self.gateways.iter().enumerate() {
             let f = &g.follower;
-            if !g.leased || f.in_force() != origin.in_force() || !f.is_complete() {
+            if !g.leased || f.in_force() != primary.in_force() || !f.is_complete() {
                 faults.push(format!(
                     "g{n}: leased {}, in force {} of {}, fetches {:?}",
                     g.leased,
                     f.in_force(),
-                    origin.in_force(),
+                    primary.in_force(),
                     f.fetching_scopes().collect::<Vec<_>>()
                 ));
             }
-            for (scope, _) in f.complete_scopes().filter(|w| f.storage().digest(w.0) != origin.digest(w.0)) {
+            for (scope, _) in f.complete_scopes().filter(|w| f.storage().digest(w.0) != primary.digest(w.0)) {
                 faults.push(format!("g{n}: another digest of {scope:?}"));
             }
         }
-        for (n, b) in self.between.iter().enumerate() {
-            if b.machine.store().total_digest() != origin.total_digest() {
+        for (n, b) in self.replicas.iter().enumerate() {
+            if b.replica.store().total_digest() != primary.total_digest() {
                 faults.push(format!("b{n}: another sum"));
             }
-            if let Err(what) = b.machine.store().check() {
+            if let Err(what) = b.replica.store().check() {
                 faults.push(format!("b{n}: {what}"));
             }
         }
--- a/replication/tests/common/mod.rs
+++ b/replication/tests/common/mod.rs
@@ -1,5 +1,5 @@
-//! A fleet in virtual time: an origin whose consensus is an oracle (one order, one leader at a time, who learns of its
-//! replacement only when it asks for confirmation), machines between, members, and everything that can befall them.
+//! A simulated fleet in virtual time: a primary whose consensus is an oracle (one order, one leader at a time, which learns of
+//! its replacement only when it asks for confirmation), replicas, gateways, and their faults.
 #![allow(dead_code)] // Each test file uses a part of it.
 use rand_chacha::ChaCha8Rng;
 use std::collections::{BTreeMap, BinaryHeap};
@@ -12,28 +12,28 @@
 use ternstack_replication::tables::Tables;
 use ternstack_replication::wire::{Member, PollRequest, PollResponse};
 
-mod judge;
-mod world;
+mod checker;
+mod simulation;
 
-/// What is planted: somebody who does wrong.
+/// A fault that is planted in a node, and has to be detected.
 #[derive(Clone, Copy, PartialEq, Debug)]
-pub enum Planted {
+pub enum PlantedFault {
     Nothing,
     /// A member acts on although its lease has run out.
     IgnoresLease,
-    /// The leader skips the first step.
+    /// The leader brings a revision into force before all lease holders know it.
     SkipsFirstStep,
-    /// A new leader does not wait for the leases of the one before.
+    /// A new leader does not wait until the leases of the previous one have expired.
     TakesOverAtOnce,
-    /// The leader does not wait for who is still on the version before.
+    /// The leader does not wait for members that act on the revision before.
     Hurries,
     /// A leader that was replaced goes on granting.
     Unconfirmed,
-    /// A machine between hands on leases that are longer than its own.
+    /// A replica hands on leases that are longer than its own.
     HandsOnLonger,
-    /// A machine between says what it knows itself, and not what its followers do.
+    /// A replica says what it knows itself, and not what its followers do.
     SpeaksForItself,
-    /// A machine between goes on granting after its own lease is over.
+    /// A replica goes on granting after its own lease is over.
     OutlivesLease,
     /// A follower takes the answer to an earlier ask for that to its last.
     TakesEarlier,
@@ -43,66 +43,76 @@
     SkipsPending,
 }
 
-/// Who can do or suffer something.
+/// A process of the fleet that may fail.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Who {
+pub enum Node {
     Gateway(usize),
-    Between(usize),
+    Replica(usize),
 }
 
-/// Which way a link is cut.
+/// In which direction a link is cut.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Way {
+pub enum CutDirection {
     Both,
-    Asks,
-    Answers,
+    Requests,
+    Responses,
 }
 
-/// A message on its way, or a moment of somebody.
+/// An event of the simulation: a message arrives, a timer fires, or a fault happens.
 #[derive(Clone, Debug)]
-pub enum Moment {
-    Asks(Who),
-    PollRequest(usize, u64, PollRequest), // To the leader of that reign.
-    AskBetween(usize, u64, PollRequest),  // To that life of a machine between.
-    PollResponse(Who, u64, u64, PollResponse), // To that life; with the sender's life.
+pub enum SimEvent {
+    /// A node's next poll may be due.
+    PollDue(Node),
+    /// A poll arrives at the n-th leader.
+    PollAtPrimary(usize, u64, PollRequest),
+    /// A poll arrives at an incarnation of a replica.
+    PollAtReplica(usize, u64, PollRequest),
+    /// A response arrives at an incarnation of a node, from an incarnation of its lessor.
+    Response(Node, u64, u64, PollResponse),
     Propose(Vec<Vec<Change>>),
-    Reign,
-    Pause(Who, f64),
-    Restart(Who, f64), // Back after so long.
-    Cut(Who, Way, f64),
-    Move(usize),
-    Want(usize, Scope, bool),
-    Look,
-}
-
-struct Due(f64, u64, Moment);
-impl PartialEq for Due {
+    NewLeader,
+    /// A node is suspended for so many ms.
+    Pause(Node, f64),
+    /// A node restarts, and is down for so many ms.
+    Restart(Node, f64),
+    /// A node's link is cut for so many ms.
+    Cut(Node, CutDirection, f64),
+    /// A gateway moves to its next replica.
+    Reconnect(usize),
+    /// A gateway subscribes to a scope, or unsubscribes.
+    Subscribe(usize, Scope, bool),
+    /// The invariants are checked.
+    Check,
+}
+
+struct Scheduled(f64, u64, SimEvent);
+impl PartialEq for Scheduled {
     fn eq(&self, other: &Self) -> bool {
         self.1 == other.1
     }
 }
-impl Eq for Due {}
-impl PartialOrd for Due {
+impl Eq for Scheduled {}
+impl PartialOrd for Scheduled {
     fn partial_cmp(&self, other: &Self) -> Option<std::cmp::Ordering> {
         Some(self.cmp(other))
     }
 }
-impl Ord for Due {
+impl Ord for Scheduled {
     fn cmp(&self, other: &Self) -> std::cmp::Ordering {
         other.0.total_cmp(&self.0).then(other.1.cmp(&self.1))
     }
 }
 
-/// A process: its life, clock, and what befell it.
+/// A process: its incarnation, clock, and faults.
 #[derive(Clone, Debug)]
 pub struct Process {
-    pub life: u64,
+    pub incarnation: u64,
     pub rate: f64, // Of its clock.
     pub asleep_until: f64,
     pub down_until: f64,
     pub cut_asks_until: f64,
     pub cut_answers_until: f64,
-    late_until: f64, // It asks the leader before.
+    late_until: f64, // It polls the previous leader.
     wakes_at: f64,   // To ask.
 }
 
@@ -110,7 +120,7 @@
     fn new(rate: f64) -> Self {
         let never = 0.0;
         Process {
-            life: 0,
+            incarnation: 0,
             rate,
             asleep_until: never,
             down_until: never,
@@ -125,7 +135,7 @@
 pub struct Gateway {
     pub process: Process,
     pub follower: Follower<Tables>,
-    pub order: Vec<usize>, // Of machines between; empty where there are none.
+    pub order: Vec<usize>, // Of replicas; empty without replicas.
     pub at: usize,
     renewed: f64,
     shown: BTreeMap<String, String>,
@@ -133,14 +143,14 @@
     earlier: Option<PollResponse>,
 }
 
-pub struct Between {
+pub struct ReplicaNode {
     pub process: Process,
-    pub machine: Replica,
+    pub replica: Replica,
 }
 
-/// What was seen of a play.
+/// What was observed in a run.
 #[derive(Debug, Default)]
-pub struct Seen {
+pub struct Observations {
     pub versions: u64,
     pub neutral: u64,
     pub looks: u64,
@@ -154,24 +164,24 @@
     pub in_force_ms: f64,
 }
 
-/// What a play is made of.
+/// The setup of a run.
 #[derive(Clone, Debug)]
 pub struct Setup {
-    pub terms: LeaseConfig,
+    pub config: LeaseConfig,
     pub seed: u64,
     pub members: usize,
-    pub between: usize,
+    pub replicas: usize,
     pub length_ms: f64,
     pub loss: f64,
     pub doubled: f64,
     pub delay_ms: f64,
-    /// From then on nothing is lost, doubled, or sent to a leader of the past.
+    /// From then on nothing is lost, duplicated, or sent to a replaced leader.
     pub calm_from_ms: f64,
-    /// How long somebody may go on asking a leader that was replaced; 0 where it is a matter of each ask.
+    /// How long a node may poll a leader that was replaced, in ms; 0 if it is drawn for each poll.
     pub late_ms: f64,
     /// Members that restart have a snapshot every other time.
     pub snapshots: bool,
-    pub planted: Planted,
+    pub planted: PlantedFault,
     /// Gateways whose time to bring versions into force does not count.
     pub excused: Vec<usize>,
 }
@@ -179,20 +189,20 @@
 /// What a version says of a key.
 type Said = (Revision, Option<Entry>);
 
-pub struct World {
+pub struct Simulation {
     pub setup: Setup,
     pub rng: ChaCha8Rng,
     pub gateways: Vec<Gateway>,
-    pub between: Vec<Between>,
-    pub reigns: Vec<(Primary, f64)>,
+    pub replicas: Vec<ReplicaNode>,
+    pub leaders: Vec<(Primary, f64)>,
     pub history: Vec<Event>,
-    pub seen: Seen,
+    pub seen: Observations,
     pub about: Vec<(String, Scope, Key)>,
-    queue: BinaryHeap<Due>,
+    queue: BinaryHeap<Scheduled>,
     serial: u64,
     truth: BTreeMap<(Scope, Key), Vec<Said>>,
     forced: Vec<(f64, Revision)>,  // When which version came into force.
-    proposed: Vec<(f64, u64)>,     // When, and its number in this reign.
+    proposed: Vec<(f64, u64)>,     // When, and its id at this leader.
     open: BTreeMap<Revision, f64>, // Versions not yet in force everywhere, and their first proposal.
 }
 
@@ -201,17 +211,17 @@
     (Scope::of_tenant(key), key)
 }
 
-fn member(who: Who, life: u64) -> Member {
+fn member(who: Node, incarnation: u64) -> Member {
     let name = match who {
-        Who::Gateway(n) => format!("g{n}"),
-        Who::Between(n) => format!("b{n}"),
+        Node::Gateway(n) => format!("g{n}"),
+        Node::Replica(n) => format!("b{n}"),
     };
-    Member { name, incarnation: life }
+    Member { name, incarnation }
 }
 
-fn gateway(who: Who) -> Option<usize> {
+fn gateway(who: Node) -> Option<usize> {
     match who {
-        Who::Gateway(n) => Some(n),
-        Who::Between(_) => None,
+        Node::Gateway(n) => Some(n),
+        Node::Replica(_) => None,
     }
 }
--- a/replication/tests/common/world.rs
+++ b/replication/tests/common/simulation.rs
@@ -6,23 +6,23 @@
 use ternstack_replication::scope::ChangeSet;
 use ternstack_replication::store::Store;
 
-impl World {
+impl Simulation {
     /// A fleet with the first version in force; its rng has drawn the clocks of members, in their order.
-    pub fn new(setup: Setup, first: Vec<Change>, wants: impl Fn(usize) -> Vec<Scope>) -> World {
-        let terms = setup.terms;
+    pub fn new(setup: Setup, first: Vec<Change>, wants: impl Fn(usize) -> Vec<Scope>) -> Simulation {
+        let config = setup.config;
         let mut rng = ChaCha8Rng::seed_from_u64(setup.seed);
         let mut store = Store::new();
         store.add_pending(ChangeSet { revision: 1, changes: first.clone() });
         store.advance_to(1);
         let gateways = (0..setup.members).map(|n| {
-            let mut follower = Follower::new(terms, member(Who::Gateway(n), 0), Tables::new());
+            let mut follower = Follower::new(config, member(Node::Gateway(n), 0), Tables::new());
             wants(n).into_iter().for_each(|scope| follower.subscribe(scope, 1.0));
             Gateway {
                 process: Process::new(
-                    1.0 + rng.random_range(-terms.clock_drift_ratio..=terms.clock_drift_ratio),
+                    1.0 + rng.random_range(-config.clock_drift_ratio..=config.clock_drift_ratio),
                 ),
                 follower,
-                order: (0..setup.between).map(|m| (n + m) % setup.between).collect(),
+                order: (0..setup.replicas).map(|m| (n + m) % setup.replicas).collect(),
                 at: 0,
                 renewed: 0.0,
                 shown: BTreeMap::new(),
@@ -31,17 +31,19 @@
             }
         });
         let gateways: Vec<Gateway> = gateways.collect();
-        let between = (0..setup.between).map(|n| Between {
-            process: Process::new(1.0 + rng.random_range(-terms.clock_drift_ratio..=terms.clock_drift_ratio)),
-            machine: Replica::new(terms, member(Who::Between(n), 0), 0.0),
+        let replicas = (0..setup.replicas).map(|n| ReplicaNode {
+            process: Process::new(
+                1.0 + rng.random_range(-config.clock_drift_ratio..=config.clock_drift_ratio),
+            ),
+            replica: Replica::new(config, member(Node::Replica(n), 0), 0.0),
         });
-        let between = between.collect();
-        let mut world = World {
+        let replicas = replicas.collect();
+        let mut world = Simulation {
             gateways,
-            between,
-            reigns: vec![(Primary::new(terms, 0.0, 1, store), 1.0)],
+            replicas,
+            leaders: vec![(Primary::new(config, 0.0, 1, store), 1.0)],
             history: Vec::new(),
-            seen: Seen::default(),
+            seen: Observations::default(),
             about: Vec::new(),
             queue: BinaryHeap::new(),
             serial: 0,
@@ -56,35 +58,35 @@
         world
     }
 
-    pub fn add(&mut self, at: f64, moment: Moment) {
+    pub fn add(&mut self, at: f64, moment: SimEvent) {
         self.serial += 1;
-        self.queue.push(Due(at, self.serial, moment));
+        self.queue.push(Scheduled(at, self.serial, moment));
     }
 
     /// Somebody looks whether its ask is due, at that time and no other.
-    fn wakes(&mut self, who: Who, at: f64) {
+    fn wakes(&mut self, who: Node, at: f64) {
         self.process(who).wakes_at = at;
-        self.add(at, Moment::Asks(who));
+        self.add(at, SimEvent::PollDue(who));
     }
 
     /// The first asks of all.
     pub fn begin(&mut self) {
         for n in 0..self.gateways.len() {
             let at = self.rng.random_range(0.0..400.0);
-            self.wakes(Who::Gateway(n), at);
+            self.wakes(Node::Gateway(n), at);
         }
-        for n in 0..self.between.len() {
-            self.wakes(Who::Between(n), 0.0);
+        for n in 0..self.replicas.len() {
+            self.wakes(Node::Replica(n), 0.0);
         }
         for n in 0..(self.setup.length_ms / 25.0) as u32 {
-            self.add(f64::from(n) * 25.0, Moment::Look);
+            self.add(f64::from(n) * 25.0, SimEvent::Check);
         }
     }
 
-    pub fn process(&mut self, who: Who) -> &mut Process {
+    pub fn process(&mut self, who: Node) -> &mut Process {
         match who {
-            Who::Gateway(n) => &mut self.gateways[n].process,
-            Who::Between(n) => &mut self.between[n].process,
+            Node::Gateway(n) => &mut self.gateways[n].process,
+            Node::Replica(n) => &mut self.replicas[n].process,
         }
     }
 
@@ -102,7 +104,7 @@
 
     /// Plays to the end of its length.
     pub fn run(&mut self) {
-        while let Some(Due(now, _, moment)) = self.queue.pop() {
+        while let Some(Scheduled(now, _, moment)) = self.queue.pop() {
             if now > self.setup.length_ms {
                 break;
             }
@@ -110,81 +112,82 @@
             self.second_step(now);
             self.watch(now, touched);
         }
-        self.seen.versions = self.reigns[self.reigns.len() - 1].0.store().in_force();
+        self.seen.versions = self.leaders[self.leaders.len() - 1].0.store().in_force();
     }
 
     /// One moment; the gateway that it touched.
-    fn happens(&mut self, now: f64, moment: Moment) -> Option<usize> {
-        let terms = self.setup.terms;
+    fn happens(&mut self, now: f64, moment: SimEvent) -> Option<usize> {
+        let config = self.setup.config;
         match moment {
-            Moment::Asks(who) => self.asks(now, who),
-            Moment::PollRequest(to, _, ask) => {
-                let newest = to + 1 == self.reigns.len();
+            SimEvent::PollDue(who) => self.asks(now, who),
+            SimEvent::PollAtPrimary(to, _, ask) => {
+                let newest = to + 1 == self.leaders.len();
                 let planted = self.setup.planted;
-                let (origin, rate) = &mut self.reigns[to];
+                let (primary, rate) = &mut self.leaders[to];
                 let local = now * *rate;
-                // A majority confirms only the leader of today.
-                if newest || planted == Planted::Unconfirmed {
-                    origin.confirm_leadership(local);
+                // A majority confirms only the current leader.
+                if newest || planted == PlantedFault::Unconfirmed {
+                    primary.confirm_leadership(local);
                 }
-                if let Some(grant) = origin.handle_poll(local, &ask) {
+                if let Some(grant) = primary.handle_poll(local, &ask) {
                     self.answer(now, &ask, 0, grant);
                 }
             }
-            Moment::AskBetween(to, life, ask) => {
-                let b = &mut self.between[to];
+            SimEvent::PollAtReplica(to, incarnation, ask) => {
+                let b = &mut self.replicas[to];
                 if now < b.process.asleep_until {
                     let wakes = b.process.asleep_until;
-                    self.add(wakes, Moment::AskBetween(to, life, ask));
-                } else if life == b.process.life && now >= b.process.down_until {
+                    self.add(wakes, SimEvent::PollAtReplica(to, incarnation, ask));
+                } else if incarnation == b.process.incarnation && now >= b.process.down_until {
                     let local = now * b.process.rate;
-                    if let Some(mut grant) = b.machine.handle_poll(local, &ask) {
-                        let lease_us = (terms.lease_ms * 1000.0) as u64;
+                    if let Some(mut grant) = b.replica.handle_poll(local, &ask) {
+                        let lease_us = (config.lease_ms * 1000.0) as u64;
                         match self.setup.planted {
-                            Planted::HandsOnLonger if grant.lease_us > 0 => grant.lease_us = lease_us,
-                            Planted::OutlivesLease if grant.lease_us == 0 => grant.lease_us = lease_us,
+                            PlantedFault::HandsOnLonger if grant.lease_us > 0 => grant.lease_us = lease_us,
+                            PlantedFault::OutlivesLease if grant.lease_us == 0 => grant.lease_us = lease_us,
                             _ => {}
                         }
-                        let due = b.machine.next_poll(local) / b.process.rate;
-                        self.wakes(Who::Between(to), due.max(now) + 0.001);
-                        self.answer(now, &ask, life, grant);
+                        let due = b.replica.next_poll(local) / b.process.rate;
+                        self.wakes(Node::Replica(to), due.max(now) + 0.001);
+                        self.answer(now, &ask, incarnation, grant);
                     }
                 }
             }
-            Moment::PollResponse(who, life, from, grant) => {
-                return self.handle_response(now, who, life, from, grant)
+            SimEvent::Response(who, incarnation, from, grant) => {
+                return self.handle_response(now, who, incarnation, from, grant)
             }
-            Moment::Propose(all) => {
-                let reign = self.reigns.len() - 1;
+            SimEvent::Propose(all) => {
+                let leader = self.leaders.len() - 1;
                 for changes in all {
                     let proposer = Proposer { name: "staff".into(), proposed_ms: 0 };
-                    let number = self.reigns[reign].0.propose(proposer, changes).expect("it fits");
+                    let number = self.leaders[leader].0.propose(proposer, changes).expect("it fits");
                     self.proposed.push((now, number));
                 }
-                let due = self.reigns[reign].0.next_tick().unwrap_or(now) / self.reigns[reign].1;
-                self.add(due.max(now) + 0.001, Moment::Look);
+                let due = self.leaders[leader].0.next_tick().unwrap_or(now) / self.leaders[leader].1;
+                self.add(due.max(now) + 0.001, SimEvent::Check);
             }
-            Moment::Reign => {
-                let rate = 1.0 + self.rng.random_range(-terms.clock_drift_ratio..=terms.clock_drift_ratio);
-                let begins = if self.setup.planted == Planted::TakesOverAtOnce { -1e9 } else { now * rate };
-                let epoch = self.reigns.len() as u64 + 1;
-                let store = self.reigns[self.reigns.len() - 1].0.store().clone();
-                self.reigns.push((Primary::new(terms, begins, epoch, store), rate));
+            SimEvent::NewLeader => {
+                let rate = 1.0 + self.rng.random_range(-config.clock_drift_ratio..=config.clock_drift_ratio);
+                let begins =
+                    if self.setup.planted == PlantedFault::TakesOverAtOnce { -1e9 } else { now * rate };
+                let epoch = self.leaders.len() as u64 + 1;
+                let store = self.leaders[self.leaders.len() - 1].0.store().clone();
+                self.leaders.push((Primary::new(config, begins, epoch, store), rate));
                 self.proposed.clear();
-                for n in 0..self.between.len() {
+                for n in 0..self.replicas.len() {
                     let late_ms = self.rng.random_range(0.0..=self.setup.late_ms);
-                    self.between[n].process.late_until = now + late_ms;
+                    self.replicas[n].process.late_until = now + late_ms;
                 }
             }
-            Moment::Pause(who, for_ms) => self.process(who).asleep_until = now + for_ms,
-            Moment::Restart(who, for_ms) => {
+            SimEvent::Pause(who, for_ms) => self.process(who).asleep_until = now + for_ms,
+            SimEvent::Restart(who, for_ms) => {
                 let process = self.process(who);
-                process.life += 1;
+                process.incarnation += 1;
                 process.asleep_until = 0.0;
                 process.down_until = now + for_ms;
-                let (life, rate) = (process.life, process.rate);
+                let (incarnation, rate) = (process.incarnation, process.rate);
                 match who {
-                    Who::Gateway(n) => {
+                    Node::Gateway(n) => {
                         let kept = self.setup.snapshots && self.rng.random_bool(0.5);
                         let g = &mut self.gateways[n];
                         let wanted: Vec<Scope> = g
@@ -194,37 +197,37 @@
                             .chain(g.follower.fetching_scopes())
                             .collect();
                         g.follower = if kept {
-                            Follower::restore(terms, member(who, life), g.follower.snapshot())
+                            Follower::restore(config, member(who, incarnation), g.follower.snapshot())
                         } else {
-                            Follower::new(terms, member(who, life), Tables::new())
+                            Follower::new(config, member(who, incarnation), Tables::new())
                         };
                         wanted.into_iter().for_each(|scope| g.follower.subscribe(scope, 1.0));
                         g.earlier = None;
                     }
-                    Who::Between(n) => {
+                    Node::Replica(n) => {
                         let back = (now + for_ms) * rate;
-                        self.between[n].machine = Replica::new(terms, member(who, life), back);
+                        self.replicas[n].replica = Replica::new(config, member(who, incarnation), back);
                     }
                 }
                 self.wakes(who, now + for_ms);
                 return gateway(who);
             }
-            Moment::Cut(who, way, for_ms) => {
+            SimEvent::Cut(who, way, for_ms) => {
                 let process = self.process(who);
-                if way != Way::Answers {
+                if way != CutDirection::Responses {
                     process.cut_asks_until = now + for_ms;
                 }
-                if way != Way::Asks {
+                if way != CutDirection::Requests {
                     process.cut_answers_until = now + for_ms;
                 }
             }
-            Moment::Move(n) => {
+            SimEvent::Reconnect(n) => {
                 let g = &mut self.gateways[n];
                 g.at = (g.at + 1) % g.order.len().max(1);
                 g.follower.reconnected();
-                self.wakes(Who::Gateway(n), now);
+                self.wakes(Node::Gateway(n), now);
             }
-            Moment::Want(n, scope, want) => {
+            SimEvent::Subscribe(n, scope, want) => {
                 let g = &mut self.gateways[n];
                 if want {
                     g.follower.subscribe(scope, 1.0);
@@ -233,12 +236,12 @@
                 }
                 return Some(n);
             }
-            Moment::Look => {}
+            SimEvent::Check => {}
         }
         None
     }
 
-    fn asks(&mut self, now: f64, who: Who) {
+    fn asks(&mut self, now: f64, who: Node) {
         let calm = now >= self.setup.calm_from_ms;
         let (loss, delay_ms) = (if calm { 0.0 } else { self.setup.loss }, self.setup.delay_ms);
         let process = self.process(who).clone();
@@ -250,11 +253,11 @@
             return self.wakes(who, up);
         }
         let local = now * process.rate;
-        let half = self.setup.terms.response_timeout_ms();
+        let half = self.setup.config.response_timeout_ms();
         let (ask, due) = match who {
-            Who::Gateway(n) => {
+            Node::Gateway(n) => {
                 let g = &mut self.gateways[n];
-                // Who answers without a lease, or not at all, is left for the next.
+                // A gateway leaves a replica that does not answer, or without a lease.
                 if !g.order.is_empty() && local >= g.follower.next_poll() && local > g.renewed + half {
                     g.at = (g.at + 1) % g.order.len();
                     g.renewed = local;
@@ -262,14 +265,14 @@
                 }
                 (g.follower.poll(local), g.follower.next_poll())
             }
-            Who::Between(n) => {
-                let b = &mut self.between[n];
-                let mut ask = b.machine.poll(local);
-                if let (Some(ask), Planted::SpeaksForItself) = (&mut ask, self.setup.planted) {
-                    ask.known = b.machine.follower().known();
-                    ask.in_force = b.machine.follower().in_force();
+            Node::Replica(n) => {
+                let b = &mut self.replicas[n];
+                let mut ask = b.replica.poll(local);
+                if let (Some(ask), PlantedFault::SpeaksForItself) = (&mut ask, self.setup.planted) {
+                    ask.known = b.replica.follower().known();
+                    ask.in_force = b.replica.follower().in_force();
                 }
-                (ask, b.machine.next_poll(local))
+                (ask, b.replica.next_poll(local))
             }
         };
         self.wakes(who, (due / process.rate).max(now) + 0.001);
@@ -279,32 +282,32 @@
         }
         let arrives = now + self.rng.random_range(0.1..delay_ms);
         let to = match who {
-            Who::Gateway(n) => self.gateways[n].order.get(self.gateways[n].at).copied(),
-            Who::Between(_) => None,
+            Node::Gateway(n) => self.gateways[n].order.get(self.gateways[n].at).copied(),
+            Node::Replica(_) => None,
         };
         if let Some(to) = to {
-            let life = self.between[to].process.life;
-            self.add(arrives, Moment::AskBetween(to, life, ask));
+            let incarnation = self.replicas[to].process.incarnation;
+            self.add(arrives, SimEvent::PollAtReplica(to, incarnation, ask));
         } else {
-            // Some still reach the leader before.
-            let reign = self.reigns.len() - 1;
+            // Some polls still reach the previous leader.
+            let leader = self.leaders.len() - 1;
             let late = match self.setup.late_ms {
-                0.0 => reign > 0 && !calm && self.rng.random_bool(0.3),
+                0.0 => leader > 0 && !calm && self.rng.random_bool(0.3),
                 _ => now < process.late_until,
             };
-            let to = if late { reign - 1 } else { reign };
-            self.add(arrives, Moment::PollRequest(to, 0, ask));
+            let to = if late { leader - 1 } else { leader };
+            self.add(arrives, SimEvent::PollAtPrimary(to, 0, ask));
         }
     }
 
-    fn answer(&mut self, now: f64, ask: &PollRequest, life: u64, mut grant: PollResponse) {
+    fn answer(&mut self, now: f64, ask: &PollRequest, incarnation: u64, mut grant: PollResponse) {
         let n: usize = ask.member.name[1..].parse().expect("a number");
-        let who = if ask.member.name.starts_with('g') { Who::Gateway(n) } else { Who::Between(n) };
+        let who = if ask.member.name.starts_with('g') { Node::Gateway(n) } else { Node::Replica(n) };
         match self.setup.planted {
-            Planted::SkipsTombstones => {
+            PlantedFault::SkipsTombstones => {
                 grant.chunks.iter_mut().for_each(|part| part.entries.retain(|one| one.entry.is_some()));
             }
-            Planted::SkipsPending => grant.pending.retain(|version| version.revision > ask.known),
+            PlantedFault::SkipsPending => grant.pending.retain(|version| version.revision > ask.known),
             _ => {}
         }
         let calm = now >= self.setup.calm_from_ms;
@@ -313,28 +316,31 @@
         for _ in 0..copies {
             if now >= self.process(who).cut_answers_until && !self.rng.random_bool(loss) {
                 let arrives = now + self.rng.random_range(0.1..self.setup.delay_ms);
-                self.add(arrives, Moment::PollResponse(who, ask.member.incarnation, life, grant.clone()));
+                self.add(
+                    arrives,
+                    SimEvent::Response(who, ask.member.incarnation, incarnation, grant.clone()),
+                );
             }
         }
     }
 
     fn handle_response(
-        &mut self, now: f64, who: Who, life: u64, from: u64, mut grant: PollResponse,
+        &mut self, now: f64, who: Node, incarnation: u64, from: u64, mut grant: PollResponse,
     ) -> Option<usize> {
         let process = self.process(who).clone();
         // What comes while a process stands still waits for it.
         if now < process.asleep_until {
-            self.add(process.asleep_until, Moment::PollResponse(who, life, from, grant));
+            self.add(process.asleep_until, SimEvent::Response(who, incarnation, from, grant));
             return None;
         }
-        if life != process.life || now < process.down_until {
+        if incarnation != process.incarnation || now < process.down_until {
             return None;
         }
         let local = now * process.rate;
         let (taken, due) = match who {
-            Who::Gateway(n) => {
+            Node::Gateway(n) => {
                 let g = &mut self.gateways[n];
-                if self.setup.planted == Planted::TakesEarlier {
+                if self.setup.planted == PlantedFault::TakesEarlier {
                     if let Some(earlier) =
                         g.earlier.replace(grant.clone()).filter(|_| self.rng.random_bool(0.5))
                     {
@@ -355,10 +361,10 @@
                 self.seen.went_back += u64::from(after.0 < before.0 || after.1 < before.1);
                 (taken, g.follower.next_poll())
             }
-            Who::Between(n) => {
-                let b = &mut self.between[n];
-                let taken = b.machine.handle_response(local, grant);
-                (taken, b.machine.next_poll(local))
+            Node::Replica(n) => {
+                let b = &mut self.replicas[n];
+                let taken = b.replica.handle_response(local, grant);
+                (taken, b.replica.next_poll(local))
             }
         };
         self.wakes(who, (due / process.rate).max(now) + 0.001);
--- a/replication/tests/control.rs
+++ b/replication/tests/replicas.rs
@@ -1,6 +1,6 @@
-//! Control machines between an origin and its gateways, in virtual time: drawn schedules with all that befalls them, and those
-//! who do wrong.
-use common::{tenant, Moment, Planted, Seen, Setup, Way, Who, World};
+//! Replicas between a primary and its gateways, in virtual time: drawn schedules of faults, and planted faults that have to be
+//! detected.
+use common::{tenant, CutDirection, Node, Observations, PlantedFault, Setup, SimEvent, Simulation};
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use std::collections::BTreeMap;
@@ -73,17 +73,17 @@
 }
 
 /// A fleet in three zones of two regions, of which every member follows its part.
-fn fleet(setup: Setup) -> World {
+fn fleet(setup: Setup) -> Simulation {
     let scopes = scopes();
     let wants = |n: usize| {
         scopes.iter().enumerate().filter(|(at, _)| !(n + at).is_multiple_of(3)).map(|s| *s.1).collect()
     };
-    let between = setup.between;
-    let mut world = World::new(setup, first(), wants);
+    let replicas = setup.replicas;
+    let mut world = Simulation::new(setup, first(), wants);
     let zone = |n: usize| (format!("zone {}", n % 3), format!("region {}", n % 3 / 2));
     let machine =
         |n: usize| ReplicaLocation { name: format!("control {n}"), zone: zone(n).0, region: zone(n).1 };
-    let machines: Vec<ReplicaLocation> = (0..between).map(machine).collect();
+    let machines: Vec<ReplicaLocation> = (0..replicas).map(machine).collect();
     for (n, g) in world.gateways.iter_mut().enumerate() {
         g.order = preference_order(&format!("gateway {n}"), &zone(n).0, &zone(n).1, &machines);
     }
@@ -102,12 +102,12 @@
     world
 }
 
-fn setup(seed: u64, members: usize, between: usize, planted: Planted) -> Setup {
+fn setup(seed: u64, members: usize, replicas: usize, planted: PlantedFault) -> Setup {
     Setup {
-        terms: LeaseConfig::default(),
+        config: LeaseConfig::default(),
         seed,
         members,
-        between,
+        replicas,
         length_ms: 24_000.0,
         loss: 0.0,
         doubled: 0.0,
@@ -121,14 +121,14 @@
 }
 
 #[derive(Debug)]
-struct Judged {
-    seen: Seen,
+struct Outcome {
+    seen: Observations,
     broken: usize,
     longest_ms: u64,
     unsettled: Vec<String>,
 }
 
-impl Judged {
+impl Outcome {
     fn sound(&self) -> bool {
         let seen = &self.seen;
         let faults = [seen.unknown_at_force, seen.went_back, seen.untrue, seen.stale, seen.restarted];
@@ -137,12 +137,12 @@
 }
 
 /// A schedule with all that can befall a fleet in its first half; nothing does in the second.
-fn drawn(seed: u64, members: usize, between: usize, planted: Planted) -> Judged {
+fn drawn(seed: u64, members: usize, replicas: usize, planted: PlantedFault) -> Outcome {
     let mut rng = ChaCha8Rng::seed_from_u64(seed ^ 0x5eed);
-    let mut setup = setup(seed, members, between, planted);
+    let mut setup = setup(seed, members, replicas, planted);
     (setup.loss, setup.doubled) = ([0.0, 0.05, 0.15][seed as usize % 3], 0.1);
     // Every other fleet has too few bytes for what it missed, so that scopes fall behind.
-    setup.terms.bytes_per_s = [12_000.0, 1500.0][seed as usize / 3 % 2];
+    setup.config.bytes_per_s = [12_000.0, 1500.0][seed as usize / 3 % 2];
     let calm = setup.calm_from_ms;
     let mut world = fleet(setup);
     let scopes = scopes();
@@ -150,66 +150,66 @@
     while at < calm - 5000.0 {
         at += rng.random_range(20.0..300.0);
         let who = match rng.random_range(0..6) {
-            0 => Who::Between(rng.random_range(0..between)),
-            _ => Who::Gateway(rng.random_range(0..members)),
+            0 => Node::Replica(rng.random_range(0..replicas)),
+            _ => Node::Gateway(rng.random_range(0..members)),
         };
         let n = rng.random_range(0..members);
         let for_ms = rng.random_range(50.0..5000.0);
         let moment = match rng.random_range(0..20) {
-            0 | 1 => Moment::Pause(who, for_ms),
-            2 => Moment::Restart(who, rng.random_range(0.0..2000.0)),
-            3 => Moment::Cut(who, Way::Both, for_ms),
-            4 => Moment::Cut(who, Way::Asks, for_ms),
-            5 => Moment::Cut(who, Way::Answers, for_ms),
-            6 => Moment::Move(n),
-            7 if rng.random_bool(0.5) => Moment::Reign,
-            8 | 9 => Moment::Want(n, scopes[rng.random_range(0..scopes.len())], rng.random_bool(0.6)),
-            10 if rng.random_bool(0.2) => Moment::Propose((0..20).map(|_| proposal(&mut rng)).collect()),
-            _ => Moment::Propose(vec![proposal(&mut rng)]),
+            0 | 1 => SimEvent::Pause(who, for_ms),
+            2 => SimEvent::Restart(who, rng.random_range(0.0..2000.0)),
+            3 => SimEvent::Cut(who, CutDirection::Both, for_ms),
+            4 => SimEvent::Cut(who, CutDirection::Requests, for_ms),
+            5 => SimEvent::Cut(who, CutDirection::Responses, for_ms),
+            6 => SimEvent::Reconnect(n),
+            7 if rng.random_bool(0.5) => SimEvent::NewLeader,
+            8 | 9 => SimEvent::Subscribe(n, scopes[rng.random_range(0..scopes.len())], rng.random_bool(0.6)),
+            10 if rng.random_bool(0.2) => SimEvent::Propose((0..20).map(|_| proposal(&mut rng)).collect()),
+            _ => SimEvent::Propose(vec![proposal(&mut rng)]),
         };
         world.add(at, moment);
     }
     world.run();
     let (broken, longest_ms) = world.judge();
-    Judged { broken, longest_ms, unsettled: world.unsettled(), seen: world.seen }
+    Outcome { broken, longest_ms, unsettled: world.unsettled(), seen: world.seen }
 }
 
-fn agree(seeds: std::ops::Range<u64>, between: usize) {
+fn agree(seeds: std::ops::Range<u64>, replicas: usize) {
     let (mut versions, mut longest, mut behind, count) = (0, 0, 0, seeds.clone().count());
     for seed in seeds {
-        let judged = drawn(seed, 50 + seed as usize % 11, between, Planted::Nothing);
-        assert!(judged.sound(), "seed {seed}: {judged:?}");
-        versions += judged.seen.versions;
-        behind += judged.seen.fell_behind;
-        longest = longest.max(judged.longest_ms);
+        let outcome = drawn(seed, 50 + seed as usize % 11, replicas, PlantedFault::Nothing);
+        assert!(outcome.sound(), "seed {seed}: {outcome:?}");
+        versions += outcome.seen.versions;
+        behind += outcome.seen.fell_behind;
+        longest = longest.max(outcome.longest_ms);
     }
     assert!(versions > 8 * count as u64 && longest > 500 && behind > 0, "{versions} {longest} {behind}");
     println!(
-        "{count} schedules of 50 to 60 members, {between} between: {versions} versions in force, \
+        "{count} schedules of 50 to 60 members, {replicas} replicas: {versions} versions in force, \
          longest contradiction {longest} ms, scopes fell behind {behind} times"
     );
 }
 
 #[test]
-fn fleets_before_one_machine_agree() {
+fn fleets_with_one_replica_stay_within_the_bound() {
     agree(0..70, 1);
 }
 
 #[test]
-fn fleets_before_three_machines_agree() {
+fn fleets_with_three_replicas_stay_within_the_bound() {
     agree(1000..1070, 3);
 }
 
 #[test]
-fn fleets_before_six_machines_agree() {
+fn fleets_with_six_replicas_stay_within_the_bound() {
     agree(2000..2070, 6);
 }
 
 /// Somebody dies, or is cut off one way, at a time that is drawn.
-fn one_dead(seed: u64, dead: Option<Moment>, terms: LeaseConfig) -> f64 {
+fn one_dead(seed: u64, dead: Option<SimEvent>, config: LeaseConfig) -> f64 {
     let mut rng = ChaCha8Rng::seed_from_u64(seed);
-    let mut setup = Setup { terms, calm_from_ms: 0.0, ..setup(seed, 50, 3, Planted::Nothing) };
-    if let Some(Moment::Restart(Who::Gateway(n), _) | Moment::Cut(Who::Gateway(n), ..)) = dead {
+    let mut setup = Setup { config, calm_from_ms: 0.0, ..setup(seed, 50, 3, PlantedFault::Nothing) };
+    if let Some(SimEvent::Restart(Node::Gateway(n), _) | SimEvent::Cut(Node::Gateway(n), ..)) = dead {
         setup.excused = vec![n];
     }
     let length_ms = setup.length_ms;
@@ -221,7 +221,7 @@
     }
     while at < length_ms {
         at += rng.random_range(50.0..1500.0);
-        world.add(at, Moment::Propose(vec![proposal(&mut rng)]));
+        world.add(at, SimEvent::Propose(vec![proposal(&mut rng)]));
     }
     world.run();
     assert_eq!(world.judge().0, 0, "seed {seed}");
@@ -230,43 +230,43 @@
 }
 
 #[test]
-fn a_version_is_in_force_everywhere_in_the_time_that_is_promised() {
-    let terms = LeaseConfig::default();
-    assert!(terms.max_activation_ms() <= 5000.0, "{}", terms.max_activation_ms());
+fn a_revision_is_in_force_everywhere_within_the_bound() {
+    let config = LeaseConfig::default();
+    assert!(config.max_activation_ms() <= 5000.0, "{}", config.max_activation_ms());
     let never = 1e9;
     let mut longest: BTreeMap<&str, f64> = BTreeMap::new();
     for seed in 0..10 {
-        let who = Who::Gateway(seed as usize * 5);
+        let who = Node::Gateway(seed as usize * 5);
         let all = [
             ("nobody is dead", None),
-            ("a gateway is dead", Some(Moment::Restart(who, never))),
-            ("a gateway's asks are lost", Some(Moment::Cut(who, Way::Asks, never))),
-            ("a gateway's answers are lost", Some(Moment::Cut(who, Way::Answers, never))),
-            ("a machine between is dead", Some(Moment::Restart(Who::Between(seed as usize % 3), never))),
+            ("a gateway is dead", Some(SimEvent::Restart(who, never))),
+            ("a gateway's asks are lost", Some(SimEvent::Cut(who, CutDirection::Requests, never))),
+            ("a gateway's answers are lost", Some(SimEvent::Cut(who, CutDirection::Responses, never))),
+            ("a replica is dead", Some(SimEvent::Restart(Node::Replica(seed as usize % 3), never))),
         ];
         for (words, dead) in all {
-            let took = one_dead(seed, dead, terms);
-            // That a machine between dies is not in the promise, and told beside it.
-            if words == "a machine between is dead" {
+            let took = one_dead(seed, dead, config);
+            // That a replica dies is not in the promise, and told beside it.
+            if words == "a replica is dead" {
                 let longest = longest.entry(words).or_default();
                 *longest = took.max(*longest);
                 continue;
             }
             assert!(
-                took <= terms.max_activation_ms(),
+                took <= config.max_activation_ms(),
                 "seed {seed}, {words}: {took} of {} ms",
-                terms.max_activation_ms()
+                config.max_activation_ms()
             );
             let longest = longest.entry(words).or_default();
             *longest = longest.max(took);
         }
     }
-    println!("longest times to in force, of {:.0} ms: {longest:.0?}", terms.max_activation_ms());
+    println!("longest times to in force, of {:.0} ms: {longest:.0?}", config.max_activation_ms());
 }
 
 #[test]
-fn a_link_that_is_cut_one_way_holds_up_no_longer_than_a_death() {
-    let terms = LeaseConfig::default();
+fn a_link_cut_in_one_direction_delays_no_longer_than_a_failure() {
+    let config = LeaseConfig::default();
     let mut store = Store::new();
     store.add_pending(ChangeSet { revision: 1, changes: first() });
     store.advance_to(1);
@@ -280,62 +280,62 @@
         subscription: Subscription::AllScopes { generation: 1 },
         fetch: vec![],
     };
-    let lease = |grantor: &mut Lessor, now, ask: &PollRequest| {
-        grantor.handle_poll(now, &store, f64::INFINITY, ask).lease_us
+    let lease = |lessor: &mut Lessor, now, ask: &PollRequest| {
+        lessor.handle_poll(now, &store, f64::INFINITY, ask).lease_us
     };
-    // Who never heard anything never holds anybody up.
-    let mut grantor = Lessor::new(terms, 0.0);
+    // A member that has received nothing never delays others.
+    let mut lessor = Lessor::new(config, 0.0);
     for n in 1..40 {
-        assert_eq!(lease(&mut grantor, n as f64 * 380.0, &ask("deaf", n, 0)), 0);
+        assert_eq!(lease(&mut lessor, n as f64 * 380.0, &ask("deaf", n, 0)), 0);
     }
-    assert_eq!(grantor.min_progress(380.0), None);
-    // Who hears nothing from the third answer on holds up for a lease from then on, however often it asks.
+    assert_eq!(lessor.min_progress(380.0), None);
+    // A member that receives nothing from the third response on delays others for one lease from then on, however often it polls.
     let mut given = Vec::new();
     for n in 1..40 {
-        given.push(lease(&mut grantor, n as f64 * 380.0, &ask("cut", n, n.min(3) - 1)));
+        given.push(lease(&mut lessor, n as f64 * 380.0, &ask("cut", n, n.min(3) - 1)));
     }
     assert_eq!(given[..3], [0, 1_900_000, 1_900_000]);
     assert!(given[3..].windows(2).all(|two| two[0] > two[1] || two[1] == 0), "{given:?}");
     assert_eq!(given[8..], [0; 31]);
-    let (third, held) = (3.0 * 380.0, terms.max_held_ms());
-    assert_eq!(grantor.min_progress(third + held - 1.0), Some(Progress { known: 1, in_force: 1 }));
-    assert_eq!(grantor.min_progress(third + held + 1.0), None);
+    let (third, held) = (3.0 * 380.0, config.max_held_ms());
+    assert_eq!(lessor.min_progress(third + held - 1.0), Some(Progress { known: 1, in_force: 1 }));
+    assert_eq!(lessor.min_progress(third + held + 1.0), None);
     // Once it hears again it gets a lease again.
-    assert_eq!(lease(&mut grantor, 15_200.0, &ask("cut", 40, 39)), 1_900_000);
+    assert_eq!(lease(&mut lessor, 15_200.0, &ask("cut", 40, 39)), 1_900_000);
 }
 
 #[test]
-fn planted_offenders_before_machines_between_are_caught() {
+fn planted_faults_are_detected_with_replicas() {
     let all = [
-        Planted::IgnoresLease,
-        Planted::SkipsFirstStep,
-        Planted::TakesOverAtOnce,
-        Planted::Hurries,
-        Planted::Unconfirmed,
-        Planted::HandsOnLonger,
-        Planted::SpeaksForItself,
-        Planted::OutlivesLease,
-        Planted::TakesEarlier,
-        Planted::SkipsTombstones,
-        Planted::SkipsPending,
+        PlantedFault::IgnoresLease,
+        PlantedFault::SkipsFirstStep,
+        PlantedFault::TakesOverAtOnce,
+        PlantedFault::Hurries,
+        PlantedFault::Unconfirmed,
+        PlantedFault::HandsOnLonger,
+        PlantedFault::SpeaksForItself,
+        PlantedFault::OutlivesLease,
+        PlantedFault::TakesEarlier,
+        PlantedFault::SkipsTombstones,
+        PlantedFault::SkipsPending,
     ];
     for planted in all {
         let caught = (0..40).find_map(|seed| {
-            let judged = drawn(seed, 50, 3, planted);
-            (!judged.sound()).then_some((seed, judged))
+            let outcome = drawn(seed, 50, 3, planted);
+            (!outcome.sound()).then_some((seed, outcome))
         });
-        let Some((seed, judged)) = caught else { panic!("{planted:?} was not caught in 40 schedules") };
-        let (seen, unsettled) = (&judged.seen, judged.unsettled.len());
+        let Some((seed, outcome)) = caught else { panic!("{planted:?} was not caught in 40 schedules") };
+        let (seen, unsettled) = (&outcome.seen, outcome.unsettled.len());
         println!(
             "{planted:?}: caught by schedule {seed}: broken {}, unknown {}, back {}, untrue {}, stale {}, anew {}, \
              unsettled {unsettled}",
-            judged.broken, seen.unknown_at_force, seen.went_back, seen.untrue, seen.stale, seen.restarted
+            outcome.broken, seen.unknown_at_force, seen.went_back, seen.untrue, seen.stale, seen.restarted
         );
     }
 }
 
 #[test]
-fn a_death_spreads_its_members_and_no_machine_is_too_full() {
+fn followers_of_a_failed_replica_spread_and_none_is_overloaded() {
     let names: [fn(usize) -> String; 4] = [
         |n| format!("gateway-{n}"),
         |n| format!("{n:08}"),
--- a/replication/tests/same_bytes.rs
+++ b/replication/tests/same_bytes.rs
@@ -300,17 +300,17 @@
 #[test]
 fn orders_times_and_stricter_entries_are_those_of_the_fixture() {
     let mut lines = Vec::new();
-    let terms = LeaseConfig::default();
+    let config = LeaseConfig::default();
     let times = [
-        terms.max_conflict_ms(),
-        terms.max_held_ms(),
-        terms.held_for_ms(777.7),
-        terms.sublease_ms(777.7),
-        terms.poll_interval_ms(),
-        terms.replica_poll_interval_ms(),
-        terms.prompt_poll_delay_ms(),
-        terms.response_timeout_ms(),
-        terms.max_activation_ms(),
+        config.max_conflict_ms(),
+        config.max_held_ms(),
+        config.held_for_ms(777.7),
+        config.sublease_ms(777.7),
+        config.poll_interval_ms(),
+        config.replica_poll_interval_ms(),
+        config.prompt_poll_delay_ms(),
+        config.response_timeout_ms(),
+        config.max_activation_ms(),
     ];
     for (n, time) in times.iter().enumerate() {
         lines.push((format!("time-{n}"), format!("{:016x}", time.to_bits())));
--- a/replication/tests/same_exchanges.rs
+++ b/replication/tests/same_exchanges.rs
@@ -27,11 +27,11 @@
 ];
 const KEYS: u64 = 40;
 
-/// Who sends or gets a message.
+/// Who sends or receives a message.
 #[derive(Clone, Copy, PartialEq)]
 enum Place {
     Gateway(usize),
-    Between(usize),
+    Replica(usize),
 }
 
 enum Sent {
@@ -39,15 +39,15 @@
     PollResponse(PollResponse),
 }
 
-/// A fleet: an origin, two machines between that ask it, and gateways that ask these or the origin.
+/// A fleet: a primary, two replicas that poll it, and gateways that poll these or the primary.
 struct Fleet {
     drawn: Drawn,
     observed: Observed,
-    terms: LeaseConfig,
-    origin: Primary,
-    between: Vec<Replica>,
+    config: LeaseConfig,
+    primary: Primary,
+    replicas: Vec<Replica>,
     gateways: Vec<Follower<Tables>>,
-    calls: Vec<usize>, // Which machine a gateway calls; the last one is the origin.
+    calls: Vec<usize>, // Which replica a gateway calls; 2 stands for the primary.
     on_the_way: Vec<(f64, Place, usize, Sent)>,
     incarnation: u64,
 }
@@ -61,7 +61,7 @@
         let mut drawn = Drawn::new(seed);
         // Small budgets, so that pieces are cut and scopes fall behind.
         let bytes_per_s = [400.0, 2_000.0, 12_000.0][seed as usize % 3];
-        let terms = LeaseConfig {
+        let config = LeaseConfig {
             bytes_per_s,
             replica_bytes_per_s: 30_000.0,
             burst_s: 1.0,
@@ -72,22 +72,22 @@
             SCOPES.iter().flat_map(|s| (0..60).map(|_| drawn.change(*s, KEYS)).collect::<Vec<_>>()).collect();
         store.add_pending(ChangeSet { revision: 1, changes: all });
         store.advance_to(1);
-        let between = (0..2).map(|n| Replica::new(terms, member(format!("b{n}"), 1), 0.0));
+        let replicas = (0..2).map(|n| Replica::new(config, member(format!("b{n}"), 1), 0.0));
         let gateways = (0..5).map(|n| {
-            let mut gateway = Follower::new(terms, member(format!("g{n}"), 1), Tables::new());
+            let mut gateway = Follower::new(config, member(format!("g{n}"), 1), Tables::new());
             SCOPES.iter().skip(2 + n % 3).for_each(|scope| gateway.subscribe(*scope, n as f64));
             gateway
         });
         Fleet {
-            between: between.collect(),
+            replicas: replicas.collect(),
             gateways: gateways.collect(),
             calls: (0..5).map(|n| n % 3).collect(),
-            origin: Primary::new(terms, 0.0, 1, store),
+            primary: Primary::new(config, 0.0, 1, store),
             on_the_way: Vec::new(),
             incarnation: 1,
             drawn,
             observed: Observed::default(),
-            terms,
+            config,
         }
     }
 
@@ -98,18 +98,18 @@
             self.drawn.change(scope, KEYS)
         });
         let proposer = Proposer { name: "staff".into(), proposed_ms: 5 };
-        let number = self.origin.propose(proposer, changes.collect()).expect("it fits");
+        let number = self.primary.propose(proposer, changes.collect()).expect("it fits");
         self.observed.number(number);
     }
 
     fn tick(&mut self, now: f64) {
-        self.observed.float(self.origin.next_tick().unwrap_or(-1.0));
-        for happened in self.origin.tick(now) {
+        self.observed.float(self.primary.next_tick().unwrap_or(-1.0));
+        for happened in self.primary.tick(now) {
             match happened {
                 PrimaryEvent::Agreed { revision: version, proposals } => {
                     self.observed.number(version);
                     proposals.iter().for_each(|number| self.observed.number(*number));
-                    let record = self.origin.record(version).expect("just made");
+                    let record = self.primary.record(version).expect("just made");
                     self.observed.bytes(&record.digest);
                 }
                 PrimaryEvent::InForce(version) => self.observed.number(version << 32),
@@ -136,10 +136,10 @@
     }
 
     fn poll(&mut self, now: f64) {
-        for n in 0..self.between.len() {
-            self.observed.float(self.between[n].next_poll(now));
-            if let Some(ask) = self.between[n].poll(now) {
-                self.send(now, Place::Between(n), 2, Sent::PollRequest(ask));
+        for n in 0..self.replicas.len() {
+            self.observed.float(self.replicas[n].next_poll(now));
+            if let Some(ask) = self.replicas[n].poll(now) {
+                self.send(now, Place::Replica(n), 2, Sent::PollRequest(ask));
             }
         }
         for n in 0..self.gateways.len() {
@@ -155,13 +155,13 @@
             let (_, who, to, sent) = self.on_the_way.remove(at);
             match sent {
                 Sent::PollRequest(ask) => {
-                    let grant = match self.between.get_mut(to) {
+                    let grant = match self.replicas.get_mut(to) {
                         Some(machine) => machine.handle_poll(now, &ask),
                         None => {
                             if !self.drawn.chance(0.05) {
-                                self.origin.confirm_leadership(now);
+                                self.primary.confirm_leadership(now);
                             }
-                            self.origin.handle_poll(now, &ask)
+                            self.primary.handle_poll(now, &ask)
                         }
                     };
                     self.observed.number(u64::from(grant.is_some()));
@@ -172,7 +172,7 @@
                 Sent::PollResponse(grant) => {
                     let taken = match who {
                         Place::Gateway(n) => self.gateways[n].handle_response(now, grant),
-                        Place::Between(n) => self.between[n].handle_response(now, grant),
+                        Place::Replica(n) => self.replicas[n].handle_response(now, grant),
                     };
                     self.tell(taken);
                 }
@@ -223,7 +223,7 @@
                 let again = member(format!("g{n}"), self.incarnation);
                 let snapshot = self.gateways[n].snapshot();
                 self.observed.bytes(&snapshot.encode().expect("bytes"));
-                self.gateways[n] = Follower::restore(self.terms, again, snapshot);
+                self.gateways[n] = Follower::restore(self.config, again, snapshot);
                 SCOPES.iter().for_each(|scope| self.gateways[n].subscribe(*scope, 1.0));
                 self.on_the_way.retain(|sent| sent.1 != Place::Gateway(n));
             }
@@ -231,14 +231,14 @@
                 self.incarnation += 1;
                 let n = n % 2;
                 let again = member(format!("b{n}"), self.incarnation);
-                self.between[n] = Replica::new(self.terms, again, now);
-                self.on_the_way.retain(|sent| sent.1 != Place::Between(n));
+                self.replicas[n] = Replica::new(self.config, again, now);
+                self.on_the_way.retain(|sent| sent.1 != Place::Replica(n));
             }
-            5 => self.between[n % 2].reconnected(),
-            6 => self.origin.compact(self.origin.store().in_force().saturating_sub(2)),
+            5 => self.replicas[n % 2].reconnected(),
+            6 => self.primary.compact(self.primary.store().in_force().saturating_sub(2)),
             _ => {
-                let before = self.between[n % 2].store().in_force().saturating_sub(3);
-                self.between[n % 2].purge_tombstones(before);
+                let before = self.replicas[n % 2].store().in_force().saturating_sub(3);
+                self.replicas[n % 2].purge_tombstones(before);
             }
         }
     }
@@ -251,9 +251,9 @@
             observed.number(u64::from(gateway.is_complete()) << 1 | u64::from(gateway.is_polling()));
             observed.digest(gateway.storage().total_digest());
             observed.number(gateway.storage().memory_bytes() as u64);
-            gateway.complete_scopes().for_each(|(scope, heat)| {
+            gateway.complete_scopes().for_each(|(scope, priority)| {
                 observed.scope_and_key(scope, Key(0));
-                observed.float(heat);
+                observed.float(priority);
             });
             gateway.fetching_scopes().for_each(|scope| observed.scope_and_key(scope, Key(1)));
             for scope in SCOPES {
@@ -267,19 +267,19 @@
                 (0..KEYS).for_each(|key| observed.entry(gateway.entry(now, scope, Key(key))));
             }
         }
-        for store in self.between.iter().map(Replica::store).chain([self.origin.store()]) {
+        for store in self.replicas.iter().map(Replica::store).chain([self.primary.store()]) {
             observed.digest(store.total_digest());
             observed.number(store.in_force() << 32 | store.through());
             observed.number(store.tombstones() as u64);
             observed.number(store.complete_from());
             assert_eq!(store.check(), Ok(()));
         }
-        for grantor in self.between.iter().map(Replica::lessor).chain([self.origin.lessor()]) {
-            observed.number(grantor.follower_count() as u64);
-            if let Some(Progress { known, in_force }) = grantor.min_progress(now) {
+        for lessor in self.replicas.iter().map(Replica::lessor).chain([self.primary.lessor()]) {
+            observed.number(lessor.follower_count() as u64);
+            if let Some(Progress { known, in_force }) = lessor.min_progress(now) {
                 observed.number(known << 32 | in_force);
             }
-            grantor.holders(now).for_each(|(member, Progress { known, in_force })| {
+            lessor.holders(now).for_each(|(member, Progress { known, in_force })| {
                 observed.bytes(member.name.as_bytes());
                 observed.number(known << 32 | in_force);
             });
@@ -303,7 +303,7 @@
                 self.look(now);
             }
         }
-        (self.observed.finish(), self.origin.store().in_force())
+        (self.observed.finish(), self.primary.store().in_force())
     }
 }
 
@@ -466,20 +466,20 @@
             for _ in 0..plays {
                 let bytes_per_s = (60 + drawn.below(rate)) as f64;
                 let between_bytes_per_s = (60 + drawn.below(rate)) as f64;
-                let terms = LeaseConfig {
+                let config = LeaseConfig {
                     bytes_per_s,
                     replica_bytes_per_s: between_bytes_per_s,
                     burst_s: 1.0,
                     ..LeaseConfig::default()
                 };
-                let mut grantor = Lessor::new(terms, 0.0);
+                let mut lessor = Lessor::new(config, 0.0);
                 for number in 1..=4 {
                     let ask = drawn_ask(&mut drawn, number);
                     let now = (number * drawn.below(1_500)) as f64;
                     let may_lease_ms = drawn.below(2_500) as f64;
-                    let grant = grantor.handle_poll(now, &store, may_lease_ms, &ask);
+                    let grant = lessor.handle_poll(now, &store, may_lease_ms, &ask);
                     observed.message(&Message::PollResponse(grant));
-                    for (member, Progress { known, in_force }) in grantor.holders(now) {
+                    for (member, Progress { known, in_force }) in lessor.holders(now) {
                         observed.bytes(member.name.as_bytes());
                         observed.number(known << 32 | in_force);
                     }
--- a/replication/tests/store.rs
+++ b/replication/tests/store.rs
@@ -148,7 +148,7 @@
     lost: Revision,
 }
 
-struct World {
+struct Simulation {
     rng: ChaCha8Rng,
     model: Model,
     /// The first has all versions; the others follow it.
@@ -159,8 +159,8 @@
     rough: bool,
 }
 
-impl World {
-    fn new(seed: u64, rough: bool) -> World {
+impl Simulation {
+    fn new(seed: u64, rough: bool) -> Simulation {
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
         let keys = if rng.random_bool(0.5) { 6 } else { 40 };
         let follower = |n: usize| Follower {
@@ -172,9 +172,9 @@
             fetches: false,
             ends: [0; 2],
         };
-        let grantor = |_| Lessor { store: Store::new(), lost: 0 };
-        let (grantors, followers) = ((0..3).map(grantor).collect(), (0..18).map(follower).collect());
-        World { rng, model: Model::new(), grantors, followers, keys, rough }
+        let lessor = |_| Lessor { store: Store::new(), lost: 0 };
+        let (grantors, followers) = ((0..3).map(lessor).collect(), (0..18).map(follower).collect());
+        Simulation { rng, model: Model::new(), grantors, followers, keys, rough }
     }
 
     fn step(&mut self) {
@@ -201,15 +201,15 @@
     fn forget(&mut self) {
         let at = self.rng.random_range(0..self.grantors.len());
         let fetching = self.followers.iter().filter(|f| f.fetches && f.from == at).map(|f| f.needs + 1);
-        let grantor = &mut self.grantors[at];
+        let lessor = &mut self.grantors[at];
         let bound = if self.rough {
-            grantor.store.in_force()
+            lessor.store.in_force()
         } else {
-            grantor.store.in_force().min(fetching.min().unwrap_or(Revision::MAX))
+            lessor.store.in_force().min(fetching.min().unwrap_or(Revision::MAX))
         };
         let before = bound.saturating_sub(self.rng.random_range(0..10));
-        grantor.store.purge_tombstones(before);
-        grantor.lost = grantor.lost.max(before.saturating_sub(1));
+        lessor.store.purge_tombstones(before);
+        lessor.lost = lessor.lost.max(before.saturating_sub(1));
     }
 
     /// A store behind the first gets what that has: by versions, by pieces, or from nothing.
@@ -285,8 +285,8 @@
             }
             follower.fetches = true;
         }
-        let grantor = &self.grantors[follower.from];
-        let (store, from) = (&grantor.store, follower.cursor);
+        let lessor = &self.grantors[follower.from];
+        let (store, from) = (&lessor.store, follower.cursor);
         let part = store.chunk(follower.scope, from, self.rng.random_range(0..200));
         assert!(part.complete.is_some() || !part.entries.is_empty());
         if part.restart {
@@ -296,7 +296,7 @@
         let Some(sum) = part.complete else { return };
         let right = follower.held == self.model.at(store.in_force(), follower.scope);
         assert_eq!(right, digest(follower.scope, &follower.held) == sum, "the digest tells");
-        let excused = grantor.lost > follower.needs;
+        let excused = lessor.lost > follower.needs;
         assert!(right || excused, "{:?} from {from:?} at {}", follower.scope, store.in_force());
         follower.ends[usize::from(!right)] += 1;
         follower.fetches = false;
@@ -308,8 +308,8 @@
     }
 
     fn agrees(&mut self) {
-        for (at, grantor) in self.grantors.iter().enumerate() {
-            let store = &grantor.store;
+        for (at, lessor) in self.grantors.iter().enumerate() {
+            let store = &lessor.store;
             self.model.agrees(store);
             let from = self.rng.random_range(store.complete_from()..=store.in_force());
             let told: Vec<Scope> = store.changed_since(from).collect();
@@ -330,7 +330,7 @@
 fn play(seeds: std::ops::Range<u64>, rough: bool) -> [usize; 2] {
     let mut ends = [0; 2];
     for seed in seeds {
-        let mut world = World::new(seed, rough);
+        let mut world = Simulation::new(seed, rough);
         for step in 0..600 {
             world.step();
             if step % 10 == 0 {
