--- a/balancer/tests/common/mod.rs
+++ b/balancer/tests/common/mod.rs
@@ -162,3 +162,36 @@
         out.push((id, to));
     }
 }
+
+/// One of 200 gateways has requests for a few of 100 endpoints, one in `every` 10 ms, for 20 s. The first endpoint takes
+/// `slow` ms, the others `latency`: its mean requests in flight over the last 10 s, and the rejections in them.
+pub fn slow_first_endpoint(every: u32, utilization: f64, slow: f64, latency: f64) -> (f64, u32) {
+    let mut gateway = TestGateway::new(Settings { gateway_count: 200, ..settings() }, 100);
+    let (mut in_flight, mut area, mut rejections) = (Vec::<(f64, RequestId, EndpointId, f64)>::new(), 0.0, 0);
+    let mut first = None;
+    for n in 0..2000 {
+        let mut actions = gateway.fire_timer_after(10.0);
+        if n % every == 0 {
+            actions.extend(gateway.request(2, None).1);
+        }
+        let (done, left) = in_flight.into_iter().partition(|(at, ..)| *at <= gateway.now_ms);
+        in_flight = left;
+        for (_, id, to, latency) in done {
+            let report = report(30.0 + f64::from(n % 7), utilization);
+            actions.extend(gateway.end_attempt_with(id, 0, to, Outcome::Served, latency, report));
+        }
+        for action in actions {
+            match action {
+                Action::Send { request, endpoint, .. } => {
+                    let takes = if *first.get_or_insert(endpoint) == endpoint { slow } else { latency };
+                    in_flight.push((gateway.now_ms + takes, request, endpoint, takes));
+                }
+                Action::Reject { .. } => rejections += u32::from(n >= 1000),
+                _ => {}
+            }
+        }
+        let there = in_flight.iter().filter(|o| Some(o.2) == first).count();
+        area += if n >= 1000 { there as f64 / 1000.0 } else { 0.0 };
+    }
+    (area, rejections)
+}
