--- a/balancer/tests/decision_digests/main.rs
+++ b/balancer/tests/decision_digests/main.rs
@@ -15,7 +15,7 @@
 use std::fmt::Write as _;
 use world::{Played, World};
 
-const STREAM_COUNT: u64 = plan::FIRST_SLOW_STREAM + 40;
+const STREAM_COUNT: u64 = plan::FIRST_KEYED_STREAM + 30;
 const FIXTURE: &str = include_str!("../fixtures/decision_digests.txt");
 
 fn line(stream: u64, played: &Played) -> String {
--- a/balancer/tests/decision_digests/plan.rs
+++ b/balancer/tests/decision_digests/plan.rs
@@ -32,10 +32,24 @@
 /// Streams from this one on are slow: their events cover minutes, for what takes that long.
 pub const FIRST_SLOW_STREAM: u64 = 300;
 
+/// Streams from this one on retry requests with idempotency keys in an overloaded fleet, within short windows.
+pub const FIRST_KEYED_STREAM: u64 = 340;
+
 /// Draws the scenario of a stream.
 pub fn draw(stream: u64, random: &mut Random) -> Scenario {
     let mut scenario = draw_usual(stream, random);
-    if stream >= FIRST_SLOW_STREAM {
+    if stream >= FIRST_KEYED_STREAM {
+        for class in &mut scenario.plan.classes {
+            class.idempotency = 1;
+            class.deadline_ms = class.objective_ms * 4.0;
+            class.late_value = 0.2;
+            class.window_ms = class.objective_ms * random.range(0.1, 1.0);
+        }
+        scenario.plan.max_attempts = 4;
+        scenario.loads = vec![random.range(1.2, 3.0), 0.5];
+        scenario.fault_every_ms = random.range(200.0, 900.0);
+        scenario.event_count = 1500;
+    } else if stream >= FIRST_SLOW_STREAM {
         scenario.capacity_per_s = random.range(0.5, 3.0);
         scenario.fault_every_ms = random.range(4000.0, 9000.0);
         scenario.phase_ms = random.range(15_000.0, 60_000.0);
