--- a/gateway/src/event_loop/open_requests.rs
+++ b/gateway/src/event_loop/open_requests.rs
@@ -34,7 +34,7 @@
     pub(super) cancel: Option<oneshot::Sender<Cancellation>>,
 }
 
-/// What the balancer is told of an attempt's end, besides its outcome.
+/// What the balancer has to know of an attempt's end, besides its outcome.
 pub(super) struct EndedAttempt {
     /// The server that it went to.
     pub(super) server: EndpointId,
--- a/gateway/src/lib.rs
+++ b/gateway/src/lib.rs
@@ -4,7 +4,7 @@
 //! [`Balancer`](ternstack_balancer::Balancer); from there as attempts to [`upstream`]; and back as a response ([`response`]).
 //! [`discovery`] or [`control`] supplies the endpoint list ([`endpoint_list`]), [`permit`] decides whether an attempt may
 //! begin, and [`budget`] which connections may be open. [`protocol`] holds the platform's words on the wire, [`http1`] the
-//! parsing and framing of messages. [`program`] is the whole as a process.
+//! parsing and framing of messages. [`program`] runs it all as a process.
 #![forbid(unsafe_code)]
 #![deny(missing_docs, clippy::too_many_lines, clippy::cognitive_complexity)]
 
--- a/gateway/src/listener/client.rs
+++ b/gateway/src/listener/client.rs
@@ -11,7 +11,7 @@
 use tokio::net::TcpStream;
 use tokio::time::{sleep, Instant};
 
-/// How much is kept of what a client sends while its request is open. What exceeds it is discarded, so that a disconnect
+/// How much is buffered of what a client sends while its request is open. What exceeds it is discarded, so that a disconnect
 /// is noticed, and the connection ends with the response.
 pub(super) const MAX_READ_AHEAD_BYTES: usize = 4 * 1024;
 /// A client that sends more than this beyond [`MAX_READ_AHEAD_BYTES`] counts as disconnected.
--- a/gateway/src/listener/mod.rs
+++ b/gateway/src/listener/mod.rs
@@ -75,7 +75,7 @@
 
 /// What a connection holds while it is served.
 enum Admission {
-    /// A descriptor of the budget, and what tells that it is evicted.
+    /// A descriptor of the budget, and a receiver that completes when it is evicted.
     Admitted(Descriptor, oneshot::Receiver<()>),
     /// None of the budget: its request is rejected.
     Spare(OwnedSemaphorePermit),
--- a/gateway/tests/attempts.rs
+++ b/gateway/tests/attempts.rs
@@ -66,7 +66,7 @@
 
 #[tokio::test]
 async fn a_retry_still_dialling_when_deduplication_ends_is_not_sent() {
-    let (deaf, mut way) = (Deaf::start().await, Attempts::new(16));
+    let (deaf, mut way) = (UnacceptingServer::start().await, Attempts::new(16));
     let far = Instant::now() + LONG * 10;
     let _stop = way.send(deaf.at, 4, Some(Instant::now() + Duration::from_millis(200)), far);
     assert_eq!(way.outcome().await, Outcome::NotSent);
@@ -78,7 +78,7 @@
     let _clock = hold_clock(false);
     let far = || Instant::now() + LONG * 10;
     // Nobody waits any more, as it is being written: the server never gets its last byte.
-    let (server, mut way) = (Peer::start().await, Attempts::new(16));
+    let (server, mut way) = (ScriptedServer::start().await, Attempts::new(16));
     let stop = way.send(server.at, HUGE, None, far());
     let mut wire = server.accept().await;
     let mut head = [0; 64];
@@ -113,7 +113,7 @@
 #[tokio::test]
 async fn an_attempt_sent_completely_may_have_run_and_continues_until_cancelled() {
     let far = || Instant::now() + LONG * 10;
-    let (server, mut way) = (Peer::start().await, Attempts::new(16));
+    let (server, mut way) = (ScriptedServer::start().await, Attempts::new(16));
     // A reset after the last byte: it may have run.
     let _stop = way.send(server.at, 4, None, far());
     let mut wire = server.accept().await;
@@ -148,7 +148,7 @@
 async fn a_connection_is_closed_before_its_attempt_is_reported() {
     for text in ["", "HTTP/1.1 500 No\r\nConnection: close\r\nContent-Length: 0\r\n\r\n", "garbage\r\n\r\n"] {
         // Nobody reads the queue, and it is full: the end waits to be told.
-        let (server, mut way) = (Peer::start().await, Attempts::new(1));
+        let (server, mut way) = (ScriptedServer::start().await, Attempts::new(1));
         let far = Instant::now() + LONG * 10;
         let until = if text.is_empty() { Instant::now() + Duration::from_millis(300) } else { far };
         let _first = way.send(server.at, 4, None, far);
@@ -169,7 +169,7 @@
 async fn a_second_response_is_never_taken_for_the_next_requests() {
     let _clock = hold_clock(false);
     for late_ms in [0, 2, 8] {
-        let (server, mut way) = (Peer::start().await, Attempts::new(16));
+        let (server, mut way) = (ScriptedServer::start().await, Attempts::new(16));
         let far = Instant::now() + LONG * 10;
         let _first = way.send(server.at, 4, None, far);
         let mut wire = server.accept().await;
@@ -208,12 +208,13 @@
         ("garbage", false),
         ("", false),
     ] {
-        let (one, two, discovery) = (Peer::start().await, Peer::start().await, Discovery::start().await);
+        let (one, two, discovery) =
+            (ScriptedServer::start().await, ScriptedServer::start().await, Discovery::start().await);
         let known =
             vec![target(1, one.at, "SERVING"), target(2, two.at, "SERVING"), target(3, free, "SERVING")];
-        let gateway = Gateway::start(&other_settings(known, discovery.at)).await;
+        let gateway = Gateway::start(&config_with_unsafe_class(known, discovery.at)).await;
         let mut client = gateway.client().await;
-        client.send(&sign("a")).await;
+        client.send(&unsafe_request("a")).await;
         let (mut wire, other) = tokio::select! {
             wire = one.accept() => (wire, &two),
             wire = two.accept() => (wire, &one),
--- a/gateway/tests/budget.rs
+++ b/gateway/tests/budget.rs
@@ -108,7 +108,7 @@
 }
 
 #[test]
-fn clients_that_keep_their_connections_push_out_no_connection_whose_request_is_on_its_way() {
+fn idle_clients_evict_no_connection_whose_request_is_on_its_way() {
     // The row of idle ones is full all the time. Were who has brought nothing yet to go first, each new connection
     // would push out the one before it, whose request is on its way, and nobody else: incident rfd526e.
     let play = beside(Who::Usual, 400);
@@ -119,7 +119,7 @@
 }
 
 #[test]
-fn floods_push_out_themselves() {
+fn floods_evict_themselves() {
     for flood in [Who::Silent, Who::Slow] {
         for per_s in [100, 1000, 5000] {
             let play = beside(flood, per_s);
@@ -136,7 +136,7 @@
 }
 
 #[test]
-fn each_side_has_its_floor_and_may_use_what_the_other_leaves() {
+fn each_side_has_its_minimum_and_may_use_what_the_other_leaves() {
     let mut budget = Budget::new(100);
     assert_eq!(budget.max_clients(), 75);
     let clients: Vec<ClientId> = (0..75)
@@ -164,7 +164,7 @@
 }
 
 #[test]
-fn clients_that_ask_once_and_keep_their_connection_leave_room_to_others() {
+fn idle_clients_leave_descriptors_to_others() {
     // The clients' side holds a third of the descriptors at most. Idle ones that are kept for 2 s would fill it at
     // 60 a second, and usual clients would get no connection though every server has room: incident rfd526e.
     let mut budget = Budget::new(336);
--- a/gateway/tests/client_connections.rs
+++ b/gateway/tests/client_connections.rs
@@ -46,7 +46,7 @@
 
 #[tokio::test]
 async fn a_correlation_id_is_invalid_while_its_request_is_open() {
-    let (mut server, discovery) = (Server::start(Does::Nothing).await, Discovery::start().await);
+    let (mut server, discovery) = (Server::start(ServerBehavior::Hang).await, Discovery::start().await);
     let gateway = Gateway::start(&config(vec![target(1, server.at, "SERVING")], discovery.at)).await;
     let mut first = gateway.client().await;
     first.send(&look("a")).await;
@@ -95,7 +95,7 @@
 
 #[tokio::test]
 async fn requests_beyond_max_open_are_rejected() {
-    let (mut server, discovery) = (Server::start(Does::Nothing).await, Discovery::start().await);
+    let (mut server, discovery) = (Server::start(ServerBehavior::Hang).await, Discovery::start().await);
     let mut told = config(vec![target(1, server.at, "SERVING")], discovery.at);
     told["settings"]["limits"]["max_open"] = json!(1);
     let gateway = Gateway::start(&told).await;
@@ -108,7 +108,7 @@
 
 #[tokio::test]
 async fn clients_beyond_the_descriptor_budget_are_rejected() {
-    let (mut server, discovery) = (Server::start(Does::Nothing).await, Discovery::start().await);
+    let (mut server, discovery) = (Server::start(ServerBehavior::Hang).await, Discovery::start().await);
     let mut told = config(vec![target(1, server.at, "SERVING")], discovery.at);
     told["limits"]["sockets"] = json!(64); // 16 for clients and servers: seven open requests, and room kept for servers
     let gateway = Gateway::start(&told).await;
@@ -172,7 +172,7 @@
 
 #[tokio::test]
 async fn a_pipelined_request_forwards_only_the_time_left() {
-    let (_gateway, _server, mut client, mut wire) = one_out().await;
+    let (_gateway, _server, mut client, mut wire) = request_in_flight().await;
     let patience_ms = 5000;
     let timed =
         |id: &str| look(id).replace("\r\n\r\n", &format!("\r\nX-Time-Left-Ms: {patience_ms}\r\n\r\n"));
--- a/gateway/tests/client_disconnects.rs
+++ b/gateway/tests/client_disconnects.rs
@@ -8,7 +8,7 @@
 
 #[tokio::test]
 async fn a_passed_deadline_and_a_disconnect_close_the_server_connection() {
-    let (mut server, discovery) = (Server::start(Does::Nothing).await, Discovery::start().await);
+    let (mut server, discovery) = (Server::start(ServerBehavior::Hang).await, Discovery::start().await);
     let gateway = Gateway::start(&config(vec![target(1, server.at, "SERVING")], discovery.at)).await;
     let mut client = gateway.client().await;
     let short = look("a").replace("\r\n\r\n", "\r\nX-Time-Left-Ms: 1000\r\n\r\n");
@@ -24,8 +24,8 @@
 #[tokio::test]
 async fn an_attempt_still_dialling_when_its_client_disconnects_is_not_sent() {
     for cancel in [false, true] {
-        let (mut server, discovery) = (Deaf::start().await, Discovery::start().await);
-        let mut told = other_settings(vec![target(1, server.at, "SERVING")], discovery.at);
+        let (mut server, discovery) = (UnacceptingServer::start().await, Discovery::start().await);
+        let mut told = config_with_unsafe_class(vec![target(1, server.at, "SERVING")], discovery.at);
         told["settings"]["limits"]["cancel"] = cancel.into();
         let gateway = Gateway::start(&told).await;
         let (mut client, mut stays) = (gateway.client().await, gateway.client().await);
@@ -55,14 +55,14 @@
 #[tokio::test]
 async fn a_drain_during_the_dial_keeps_attempts_from_that_server() {
     for mode in ["push", "ask"] {
-        let (mut leaving, mut other) = (Deaf::start().await, Server::start(SERVED).await);
+        let (mut leaving, mut other) = (UnacceptingServer::start().await, Server::start(SERVED).await);
         let mut discovery = Discovery::start().await;
-        let mut told = other_settings(vec![target(1, leaving.at, "SERVING")], discovery.at);
+        let mut told = config_with_unsafe_class(vec![target(1, leaving.at, "SERVING")], discovery.at);
         told["settings"]["discovery"] = mode.into();
         let gateway = Gateway::start(&told).await;
         let (_, answer) = discovery.call().await;
         let mut client = gateway.client().await;
-        client.send(&sign("a")).await;
+        client.send(&unsafe_request("a")).await;
         sleep(Duration::from_millis(100)).await;
         let change = vec![target(1, leaving.at, "DRAINING"), target(2, other.at, "SERVING")];
         answer.send(ok(&list(42, false, change))).expect("asked");
@@ -76,9 +76,11 @@
 
 #[tokio::test]
 async fn a_half_closed_client_is_answered_at_once() {
-    for (text, cancel, status) in [(look("a"), true, 503), (sign("a"), true, 502), (look("a"), false, 503)] {
-        let (server, discovery) = (Peer::start().await, Discovery::start().await);
-        let mut told = other_settings(vec![target(1, server.at, "SERVING")], discovery.at);
+    for (text, cancel, status) in
+        [(look("a"), true, 503), (unsafe_request("a"), true, 502), (look("a"), false, 503)]
+    {
+        let (server, discovery) = (ScriptedServer::start().await, Discovery::start().await);
+        let mut told = config_with_unsafe_class(vec![target(1, server.at, "SERVING")], discovery.at);
         told["settings"]["limits"]["cancel"] = cancel.into();
         let gateway = Gateway::start(&told).await;
         let mut client = gateway.client().await;
@@ -108,13 +110,13 @@
 #[tokio::test]
 async fn a_disconnect_behind_much_read_ahead_is_noticed() {
     for bytes in [100, 4096, 5000, 300_000] {
-        let (_gateway, _server, mut client, mut wire) = one_out().await;
+        let (_gateway, _server, mut client, mut wire) = request_in_flight().await;
         client.send(&"x".repeat(bytes)).await;
         drop(client);
         assert!(wire.ends().await, "{bytes} early bytes: the attempt ends with its client");
     }
     // One that never leaves and never stops counts as having left, and one that sends a little is served.
-    let (server, discovery) = (Peer::start().await, Discovery::start().await);
+    let (server, discovery) = (ScriptedServer::start().await, Discovery::start().await);
     let gateway = Gateway::start(&config(vec![target(1, server.at, "SERVING")], discovery.at)).await;
     let (mut floods, mut early) = (gateway.client().await, gateway.client().await);
     floods.send(&look("a")).await;
@@ -134,7 +136,7 @@
 
 #[tokio::test]
 async fn no_further_request_is_read_from_a_disconnected_client() {
-    let (gateway, server, mut client, mut wire) = one_out().await;
+    let (gateway, server, mut client, mut wire) = request_in_flight().await;
     // Its next request waits behind the first one.
     client.send(&look("b")).await;
     client.stream.shutdown().await.expect("it is up");
@@ -149,9 +151,10 @@
 #[tokio::test]
 async fn no_attempt_begins_after_the_client_has_disconnected() {
     for cancel in [false, true] {
-        let (one, two, discovery) = (Peer::start().await, Peer::start().await, Discovery::start().await);
+        let (one, two, discovery) =
+            (ScriptedServer::start().await, ScriptedServer::start().await, Discovery::start().await);
         let known = vec![target(1, one.at, "SERVING"), target(2, two.at, "SERVING")];
-        let mut told = other_settings(known, discovery.at);
+        let mut told = config_with_unsafe_class(known, discovery.at);
         told["settings"]["limits"]["cancel"] = cancel.into();
         let gateway = Gateway::start(&told).await;
         let mut client = gateway.client().await;
--- a/gateway/tests/discovery.rs
+++ b/gateway/tests/discovery.rs
@@ -171,7 +171,7 @@
     let (mut old, mut new) = (Server::start(SERVED).await, Server::start(SERVED).await);
     let mut discovery = Discovery::start().await;
     let known = vec![target(1, old.at, "SERVING"), target(2, new.at, "SERVING")];
-    let gateway = Gateway::start(&other_settings(known, discovery.at)).await;
+    let gateway = Gateway::start(&config_with_unsafe_class(known, discovery.at)).await;
     let (query, answer) = discovery.call().await;
     assert!(query.contains("after=41"), "{query}");
     answer.send(ok(&list(42, false, vec![target(1, old.at, "DRAINING")]))).expect("asked");
--- a/gateway/tests/faults.rs
+++ b/gateway/tests/faults.rs
@@ -43,8 +43,8 @@
 }
 
 /// Starts a gateway whose thread is the only one that is subject to faults.
-fn start(config: &Value) -> Threaded {
-    Threaded::start_with(config, || {
+fn start(config: &Value) -> StallableGateway {
+    StallableGateway::start_with(config, || {
         control().thread.store(rustix::thread::gettid().as_raw_nonzero().get(), Relaxed);
     })
 }
@@ -90,43 +90,43 @@
 }
 
 #[tokio::test]
-async fn reads_that_take_a_part_of_what_is_there_are_gone_on_with() {
+async fn short_reads_are_continued() {
     let _turn = alone().await;
     serves_through(Kind::ReadShort, ALWAYS).await;
 }
 
 #[tokio::test]
-async fn writes_that_take_a_part_of_what_they_are_given_are_gone_on_with() {
+async fn short_writes_are_continued() {
     let _turn = alone().await;
     serves_through(Kind::WriteShort, ALWAYS).await;
 }
 
 #[tokio::test]
-async fn interrupted_reads_are_made_again() {
+async fn interrupted_reads_are_retried() {
     let _turn = alone().await;
     serves_through(Kind::ReadInterrupted, ALWAYS / 3).await;
 }
 
 #[tokio::test]
-async fn interrupted_writes_are_made_again() {
+async fn interrupted_writes_are_retried() {
     let _turn = alone().await;
     serves_through(Kind::WriteInterrupted, ALWAYS / 3).await;
 }
 
 #[tokio::test]
-async fn writes_that_find_no_buffer_for_a_moment_are_made_again() {
+async fn writes_that_lack_buffers_for_a_moment_are_retried() {
     let _turn = alone().await;
     serves_through(Kind::WriteNoBuffers, ALWAYS / 3).await;
 }
 
 #[tokio::test]
-async fn interrupted_waits_are_made_again() {
+async fn interrupted_waits_are_retried() {
     let _turn = alone().await;
     serves_through(Kind::WaitInterrupted, ALWAYS / 3).await;
 }
 
 #[tokio::test]
-async fn a_list_that_comes_in_short_and_interrupted_reads_is_followed() {
+async fn a_list_received_in_short_and_interrupted_reads_is_followed() {
     let _turn = alone().await;
     let (mut old, mut new) = (Server::start(SERVED).await, Server::start(SERVED).await);
     let mut discovery = Discovery::start().await;
@@ -145,7 +145,7 @@
 }
 
 #[tokio::test]
-async fn a_call_to_discovery_that_fails_on_this_machine_is_made_again_within_its_time() {
+async fn a_poll_that_fails_on_this_machine_is_retried_within_its_deadline() {
     let _turn = alone().await;
     let (old, new) = (Server::start(SERVED).await, Server::start(SERVED).await);
     let (mut before, mut after) = (Discovery::start().await, Discovery::start().await);
@@ -195,21 +195,21 @@
 }
 
 #[tokio::test]
-async fn an_accept_that_fails_by_its_client_or_a_signal_ends_no_other_connection() {
+async fn an_accept_that_fails_by_its_client_or_a_signal_evicts_no_connection() {
     let _turn = alone().await;
     accepts_through(Kind::AcceptAborted, ALWAYS / 2, true).await;
     accepts_through(Kind::AcceptInterrupted, ALWAYS / 2, true).await;
 }
 
 #[tokio::test]
-async fn an_accept_that_lacks_descriptors_or_buffers_for_a_moment_is_made_again() {
+async fn an_accept_that_lacks_descriptors_or_buffers_for_a_moment_is_retried() {
     let _turn = alone().await;
     accepts_through(Kind::AcceptFileTable, ALWAYS / 2, false).await;
     accepts_through(Kind::AcceptNoBuffers, ALWAYS / 2, false).await;
 }
 
 #[tokio::test]
-async fn connections_that_wait_as_it_ends_are_answered_though_accepting_fails() {
+async fn connections_that_wait_at_shutdown_are_answered_though_accepts_fail() {
     let _turn = alone().await;
     let server = Server::start(SERVED).await;
     let discovery = Discovery::start().await;
@@ -238,9 +238,9 @@
 }
 
 #[tokio::test]
-async fn a_request_whose_connection_waited_to_be_accepted_tells_its_server_only_what_is_left() {
+async fn a_request_whose_connection_waited_for_accept_forwards_only_the_time_left() {
     let _turn = alone().await;
-    let (server, discovery) = (Peer::start().await, Discovery::start().await);
+    let (server, discovery) = (ScriptedServer::start().await, Discovery::start().await);
     let gateway = start(&config(vec![target(1, server.at, "SERVING")], discovery.at));
     let patience_ms = 5000;
     let timed =
--- a/gateway/tests/forwarding.rs
+++ b/gateway/tests/forwarding.rs
@@ -56,7 +56,7 @@
 async fn a_request_is_not_sent_twice_to_a_server_that_closes_connections() {
     let served = "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\ndesk";
     let (mut server, discovery) =
-        (Server::start(Does::AnswerAndClose(served)).await, Discovery::start().await);
+        (Server::start(ServerBehavior::RespondAndClose(served)).await, Discovery::start().await);
     let gateway = Gateway::start(&config(vec![target(1, server.at, "SERVING")], discovery.at)).await;
     let mut client = gateway.client().await;
     for n in 0..5 {
@@ -81,7 +81,7 @@
 
 #[tokio::test]
 async fn a_rejected_attempt_is_retried_at_another_server() {
-    let (mut full, mut server) = (Server::start(TURNED_AWAY).await, Server::start(SERVED).await);
+    let (mut full, mut server) = (Server::start(REJECTED).await, Server::start(SERVED).await);
     let discovery = Discovery::start().await;
     let known = vec![target(1, full.at, "SERVING"), target(2, server.at, "SERVING")];
     let gateway = Gateway::start(&config(known, discovery.at)).await;
--- a/gateway/tests/load_reports.rs
+++ b/gateway/tests/load_reports.rs
@@ -8,7 +8,7 @@
 #[tokio::test]
 async fn load_reports_reach_the_balancer_and_change_its_weights() {
     // Guards against names that are not read: the module then draws blindly, and nothing else shows it.
-    let report = |text: &'static str| Server::start(Does::Answer(text));
+    let report = |text: &'static str| Server::start(ServerBehavior::Respond(text));
     let mut busy = report(
         "HTTP/1.1 200 OK\r\nContent-Length: 0\r\nX-Backend-Load: utilization=0.9,throughput=5\r\n\r\n",
     )
@@ -30,8 +30,10 @@
 
 #[tokio::test]
 async fn servers_that_report_only_on_health_checks_are_checked_and_weighted() {
-    const BUSY: Does = Does::Answer("HTTP/1.1 200 OK\r\nContent-Length: 23\r\n\r\nutil=0.9,qps=10,queue=0");
-    const IDLE: Does = Does::Answer("HTTP/1.1 200 OK\r\nContent-Length: 24\r\n\r\nutil=0.9,qps=900,queue=0");
+    const BUSY: ServerBehavior =
+        ServerBehavior::Respond("HTTP/1.1 200 OK\r\nContent-Length: 23\r\n\r\nutil=0.9,qps=10,queue=0");
+    const IDLE: ServerBehavior =
+        ServerBehavior::Respond("HTTP/1.1 200 OK\r\nContent-Length: 24\r\n\r\nutil=0.9,qps=900,queue=0");
     let (mut small, mut large) = (Server::start(BUSY).await, Server::start(IDLE).await);
     let discovery = Discovery::start().await;
     let known = vec![target(1, small.at, "SERVING"), target(2, large.at, "SERVING")];
--- a/gateway/tests/parsers.rs
+++ b/gateway/tests/parsers.rs
@@ -86,7 +86,7 @@
 }
 
 #[test]
-fn garbage_and_spoilt_messages_end_alike_wherever_they_are_cut() {
+fn malformed_messages_end_alike_wherever_they_are_cut() {
     check(3, |(bytes, cuts): (Vec<u8>, Vec<u8>)| {
         told::<RequestLine>(&bytes, &cuts) == told::<RequestLine>(&bytes, &[])
     });
@@ -125,7 +125,7 @@
 }
 
 #[test]
-fn bad_lengths_and_great_sizes_are_told_apart() {
+fn bad_lengths_and_excessive_sizes_are_distinguished() {
     let head = |fields: &str| format!("POST /api HTTP/1.1\r\n{fields}\r\n\r\n");
     let long = format!("X-Long: {}", "x".repeat(MAX_HEAD_BYTES));
     let many = vec!["X-Many: 1"; 70].join("\r\n");
--- a/gateway/tests/same_bytes.rs
+++ b/gateway/tests/same_bytes.rs
@@ -1,4 +1,4 @@
-//! The gateway's HTTP bytes towards clients, servers and discovery, and what it reads from `LB_CONFIG`, held to fixtures.
+//! The gateway's HTTP bytes towards clients, servers and discovery, held to fixtures.
 //!
 //! Masking rule: the digits of `X-Time-Left-Ms` in what a server gets, and the port of a test's own socket, are
 //! written as `#`; all other bytes stand as they were sent. `TERNSTACK_WRITE_FIXTURES=1` writes the fixtures anew.
@@ -7,9 +7,7 @@
 use common::*;
 use serde_json::{json, Value};
 use std::net::SocketAddr;
-use std::path::PathBuf;
 use std::time::Duration;
-use ternstack_gateway::config::Config;
 use ternstack_gateway::events::Response;
 use ternstack_gateway::http1::{ParseError, Reader, StatusLine, MAX_BODY_BYTES};
 use ternstack_gateway::response::{EncodedResponse, LocalResponse};
@@ -22,19 +20,6 @@
 /// Of the 550 ms in which new connections still come; an exchange takes a few.
 const NOT_READY_WITHIN: Duration = Duration::from_millis(200);
 
-fn assert_fixture(name: &str, lines: &[String]) {
-    let path = PathBuf::from(env!("CARGO_MANIFEST_DIR")).join("tests/fixtures").join(name);
-    let seen = lines.join("\n") + "\n";
-    if std::env::var_os("TERNSTACK_WRITE_FIXTURES").is_some() {
-        std::fs::write(&path, &seen).expect("the fixture is written");
-    }
-    let expected = std::fs::read_to_string(&path).expect("the fixture is there");
-    for (n, (seen, expected)) in seen.lines().zip(expected.lines()).enumerate() {
-        assert_eq!(seen, expected, "{name}, line {}", n + 1);
-    }
-    assert_eq!(seen.lines().count(), expected.lines().count(), "{name}: number of lines");
-}
-
 fn line(label: &str, bytes: &[u8]) -> String {
     format!("{label}\t{}", bytes.escape_ascii())
 }
@@ -412,118 +397,3 @@
     }
     assert_fixture("discovery.txt", &lines);
 }
-
-/// A configuration with no value that is a default.
-const EVERY_KEY: &str = r#"{
-    "name": "n7", "listen": "127.0.0.3:8080", "discovery": "127.0.0.4:9090", "seed": "8c1f30d27a5be964",
-    "limits": {"cores": 2.5, "memory_mb": 111, "sockets": 777},
-    "known": {"rev": 12, "all": true, "targets": [
-        {"uid": "s-1", "endpoint": "10.1.0.18:9000", "az": "b", "model": "m2", "pod_group": 3, "state": "SERVING",
-         "capacity_hint": 2.5, "boot_ms": 1700000000123.5, "novel": 1},
-        {"uid": "s-2", "endpoint": "[::1]:9001", "az": "c", "pod_group": 4, "state": "DRAINING"},
-        {"uid": "s-3", "endpoint": null, "state": "DELETED"}]},
-    "settings": {
-        "classes": [
-            {"name": "look", "aim_ms": 801.0, "deadline_ms": 2001.0, "effect": "safe", "late_value": 0.25},
-            {"name": "book", "aim_ms": 802.0, "deadline_ms": 2002.0, "effect": "keyed", "group": "zone",
-             "window_ms": 2003.0, "late_value": 0.5}],
-        "tenants": [{"name": "acme", "quota_per_s": 51.0}, {"name": "zeta", "quota_per_s": 52.0}],
-        "limits": {"cancel": true, "conn_idle_ms": 30001.0, "dial_timeout_ms": 501.0, "max_attempts": 4,
-                   "max_open": 101, "max_retry_after_ms": 2004.0, "retry_after": true, "may_probe": true},
-        "report": {"how": "on_probe"}, "discovery": "ask", "instances": 5, "me": 3, "zone": "c",
-        "zones": ["a", "b", "c"], "tick_ms": 6.0}}"#;
-
-const FEWEST_KEYS: &str = r#"{"listen": "[::1]:1", "discovery": "127.0.0.1:2", "seed": 18446744073709551615,
-    "settings": {"classes": [{"name": "a", "deadline_ms": 1000.0}], "limits": {"dial_timeout_ms": 1.0, "max_open": 1}}}"#;
-
-fn config_lines(config: &Config) -> Vec<String> {
-    let balancer = &config.deployment.balancer;
-    let mut lines = vec![
-        format!("name={} listen={} discovery={}", config.name, config.listen, config.discovery),
-        format!("seed={:016x} sockets={} log={}", config.seed, config.max_sockets, config.log_level),
-        format!("rev={} all={}", config.cached_list.revision, config.cached_list.is_complete),
-        format!(
-            "max_open={} dial_timeout={:016x}",
-            config.deployment.max_open_requests,
-            config.deployment.connect_timeout_ms.to_bits()
-        ),
-        format!("classes={} tenants={}", balancer.classes.len(), balancer.tenants.len()),
-    ];
-    let names = &mut config.deployment.names.clone();
-    let classes = ["look", "book", "a", "other"].map(|name| names.class_index(name));
-    let tenants = ["acme", "zeta", "other"].map(|name| names.tenant_index(name));
-    let zones = ["a", "b", "c", "new", ""].map(|name| names.zone_number(name));
-    lines.push(format!("classes={classes:?} tenants={tenants:?} zones={zones:?}"));
-    for entry in &config.cached_list.endpoints {
-        lines.push(format!(
-            "uid={} endpoint={:?} az={} pod_group={} state={} capacity_hint={:016x} boot_ms={:016x}",
-            entry.uid,
-            entry.address,
-            entry.zone,
-            entry.cell,
-            entry.state as u8,
-            entry.capacity_weight.to_bits(),
-            entry.started_at_ms.to_bits(),
-        ));
-    }
-    lines
-}
-
-#[test]
-fn a_configuration_reads_to_the_same_values_and_errors() {
-    let none = |_: &str| None;
-    let mut lines = config_lines(&Config::read(EVERY_KEY, none).expect("sound"));
-    lines.extend(config_lines(&Config::read(FEWEST_KEYS, none).expect("sound")));
-    let variables = |name: &str| {
-        let value = match name {
-            "LB_NAME" => "n8",
-            "LB_LISTEN" => "127.0.0.5:5",
-            "LB_DISCOVERY" => "127.0.0.6:6",
-            "LB_LOG" => "debug",
-            _ => return None,
-        };
-        Some(value.to_string())
-    };
-    lines.extend(config_lines(&Config::read(EVERY_KEY, variables).expect("sound")));
-    lines.extend(config_lines(&Config::reread(EVERY_KEY, variables).expect("sound")));
-    let without = EVERY_KEY.replace(r#""discovery": "127.0.0.4:9090""#, r#""discovery": null"#);
-    lines.extend(config_lines(&Config::reread(&without, variables).expect("sound")));
-    for name in ["LB_LISTEN", "LB_DISCOVERY", "LB_LOG"] {
-        let odd = |asked: &str| (asked == name).then(|| "odd".to_string());
-        lines.push(Config::read(EVERY_KEY, odd).expect_err(name).to_string());
-    }
-    lines.push(Config::read("{", none).expect_err("no JSON").to_string());
-    lines.push(Config::reread("[1,", none).expect_err("no JSON").to_string());
-    for (path, value) in [
-        ("/name", json!(1)),
-        ("/listen", json!("nowhere")),
-        ("/listen", Value::Null),
-        ("/discovery", json!(7)),
-        ("/discovery", Value::Null),
-        ("/seed", Value::Null),
-        ("/seed", json!("xyz")),
-        ("/seed", json!(-1)),
-        ("/seed", json!([])),
-        ("/limits/sockets", json!(63)),
-        ("/limits/sockets", json!("many")),
-        ("/known", json!(1)),
-        ("/known/rev", json!(-1)),
-        ("/known/targets/0/state", json!("NAPPING")),
-        ("/known/targets/0/endpoint", Value::Null),
-        ("/known/targets/1/endpoint", json!("here")),
-        ("/settings", json!(1)),
-        ("/settings/classes", json!([])),
-        ("/settings/classes/0/deadline_ms", json!(-1)),
-        ("/settings/limits/max_open", json!("many")),
-        ("/settings/limits/dial_timeout_ms", json!(0)),
-    ] {
-        let mut config: Value = serde_json::from_str(EVERY_KEY).expect("JSON");
-        *config.pointer_mut(path).expect(path) = value.clone();
-        let problem = Config::read(&config.to_string(), none).expect_err(path).to_string();
-        lines.push(format!("{path}={value}\t{problem}"));
-    }
-    let mut config: Value = serde_json::from_str(EVERY_KEY).expect("JSON");
-    config.as_object_mut().expect("an object").remove("settings");
-    lines.push(Config::read(&config.to_string(), none).expect_err("settings").to_string());
-    assert_fixture("config.txt", &lines);
-}
--- a/gateway/tests/shutdown.rs
+++ b/gateway/tests/shutdown.rs
@@ -10,7 +10,7 @@
 
 #[tokio::test]
 async fn a_graceful_shutdown_serves_open_requests_and_ends() {
-    let (mut server, discovery) = (Server::start(Does::Nothing).await, Discovery::start().await);
+    let (mut server, discovery) = (Server::start(ServerBehavior::Hang).await, Discovery::start().await);
     let mut gateway = Gateway::start(&config(vec![target(1, server.at, "SERVING")], discovery.at)).await;
     let (mut idle, mut kept, mut owed) =
         (gateway.client().await, gateway.client().await, gateway.client().await);
@@ -39,7 +39,7 @@
 async fn a_graceful_shutdown_answers_every_request_however_late() {
     let _clock = hold_clock(true);
     for deadline_ms in [400.0_f64, 1000.0, 5000.0] {
-        let (server, discovery) = (Peer::start().await, Discovery::start().await);
+        let (server, discovery) = (ScriptedServer::start().await, Discovery::start().await);
         let mut told = config(vec![target(1, server.at, "SERVING")], discovery.at);
         for class in 0..2 {
             told["settings"]["classes"][class]["deadline_ms"] = json!(deadline_ms);
@@ -95,7 +95,7 @@
 
 #[tokio::test]
 async fn pipelined_requests_are_answered_during_a_graceful_shutdown() {
-    let (mut gateway, _server, mut client, mut wire) = one_out().await;
+    let (mut gateway, _server, mut client, mut wire) = request_in_flight().await;
     client.send(&format!("{}{}{}", look("b"), look("c"), look("d"))).await;
     // They have been read by then: what is read is owed an answer.
     sleep(Duration::from_millis(200)).await;
--- a/gateway/tests/standstill.rs
+++ b/gateway/tests/stalls.rs
@@ -10,9 +10,9 @@
 
 /// The first connection to a server whose queue is full, as it comes up while the gateway stands still; and what then
 /// happens there.
-async fn comes_up_in_a_standstill(meanwhile: impl AsyncFnOnce(Client, &mut Discovery)) -> usize {
-    let (mut server, mut discovery) = (Deaf::start().await, Discovery::start().await);
-    let gateway = Threaded::start(&config(vec![target(1, server.at, "SERVING")], discovery.at));
+async fn established_in_a_stall(meanwhile: impl AsyncFnOnce(Client, &mut Discovery)) -> usize {
+    let (mut server, mut discovery) = (UnacceptingServer::start().await, Discovery::start().await);
+    let gateway = StallableGateway::start(&config(vec![target(1, server.at, "SERVING")], discovery.at));
     let mut client = gateway.client().await;
     client.send(&look("a")).await;
     // It dials by now.
@@ -26,15 +26,15 @@
 }
 
 #[tokio::test]
-async fn a_connection_that_comes_up_in_a_standstill_carries_nothing_for_a_client_that_left_in_it() {
-    let bytes = comes_up_in_a_standstill(async |client, _| drop(client)).await;
+async fn a_connection_established_in_a_stall_carries_nothing_for_a_client_that_disconnected_in_it() {
+    let bytes = established_in_a_stall(async |client, _| drop(client)).await;
     assert_eq!(bytes, 0, "an attempt began long after its client had left");
 }
 
 #[tokio::test]
-async fn a_connection_that_comes_up_in_a_standstill_carries_nothing_to_a_server_that_drained_in_it() {
+async fn a_connection_established_in_a_stall_carries_nothing_to_a_server_that_drained_in_it() {
     let mut kept = None;
-    let bytes = comes_up_in_a_standstill(async |client, discovery| {
+    let bytes = established_in_a_stall(async |client, discovery| {
         let (_, answer) = discovery.call().await;
         answer.send(ok(&list(42, true, vec![]))).expect("asked");
         kept = Some(client);
@@ -44,9 +44,9 @@
 }
 
 #[tokio::test]
-async fn a_request_that_arrives_in_a_standstill_tells_its_server_only_what_is_left() {
-    let (server, discovery) = (Peer::start().await, Discovery::start().await);
-    let gateway = Threaded::start(&config(vec![target(1, server.at, "SERVING")], discovery.at));
+async fn a_request_that_arrives_in_a_stall_forwards_only_the_time_left() {
+    let (server, discovery) = (ScriptedServer::start().await, Discovery::start().await);
+    let gateway = StallableGateway::start(&config(vec![target(1, server.at, "SERVING")], discovery.at));
     let mut client = gateway.client().await;
     let release = gateway.hold().await;
     let patience_ms = 5000;
--- a/gateway/tests/upstream.rs
+++ b/gateway/tests/upstream.rs
@@ -83,43 +83,43 @@
     let none = LoadReport::default();
     for (does, outcome, told) in [
         (SERVED, Outcome::Served, report(Some(0.5), Some(20.0))),
-        (TURNED_AWAY, Outcome::Rejected, none),
+        (REJECTED, Outcome::Rejected, none),
         (
-            Does::Answer("HTTP/1.1 504 No\r\nX-Unprocessed: 1\r\nX-Backend-Load: util=1, qps=x\r\n\r\n"),
+            ServerBehavior::Respond("HTTP/1.1 504 No\r\nX-Unprocessed: 1\r\nX-Backend-Load: util=1, qps=x\r\n\r\n"),
             Outcome::ServerError, // A body up to the end of a connection that stays open.
             none,
         ),
         (
-            Does::AnswerAndClose(
+            ServerBehavior::RespondAndClose(
                 "HTTP/1.1 504 No\r\nX-Unprocessed: 1\r\nX-Backend-Load: util=1, qps=x\r\n\r\n",
             ),
             Outcome::Rejected,
             report(Some(1.0), None),
         ),
         (
-            Does::Answer(
+            ServerBehavior::Respond(
                 "HTTP/1.1 503 No\r\nContent-Length: 0\r\nX-Backend-Load: utilization=0.749,throughput=19.651\r\n\r\n",
             ),
             Outcome::ServerError,
             report(Some(0.749), Some(19.651)),
         ),
-        (Does::Answer("HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n"), Outcome::ServerError, none),
-        (Does::Answer("HTTP/1.1 204 No\r\n\r\n"), Outcome::ServerError, none),
+        (ServerBehavior::Respond("HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n"), Outcome::ServerError, none),
+        (ServerBehavior::Respond("HTTP/1.1 204 No\r\n\r\n"), Outcome::ServerError, none),
         // Less comes than is said to, and nothing more ever.
         (
-            Does::Answer("HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\ndesk"),
+            ServerBehavior::Respond("HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\ndesk"),
             Outcome::ServerError,
             none,
         ),
-        (Does::Answer("what?\r\n\r\n"), Outcome::ServerError, none),
-        (Does::Answer("HTTP/1.1 200 OK\r\nContent-Length: 65537\r\n\r\n"), Outcome::ServerError, none),
+        (ServerBehavior::Respond("what?\r\n\r\n"), Outcome::ServerError, none),
+        (ServerBehavior::Respond("HTTP/1.1 200 OK\r\nContent-Length: 65537\r\n\r\n"), Outcome::ServerError, none),
         (
-            Does::AnswerAndClose("HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\ndesk"),
+            ServerBehavior::RespondAndClose("HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\ndesk"),
             Outcome::ConnectionLost,
             none,
         ),
-        (Does::Close, Outcome::ConnectionLost, none),
-        (Does::Nothing, Outcome::ResponseTimeout, none),
+        (ServerBehavior::Close, Outcome::ConnectionLost, none),
+        (ServerBehavior::Hang, Outcome::ResponseTimeout, none),
     ] {
         let server = Server::start(does).await;
         let patience = if outcome == Outcome::ResponseTimeout { Duration::from_secs(1) } else { LONG };
@@ -136,7 +136,7 @@
     assert_eq!(late.outcome(server.at, LONG).await.0, Outcome::NotSent);
     assert!(matches!((server.next().await, server.next().await), (Seen::Connected, Seen::Ended)));
 
-    let mut server = Server::start(Does::Nothing).await;
+    let mut server = Server::start(ServerBehavior::Hang).await;
     let mut upstream = Upstreams::new(4, 30_000.0);
     let call_off = upstream.start(server.at, LONG);
     while !matches!(server.next().await, Seen::Request(_)) {}
@@ -149,7 +149,7 @@
 #[tokio::test]
 async fn server_connections_stay_within_the_budget_and_the_idle_timeout() {
     let (mut quick, mut other, mut slow) =
-        (Server::start(SERVED).await, Server::start(SERVED).await, Server::start(Does::Nothing).await);
+        (Server::start(SERVED).await, Server::start(SERVED).await, Server::start(ServerBehavior::Hang).await);
     let mut upstream = Upstreams::new(2, 30_000.0);
     let _first = upstream.start(slow.at, LONG);
     while !matches!(slow.next().await, Seen::Request(_)) {}
@@ -172,7 +172,7 @@
 
 #[tokio::test]
 async fn a_restarted_server_gets_new_connections() {
-    let server = Peer::start().await;
+    let server = ScriptedServer::start().await;
     let mut upstream = Upstreams::new(4, 30_000.0);
     let _out = upstream.start(server.at, LONG);
     // Its present life ends while an attempt is out there: that one's connection carries nothing more.
