--- a/gateway/tests/common/discovery.rs
+++ b/gateway/tests/common/discovery.rs
@@ -26,11 +26,10 @@
 
 impl Discovery {
     pub async fn start() -> Self {
-        Self::start_at(([127, 0, 0, 1], 0).into()).await
+        Self::start_on(TcpListener::bind("127.0.0.1:0").await.expect("a free port"))
     }
 
-    pub async fn start_at(at: SocketAddr) -> Self {
-        let listener = TcpListener::bind(at).await.expect("the port is free");
+    pub fn start_on(listener: TcpListener) -> Self {
         let at = listener.local_addr().expect("an address");
         let (tell, calls) = mpsc::unbounded_channel();
         tokio::spawn(async move {
--- a/gateway/tests/common/mod.rs
+++ b/gateway/tests/common/mod.rs
@@ -13,7 +13,7 @@
 use std::time::Duration;
 use ternstack_gateway::http1::{CompleteMessage, Reader, StartLine};
 use tokio::io::AsyncReadExt;
-use tokio::net::{TcpListener, TcpStream};
+use tokio::net::{TcpListener, TcpSocket, TcpStream};
 use tokio::task::JoinHandle;
 use tokio::time::timeout;
 
@@ -62,7 +62,30 @@
     bytes.len()
 }
 
-/// An address at which nobody answers yet.
+/// A port that is bound and does not listen: connections to it are refused, and no other process is given it meanwhile.
+pub struct ReservedPort {
+    pub at: SocketAddr,
+    socket: TcpSocket,
+}
+
+impl ReservedPort {
+    pub fn new() -> Self {
+        let socket = TcpSocket::new_v4().expect("a socket");
+        socket.bind(([127, 0, 0, 1], 0).into()).expect("a free port");
+        ReservedPort { at: socket.local_addr().expect("an address"), socket }
+    }
+
+    /// Listens at the port from now on.
+    pub fn listen(self) -> TcpListener {
+        self.socket.listen(1024).expect("the port is reserved")
+    }
+}
+
+/// An address at which nobody answers, as long as the test's process runs.
 pub async fn nobody() -> SocketAddr {
-    TcpListener::bind("127.0.0.1:0").await.expect("a free port").local_addr().expect("an address")
+    let port = ReservedPort::new();
+    let at = port.at;
+    // The socket stays open, so that the port is given to nobody else.
+    std::mem::forget(port);
+    at
 }
--- a/gateway/tests/program.rs
+++ b/gateway/tests/program.rs
@@ -171,8 +171,8 @@
 
 #[tokio::test]
 async fn a_discovery_that_is_down_at_the_start_or_after_a_move_is_watched_on_its_return() {
-    let (before, after) = (nobody().await, nobody().await);
-    let program = Program::start("", "down", &config(vec![], before));
+    let (before, after) = (ReservedPort::new(), ReservedPort::new());
+    let program = Program::start("", "down", &config(vec![], before.at));
     // Ready at once, on what it knows.
     let mut client = tokio::net::TcpStream::connect(&program.at).await.expect("it listens");
     client.write_all(b"GET /ready HTTP/1.1\r\n\r\n").await.expect("it reads");
@@ -180,11 +180,11 @@
     tokio::io::AsyncReadExt::read_exact(&mut client, &mut start).await.expect("it answers");
     assert_eq!(&start, b"HTTP/1.1 200");
     program.logs("cannot connect");
-    std::fs::write(&program.file, config(vec![], after).to_string()).expect("written");
+    std::fs::write(&program.file, config(vec![], after.at).to_string()).expect("written");
     program.signal("HUP");
     program.logs("configuration reread");
     program.logs("cannot connect");
-    let mut discovery = Discovery::start_at(after).await;
+    let mut discovery = Discovery::start_on(after.listen());
     assert_eq!(discovery.call().await.0, "/v1/endpoints");
     assert_eq!(program.terminate(), Some(0));
 }
@@ -194,8 +194,8 @@
     // A budget that is as large as the limit, and one that counts on more than there are and so holds nobody back.
     for (limit, sockets) in [(64, 64), (40, 256)] {
         let (mut old, mut new) = (Server::start(SERVED).await, Server::start(SERVED).await);
-        let down = nobody().await;
-        let mut told = config(vec![target(1, old.at, "SERVING")], down);
+        let down = ReservedPort::new();
+        let mut told = config(vec![target(1, old.at, "SERVING")], down.at);
         told["limits"]["sockets"] = json!(sockets);
         let program = Program::start(&format!("ulimit -n {limit};"), "filled", &told);
         let (at, full) = (program.at.clone(), Arc::new(AtomicBool::new(true)));
@@ -220,7 +220,7 @@
         for _ in 0..5 {
             program.logs("cannot connect: Connection refused");
         }
-        let mut discovery = Discovery::start_at(down).await;
+        let mut discovery = Discovery::start_on(down.listen());
         let (_, answer) = discovery.call().await;
         let change = vec![target(1, old.at, "DRAINING"), target(2, new.at, "SERVING")];
         answer.send(ok(&list(42, false, change))).expect("asked");
