--- a/control/src/clock.rs
+++ b/control/src/clock.rs
@@ -1,26 +1,33 @@
-//! One monotonic time in ms, as the state machines have it.
+//! A monotonic clock in milliseconds, the time base of the replication state machines.
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// A clock that began with its making. Copies tell the same time.
+/// The latest instant that [`Clock::instant_at`] returns, from now.
+const MAX_WAIT_MS: f64 = 86_400_000.0;
+
+/// Milliseconds since the clock was started. Copies tell the same time.
 #[derive(Clone, Copy, Debug)]
-pub struct Clock(Instant);
+pub struct Clock {
+    started_at: Instant,
+}
 
 impl Clock {
-    /// One that tells 0 now.
+    /// Starts a clock at 0 ms.
     pub fn start() -> Self {
-        Clock(Instant::now())
+        Clock { started_at: Instant::now() }
     }
 
-    /// Now, in ms.
-    pub fn now(&self) -> f64 {
-        self.0.elapsed().as_secs_f64() * 1000.0
+    /// The time since the start, in ms.
+    pub fn now_ms(&self) -> f64 {
+        self.started_at.elapsed().as_secs_f64() * 1000.0
     }
 
-    /// The moment of a time in ms; a day from now for what is later, or never.
-    pub fn at(&self, ms: f64) -> Instant {
-        let latest = self.now() + 86_400_000.0;
-        // `min` takes the number where the other is none.
-        self.0 + Duration::from_secs_f64(latest.min(ms).max(0.0) / 1000.0)
+    /// The instant of a time in ms of this clock. Times before the start become the start; times later than a day from now,
+    /// infinity and NaN become a day from now.
+    pub fn instant_at(&self, time_ms: f64) -> Instant {
+        let latest_ms = self.now_ms() + MAX_WAIT_MS;
+        // `f64::min` returns the other operand for NaN.
+        let bounded_ms = latest_ms.min(time_ms).max(0.0);
+        self.started_at + Duration::from_secs_f64(bounded_ms / 1000.0)
     }
 }
--- /dev/null
+++ b/control/src/commands/status.rs
@@ -0,0 +1,68 @@
+//! `status`: prints the status of every control server, as a table or as JSON lines.
+use super::{time_limit, CommandError};
+use crate::cli::StatusArguments;
+use ternstack_control::admin_client;
+use ternstack_control::operator_file::OperatorFile;
+use ternstack_peers::wire::{Causes, Status};
+use tracing::error;
+
+/// Requests the status of each server in turn.
+pub async fn status(arguments: StatusArguments) -> Result<(), CommandError> {
+    let time_limit = time_limit(arguments.within)?;
+    let operator = OperatorFile::from_file(&arguments.operator)?;
+    if !arguments.json {
+        print_table_head();
+    }
+    let mut silent_count = 0;
+    for server in &operator.servers {
+        match admin_client::status(server.address, time_limit).await {
+            Ok(status) if arguments.json => print_json_line(&status),
+            Ok(status) => print_table_row(&status),
+            Err(failure) => {
+                silent_count += 1;
+                error!("{failure}");
+                println!("{:<20} {failure}", server.name);
+            }
+        }
+    }
+    if silent_count > 0 {
+        let server_count = operator.servers.len();
+        return Err(CommandError::SilentServers { silent_count, server_count });
+    }
+    Ok(())
+}
+
+fn print_json_line(status: &Status) {
+    let line = serde_json::json!({
+        "name": status.name, "in_force": status.in_force, "known": status.through,
+        "followers": status.followers, "lease_ms": status.lease_ms,
+        "state": format!("{:032x}", status.sum.0), "counts": status.counts,
+    });
+    println!("{line}");
+}
+
+fn print_table_head() {
+    println!(
+        "{:<20} {:>9} {:>9} {:>9} {:>8} {:>12} {:>12}  state",
+        "machine", "in force", "known", "followers", "lease ms", "bytes in", "bytes out"
+    );
+}
+
+fn print_table_row(status: &Status) {
+    println!(
+        "{:<20} {:>9} {:>9} {:>9} {:>8} {:>12} {:>12}  {:032x}",
+        status.name,
+        status.in_force,
+        status.through,
+        status.followers,
+        status.lease_ms.map_or("-".into(), |ms| ms.to_string()),
+        total_bytes(&status.counts.read),
+        total_bytes(&status.counts.written),
+        status.sum.0
+    );
+}
+
+fn total_bytes(causes: &Causes) -> u64 {
+    let tallies = [causes.asks, causes.leases, causes.changes, causes.starts, causes.staff];
+    tallies.iter().map(|tally| tally.bytes).sum()
+}
--- a/control/src/frames.rs
+++ b/control/src/frames.rs
@@ -1,190 +1,106 @@
-//! Frames of [`wire`](ternstack_peers::wire) on a stream: read within bounds, written one at a time, and counted by cause.
+//! Reads and writes control messages, framed by [`wire`](ternstack_peers::wire), on byte streams with bounded buffers.
 use bytes::{BufMut, BytesMut};
 use std::io;
-use std::sync::atomic::{AtomicU64, Ordering::Relaxed};
-use ternstack_peers::wire::{decode, encode, Ask, Causes, Counts, Grant, Malformed, Message, Tally, LONGEST};
+use ternstack_peers::wire::{decode, encode, Malformed, Message, LONGEST};
+use thiserror::Error;
 use tokio::io::{AsyncRead, AsyncReadExt, AsyncWrite, AsyncWriteExt};
 
-/// What an empty buffer may keep, in bytes: more is given back, as thousands of connections have one each.
-const KEPT: usize = 2048;
-/// The most that a buffer grows by before the bytes are there, so that a length alone reserves nothing.
-const GROWTH: usize = 16 << 10;
-
-/// Why a connection has no next message.
-#[derive(Debug)]
-pub enum Broken {
-    /// The other end speaks something else. The connection cannot go on: nothing tells where the next frame begins.
+/// Capacity that an empty buffer keeps; more is freed, since thousands of connections have a buffer each.
+const IDLE_BUFFER_BYTES: usize = 2048;
+/// The least capacity that a full buffer grows by.
+const MIN_BUFFER_GROWTH_BYTES: usize = IDLE_BUFFER_BYTES / 4;
+/// The most capacity that a full buffer grows by, so that a length field alone reserves nothing.
+const MAX_BUFFER_GROWTH_BYTES: usize = 16 << 10;
+
+/// Why no message could be read from or written to a connection.
+#[derive(Debug, Error)]
+pub enum FrameError {
+    /// A frame is malformed. The connection cannot continue, since the start of the next frame is unknown.
+    #[error("{0}")]
     Malformed(Malformed),
-    /// It ended after so many bytes of a frame.
-    Cut(usize),
-    /// It failed.
-    Failed(io::Error),
+    /// The stream ended within a frame.
+    #[error("the connection ended after {received_bytes} bytes of a frame, expected all of it")]
+    Truncated {
+        /// The bytes of the frame that have come.
+        received_bytes: usize,
+    },
+    /// Reading or writing failed.
+    #[error("the connection failed: {0}")]
+    Io(io::Error),
 }
 
-impl std::fmt::Display for Broken {
-    fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        match self {
-            Broken::Malformed(what) => write!(f, "{what}"),
-            Broken::Cut(n) => {
-                write!(f, "the connection ended after {n} bytes of a frame, expected all of it")
-            }
-            Broken::Failed(e) => write!(f, "the connection failed: {e}"),
-        }
-    }
+/// A message and its size on the wire.
+#[derive(Clone, Debug, PartialEq)]
+pub struct ReceivedMessage {
+    /// The message.
+    pub message: Message,
+    /// The length of its frame, header included.
+    pub frame_bytes: usize,
 }
 
-impl std::error::Error for Broken {}
-
-/// Messages that come on a stream. It holds at most [`LONGEST`] bytes.
+/// Reads messages from a stream. Buffers at most [`LONGEST`] bytes.
 #[derive(Debug)]
-pub struct Frames<R> {
+pub struct FrameReader<R> {
     stream: R,
     buffer: BytesMut,
-    received: u64,
+    received_bytes: u64,
 }
 
-impl<R: AsyncRead + Unpin> Frames<R> {
-    /// Reads from there.
+impl<R: AsyncRead + Unpin> FrameReader<R> {
+    /// Reads from `stream`.
     pub fn new(stream: R) -> Self {
-        Frames { stream, buffer: BytesMut::new(), received: 0 }
+        FrameReader { stream, buffer: BytesMut::new(), received_bytes: 0 }
     }
 
-    /// The next message and the bytes of its frame; `None` at the end of the stream. Dropped before it is ready, it loses
-    /// nothing.
-    pub async fn next(&mut self) -> Result<Option<(Message, usize)>, Broken> {
+    /// The next message; `None` at the end of the stream. Cancel safe: a future dropped before it is ready loses no bytes.
+    pub async fn next(&mut self) -> Result<Option<ReceivedMessage>, FrameError> {
         loop {
-            if let Some((message, used)) = decode(&self.buffer).map_err(Broken::Malformed)? {
-                let _ = self.buffer.split_to(used);
-                if self.buffer.is_empty() && self.buffer.capacity() > KEPT {
-                    self.buffer = BytesMut::new();
-                }
-                return Ok(Some((message, used)));
-            }
-            if self.buffer.capacity() == self.buffer.len() {
-                self.buffer.reserve(self.buffer.len().clamp(KEPT / 4, GROWTH));
+            if let Some((message, frame_bytes)) = decode(&self.buffer).map_err(FrameError::Malformed)? {
+                self.consume(frame_bytes);
+                return Ok(Some(ReceivedMessage { message, frame_bytes }));
             }
-            // A frame that is not whole is shorter than this: there is always room for a byte.
-            let room = LONGEST.saturating_sub(self.buffer.len());
-            let read = self.stream.read_buf(&mut (&mut self.buffer).limit(room)).await;
-            match read.map_err(Broken::Failed)? {
+            match self.fill().await.map_err(FrameError::Io)? {
                 0 if self.buffer.is_empty() => return Ok(None),
-                0 => return Err(Broken::Cut(self.buffer.len())),
-                n => self.received += n as u64,
+                0 => return Err(FrameError::Truncated { received_bytes: self.buffer.len() }),
+                received => self.received_bytes += received as u64,
             }
         }
     }
 
-    /// The bytes that have come so far, whole frames or not.
-    pub fn received(&self) -> u64 {
-        self.received
-    }
-}
-
-/// Writes one message, by way of `scratch`, which is empty before and after. The bytes of its frame.
-pub async fn write(
-    stream: &mut (impl AsyncWrite + Unpin), message: &Message, scratch: &mut Vec<u8>,
-) -> Result<usize, Broken> {
-    scratch.clear();
-    encode(message, scratch).map_err(Broken::Malformed)?;
-    let written = stream.write_all(scratch).await.map_err(Broken::Failed);
-    let bytes = scratch.len();
-    scratch.clear();
-    scratch.shrink_to(KEPT);
-    written.map(|()| bytes)
-}
-
-/// Counts messages and bytes by cause, for any number of connections; others may read it at any time.
-#[derive(Debug, Default)]
-pub struct Counter {
-    read: Side,
-    written: Side,
-}
-
-/// Messages and bytes, in the order of the fields of [`Causes`].
-#[derive(Debug, Default)]
-struct Side([(AtomicU64, AtomicU64); 5]);
-
-const ASKS: usize = 0;
-const LEASES: usize = 1;
-const CHANGES: usize = 2;
-const STARTS: usize = 3;
-const STAFF: usize = 4;
-
-impl Side {
-    fn add(&self, cause: usize, messages: u64, bytes: usize) {
-        self.0[cause].0.fetch_add(messages, Relaxed);
-        self.0[cause].1.fetch_add(bytes as u64, Relaxed);
-    }
-
-    fn take(&self, message: &Message, bytes: usize, asked: Option<&Ask>) {
-        match message {
-            Message::Ask(_) => self.add(ASKS, 1, bytes),
-            Message::Grant(grant) => {
-                let (changes, starts) = parted(grant, asked);
-                let cause = match (starts > 0, changes > 0) {
-                    (true, _) => STARTS,
-                    (false, true) => CHANGES,
-                    (false, false) => LEASES,
-                };
-                self.add(cause, 1, 0);
-                self.add(CHANGES, 0, changes);
-                self.add(STARTS, 0, starts);
-                self.add(LEASES, 0, bytes.saturating_sub(changes + starts));
-            }
-            _ => self.add(STAFF, 1, bytes),
-        }
+    /// The bytes received so far, including those of an incomplete frame.
+    pub fn received_bytes(&self) -> u64 {
+        self.received_bytes
     }
 
-    fn causes(&self) -> Causes {
-        let tally = |cause: usize| Tally {
-            messages: self.0[cause].0.load(Relaxed),
-            bytes: self.0[cause].1.load(Relaxed),
-        };
-        Causes {
-            asks: tally(ASKS),
-            leases: tally(LEASES),
-            changes: tally(CHANGES),
-            starts: tally(STARTS),
-            staff: tally(STAFF),
+    fn consume(&mut self, frame_bytes: usize) {
+        let _ = self.buffer.split_to(frame_bytes);
+        if self.buffer.is_empty() && self.buffer.capacity() > IDLE_BUFFER_BYTES {
+            self.buffer = BytesMut::new();
         }
     }
-}
-
-impl Counter {
-    /// A message was read; where it answers an ask, this one.
-    pub fn read(&self, message: &Message, bytes: usize, asked: Option<&Ask>) {
-        self.read.take(message, bytes, asked);
-    }
 
-    /// A message was written; where it answers an ask, this one.
-    pub fn written(&self, message: &Message, bytes: usize, asked: Option<&Ask>) {
-        self.written.take(message, bytes, asked);
-    }
-
-    /// All so far.
-    pub fn counts(&self) -> Counts {
-        Counts { read: self.read.causes(), written: self.written.causes() }
-    }
-}
-
-/// The bytes of an answer that are changes, and those that are pieces of what was fetched: also all that a machine between
-/// is sent which has nothing yet.
-fn parted(grant: &Grant, asked: Option<&Ask>) -> (usize, usize) {
-    let starts_all = asked.is_some_and(|ask| ask.known == 0);
-    let is_fetched = |scope| asked.is_some_and(|ask| ask.fetch.iter().any(|(fetched, _)| *fetched == scope));
-    let (mut changes, mut starts) = (0, 0);
-    changes += grant.pending.iter().map(size).sum::<usize>();
-    changes += grant.behind.iter().map(size).sum::<usize>();
-    for part in &grant.parts {
-        match starts_all || is_fetched(part.scope) {
-            true => starts += size(part),
-            false => changes += size(part),
+    /// Reads once into the buffer; 0 at the end of the stream.
+    async fn fill(&mut self) -> io::Result<usize> {
+        let length = self.buffer.len();
+        if self.buffer.capacity() == length {
+            self.buffer.reserve(length.clamp(MIN_BUFFER_GROWTH_BYTES, MAX_BUFFER_GROWTH_BYTES));
         }
+        // An incomplete frame is shorter than `LONGEST`, so there is always room for a byte.
+        let room = LONGEST.saturating_sub(length);
+        self.stream.read_buf(&mut (&mut self.buffer).limit(room)).await
     }
-    (changes, starts)
 }
 
-fn size(value: &impl serde::Serialize) -> usize {
-    // Nothing of these types can fail to be measured.
-    postcard::serialize_with_flavor(value, postcard::ser_flavors::Size::default()).unwrap_or_default()
+/// Writes one message and returns the length of its frame in bytes. `scratch` is empty before and after, and reused to save
+/// allocations.
+pub async fn write_message(
+    stream: &mut (impl AsyncWrite + Unpin), message: &Message, scratch: &mut Vec<u8>,
+) -> Result<usize, FrameError> {
+    scratch.clear();
+    encode(message, scratch).map_err(FrameError::Malformed)?;
+    let written = stream.write_all(scratch).await.map_err(FrameError::Io);
+    let frame_bytes = scratch.len();
+    scratch.clear();
+    scratch.shrink_to(IDLE_BUFFER_BYTES);
+    written.map(|()| frame_bytes)
 }
--- /dev/null
+++ b/control/src/gateway_client/mod.rs
@@ -0,0 +1,257 @@
+//! A gateway's client: owns a [`Follower`], keeps it up to date by polling, and writes its snapshot. Used by gateways, and by
+//! the hollow gateways of scale tests, hundreds of which share a process.
+use crate::clock::Clock;
+use crate::polling_client::{lock, PollingClient, PollingObserver};
+use crate::server_selection::{seed_of, ServerSelection};
+use crate::snapshot_file::{self, SnapshotFileError};
+use crate::traffic::TrafficCounter;
+use std::convert::Infallible;
+use std::future::pending;
+use std::net::SocketAddr;
+use std::sync::atomic::{AtomicU64, AtomicUsize, Ordering::Relaxed};
+use std::sync::{Arc, Mutex};
+use std::time::Duration;
+use ternstack_peers::follower::{Acting, Follower, News};
+use ternstack_peers::lease::Terms;
+use ternstack_peers::placing;
+use ternstack_peers::scope::{Entry, Key, Number, Scope};
+use ternstack_peers::snapshot::Snapshot;
+use ternstack_peers::tables::Tables;
+use ternstack_peers::wire::Counts;
+use tokio::sync::Notify;
+use tokio::task::spawn_blocking;
+use tokio::time::{sleep, sleep_until};
+use tracing::warn;
+
+mod config;
+mod events;
+
+pub use config::{GatewayClientConfig, ScopePriority, ServerEndpoint, SnapshotConfig};
+pub use events::ClientEvent;
+use events::EventSender;
+
+/// The value of [`GatewayClient::connected_server`] while there is no connection.
+const NOT_CONNECTED: usize = usize::MAX;
+
+/// A gateway's client. It polls for as long as the future of [`GatewayClient::run`] is polled.
+pub struct GatewayClient {
+    name: String,
+    core: Mutex<Follower<Tables>>,
+    clock: Clock,
+    traffic: TrafficCounter,
+    wake: Notify,
+    servers: Vec<SocketAddr>,
+    /// Indices of `servers`, the preferred one first.
+    ranking: Vec<usize>,
+    lease: Terms,
+    snapshot: Option<SnapshotConfig>,
+    connected_server: AtomicUsize,
+    connection_count: AtomicU64,
+}
+
+impl GatewayClient {
+    /// Restores the snapshot, if there is one; an unreadable one is logged and ignored. Blocks on the disk.
+    pub fn new(config: GatewayClientConfig) -> Arc<Self> {
+        let name = config.member.name.clone();
+        let ranking = rank_servers(&config);
+        let mut core = match restore_snapshot(&name, config.snapshot.as_ref()) {
+            Some(snapshot) => Follower::restored(config.lease, config.member, snapshot),
+            None => Follower::new(config.lease, config.member, Tables::new()),
+        };
+        for wanted in config.scopes {
+            core.want(wanted.scope, wanted.priority);
+        }
+        Arc::new(GatewayClient {
+            name,
+            core: Mutex::new(core),
+            clock: Clock::start(),
+            traffic: TrafficCounter::default(),
+            wake: Notify::new(),
+            servers: config.servers.iter().map(|server| server.address).collect(),
+            ranking,
+            lease: config.lease,
+            snapshot: config.snapshot,
+            connected_server: AtomicUsize::new(NOT_CONNECTED),
+            connection_count: AtomicU64::new(0),
+        })
+    }
+
+    /// Polls for as long as the future is polled. `on_event` is called with each event and its time in ms of the clock; it
+    /// must neither block nor call this client.
+    pub async fn run(&self, on_event: impl FnMut(f64, ClientEvent) + Send) -> Infallible {
+        let events = Mutex::new(EventSender::new(on_event));
+        let lease_acquired = Notify::new();
+        let lease_timeout_ms = self.lease.answer_within_ms();
+        let polling = PollingClient {
+            name: &self.name,
+            core: &self.core,
+            clock: self.clock,
+            servers: &self.servers,
+            traffic: &self.traffic,
+            wake: &self.wake,
+            check_interval_ms: f64::INFINITY,
+            connect_timeout: Duration::from_secs_f64(lease_timeout_ms / 2000.0),
+        };
+        let ranking = self.ranking.clone();
+        let selection = ServerSelection::new(ranking, lease_timeout_ms, seed_of(&self.name));
+        let mut observer = Observer { client: self, events: &events, lease_acquired: &lease_acquired };
+        tokio::select! {
+            never = polling.run(selection, &mut observer) => never,
+            never = self.watch_lease(&events, &lease_acquired) => never,
+            never = self.write_snapshots() => never,
+        }
+    }
+
+    /// Sends an event at the moment a lease expires.
+    async fn watch_lease<F: FnMut(f64, ClientEvent)>(
+        &self, events: &Mutex<EventSender<F>>, lease_acquired: &Notify,
+    ) -> Infallible {
+        loop {
+            let now_ms = self.clock.now_ms();
+            let expires_at_ms = lock(&self.core).lease_until();
+            if now_ms < expires_at_ms {
+                sleep_until(self.clock.instant_at(expires_at_ms)).await;
+            } else {
+                lock(events).update_lease(now_ms, false);
+                lease_acquired.notified().await;
+            }
+        }
+    }
+
+    /// Writes the snapshot at its interval, if the state has changed.
+    async fn write_snapshots(&self) -> Infallible {
+        let Some(config) = &self.snapshot else { return pending().await };
+        let mut written = None;
+        loop {
+            sleep(config.write_interval).await;
+            let current = self.with_core(|core, _| (core.in_force(), core.whole().count()));
+            if written == Some(current) || current.0 == 0 {
+                continue;
+            }
+            match self.write_snapshot().await {
+                Ok(()) => written = Some(current),
+                Err(error) => warn!(name = self.name, "snapshot not written: {error}"),
+            }
+        }
+    }
+
+    /// Writes the snapshot now, if one is configured.
+    pub async fn write_snapshot(&self) -> Result<(), SnapshotFileError> {
+        let Some(config) = &self.snapshot else { return Ok(()) };
+        let snapshot = self.with_core(|core, _| core.snapshot());
+        if !config.on_blocking_thread {
+            return snapshot_file::write(&config.path, &snapshot);
+        }
+        let path = config.path.clone();
+        let writing = spawn_blocking(move || snapshot_file::write(&path, &snapshot));
+        writing.await.unwrap_or_else(|error| Err(SnapshotFileError::WriterPanicked(error)))
+    }
+
+    /// Follows a scope from now on, with a fetch priority.
+    pub fn want(&self, scope: Scope, priority: f64) {
+        lock(&self.core).want(scope, priority);
+        self.wake.notify_one();
+    }
+
+    /// Follows a scope no longer.
+    pub fn forget(&self, scope: Scope) {
+        lock(&self.core).forget(scope);
+    }
+
+    /// The member's name.
+    pub fn name(&self) -> &str {
+        &self.name
+    }
+
+    /// What to act by in a scope, now.
+    pub fn acting(&self, scope: Scope) -> Acting {
+        self.with_core(|core, now_ms| core.acting(now_ms, scope))
+    }
+
+    /// The entry to act by under a key, now.
+    pub fn entry(&self, scope: Scope, key: Key) -> Option<Entry> {
+        self.with_core(|core, now_ms| core.entry(now_ms, scope, key))
+    }
+
+    /// The version that came into force last here.
+    pub fn in_force(&self) -> Number {
+        lock(&self.core).in_force()
+    }
+
+    /// Whether it holds a lease, now.
+    pub fn holds_lease(&self) -> bool {
+        self.with_core(|core, now_ms| now_ms < core.lease_until())
+    }
+
+    /// Reads from the core, with the current time in ms of its clock. `read` must not block: it holds the core's lock.
+    pub fn with_core<R>(&self, read: impl FnOnce(&Follower<Tables>, f64) -> R) -> R {
+        read(&lock(&self.core), self.clock.now_ms())
+    }
+
+    /// Its clock.
+    pub fn clock(&self) -> Clock {
+        self.clock
+    }
+
+    /// Messages and bytes so far, in both directions.
+    pub fn counts(&self) -> Counts {
+        self.traffic.counts()
+    }
+
+    /// The server that it is connected to, as an index of [`GatewayClientConfig::servers`].
+    pub fn connected_server(&self) -> Option<usize> {
+        Some(self.connected_server.load(Relaxed)).filter(|server| *server != NOT_CONNECTED)
+    }
+
+    /// How many connections to servers it has established so far.
+    pub fn connection_count(&self) -> u64 {
+        self.connection_count.load(Relaxed)
+    }
+}
+
+fn rank_servers(config: &GatewayClientConfig) -> Vec<usize> {
+    let candidate = |server: &ServerEndpoint| placing::Machine {
+        name: server.name.clone(),
+        zone: server.zone.clone(),
+        region: server.region.clone(),
+    };
+    let candidates: Vec<placing::Machine> = config.servers.iter().map(candidate).collect();
+    placing::order(&config.member.name, &config.zone, &config.region, &candidates)
+}
+
+fn restore_snapshot(name: &str, config: Option<&SnapshotConfig>) -> Option<Snapshot> {
+    let path = &config?.path;
+    snapshot_file::read(path).unwrap_or_else(|error| {
+        warn!(name, path = %path.display(), "snapshot ignored, state is fetched anew: {error}");
+        None
+    })
+}
+
+/// Records the connection, and sends events.
+struct Observer<'a, F> {
+    client: &'a GatewayClient,
+    events: &'a Mutex<EventSender<F>>,
+    lease_acquired: &'a Notify,
+}
+
+impl<F: FnMut(f64, ClientEvent)> PollingObserver for Observer<'_, F> {
+    fn on_connected(&mut self, server: usize) {
+        self.client.connected_server.store(server, Relaxed);
+        self.client.connection_count.fetch_add(1, Relaxed);
+    }
+
+    fn on_disconnected(&mut self) {
+        self.client.connected_server.store(NOT_CONNECTED, Relaxed);
+    }
+
+    fn on_applied(&mut self, now_ms: f64, follower_events: Vec<News>) {
+        let holds_lease = now_ms < lock(&self.client.core).lease_until();
+        let mut events = lock(self.events);
+        if events.update_lease(now_ms, holds_lease) && holds_lease {
+            self.lease_acquired.notify_one();
+        }
+        for event in follower_events {
+            events.send_follower_event(now_ms, event);
+        }
+    }
+}
--- a/control/src/lib.rs
+++ b/control/src/lib.rs
@@ -1,18 +1,22 @@
-//! The drives of what `peers/` decides, on tokio's current-thread runtime.
+//! The control plane on sockets: runs the state machines of [`ternstack_peers`] on tokio's current-thread runtime.
 //!
-//! [`frames`] reads and writes messages and counts them by cause. [`serve`] is an origin or a distributor, [`follow`] a
-//! gateway's end, with its snapshot beside it ([`beside`]); what both have in common, the end that asks, is [`asking`],
-//! and [`choice`] decides whom it calls. [`operator`] reads the operators' file and the staff's changes, [`staff`] sends
-//! these and asks how it is.
+//! - [`frames`] reads and writes messages; [`traffic`] counts them by cause.
+//! - [`server`] is a primary or a replica.
+//! - [`gateway_client`] is a gateway's client, with its snapshot in a [`snapshot_file`].
+//! - Gateways and replicas poll the servers above them: `polling_client` connects to one server after another in the order
+//!   of [`server_selection`], `server_connection` is one such connection.
+//! - [`operator_file`] parses the operators' file and their changes; [`admin_client`] proposes these and requests statuses.
 #![forbid(unsafe_code)]
-#![warn(missing_docs)]
+#![deny(missing_docs, clippy::too_many_lines, clippy::cognitive_complexity)]
 
-pub(crate) mod asking;
-pub mod beside;
-pub mod choice;
+pub mod admin_client;
 pub mod clock;
-pub mod follow;
 pub mod frames;
-pub mod operator;
-pub mod serve;
-pub mod staff;
+pub mod gateway_client;
+pub mod operator_file;
+mod polling_client;
+pub mod server;
+mod server_connection;
+pub mod server_selection;
+pub mod snapshot_file;
+pub mod traffic;
--- /dev/null
+++ b/control/src/server/client_connection.rs
@@ -0,0 +1,179 @@
+//! One connection of a client to a server. It processes one message at a time, and sends a response before it reads on, so
+//! that nothing queues up for a client that reads slowly.
+use super::proposals::{AgreedProposal, ConnectionProposals};
+use super::{ControlServer, ServerCore};
+use crate::frames::{write_message, FrameError, FrameReader, ReceivedMessage};
+use crate::polling_client::lock;
+use std::future::pending;
+use std::io;
+use std::net::SocketAddr;
+use std::time::Duration;
+use ternstack_peers::scope::Change;
+use ternstack_peers::wire::{Ask, Malformed, Message};
+use tokio::net::tcp::{ReadHalf, WriteHalf};
+use tokio::net::TcpStream;
+use tokio::time::{sleep, timeout};
+
+/// A connection on which nothing is received for this long is closed.
+const IDLE_TIMEOUT: Duration = Duration::from_secs(60);
+/// A connection whose client does not read a response for this long is closed.
+const WRITE_TIMEOUT: Duration = Duration::from_secs(10);
+/// The interval at which a response to a poll is tried again while the core has none.
+const POLL_RETRY_INTERVAL: Duration = Duration::from_millis(50);
+
+/// What a connection waits for.
+#[allow(
+    clippy::large_enum_variant,
+    reason = "one event at a time, handled at once; boxing would allocate for each message"
+)]
+enum Event {
+    Read(Result<Option<ReceivedMessage>, FrameError>),
+    /// Nothing was received within [`IDLE_TIMEOUT`].
+    Idle,
+    RetryPoll,
+    ProposalAgreed(AgreedProposal),
+}
+
+/// Whether a connection stays open.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+enum Next {
+    Continue,
+    Close,
+}
+
+/// The state of a client's connection.
+pub(super) struct ClientConnection<'a, C> {
+    server: &'a ControlServer<C>,
+    client: SocketAddr,
+    reader: FrameReader<ReadHalf<'a>>,
+    writer: WriteHalf<'a>,
+    scratch: Vec<u8>,
+    proposals: ConnectionProposals,
+    /// The last poll, while the core has no response to it. A late response is better than a client that tries all servers.
+    unanswered_poll: Option<Ask>,
+}
+
+impl<'a, C: ServerCore> ClientConnection<'a, C> {
+    /// Uses an accepted stream.
+    pub fn new(
+        server: &'a ControlServer<C>, stream: &'a mut TcpStream, client: SocketAddr,
+    ) -> io::Result<Self> {
+        stream.set_nodelay(true)?;
+        let (reader, writer) = stream.split();
+        Ok(ClientConnection {
+            server,
+            client,
+            reader: FrameReader::new(reader),
+            writer,
+            scratch: Vec::new(),
+            proposals: ConnectionProposals::default(),
+            unanswered_poll: None,
+        })
+    }
+
+    /// Responds to messages until the client closes the connection, or is idle for too long.
+    pub async fn run(mut self) -> Result<(), FrameError> {
+        loop {
+            let event = self.next_event().await;
+            if self.on_event(event).await? == Next::Close {
+                return Ok(());
+            }
+        }
+    }
+
+    async fn next_event(&mut self) -> Event {
+        let may_read = self.proposals.has_capacity();
+        let is_poll_unanswered = self.unanswered_poll.is_some();
+        let poll_retry = async {
+            match is_poll_unanswered {
+                true => sleep(POLL_RETRY_INTERVAL).await,
+                false => pending().await,
+            }
+        };
+        tokio::select! {
+            agreed = self.proposals.next_agreed() => Event::ProposalAgreed(agreed),
+            () = poll_retry => Event::RetryPoll,
+            read = timeout(IDLE_TIMEOUT, self.reader.next()), if may_read => match read {
+                Ok(read) => Event::Read(read),
+                Err(_) => Event::Idle,
+            },
+        }
+    }
+
+    async fn on_event(&mut self, event: Event) -> Result<Next, FrameError> {
+        match event {
+            Event::Read(read) => {
+                let Some(received) = read? else { return Ok(Next::Close) };
+                self.server.traffic.record_read(&received.message, received.frame_bytes, None);
+                self.on_message(received.message).await?;
+            }
+            Event::Idle => return Ok(Next::Close),
+            Event::RetryPoll => self.answer_poll().await?,
+            Event::ProposalAgreed(AgreedProposal { number, version }) => {
+                self.proposals.on_agreed();
+                self.respond(Message::Proposed { number, version: Ok(version) }).await?;
+            }
+        }
+        Ok(Next::Continue)
+    }
+
+    async fn on_message(&mut self, message: Message) -> Result<(), FrameError> {
+        match message {
+            Message::Ask(poll) => {
+                self.unanswered_poll = Some(poll);
+                self.answer_poll().await
+            }
+            Message::Propose { number, changes } => self.on_proposal(number, changes).await,
+            Message::Look => self.respond(Message::Status(self.server.status())).await,
+            Message::Grant(_) | Message::Proposed { .. } | Message::Status(_) => {
+                let problem = "an answer, expected an ask, a proposal or a look";
+                Err(FrameError::Malformed(Malformed::Content(problem.into())))
+            }
+        }
+    }
+
+    /// Responds to the unanswered poll, if the core has a response. The lease counts from here on at the server, and from
+    /// the poll on at the client, which thus never holds it for longer.
+    async fn answer_poll(&mut self) -> Result<(), FrameError> {
+        let Some(poll) = &self.unanswered_poll else { return Ok(()) };
+        let response = lock(&self.server.core).on_poll(self.server.clock.now_ms(), poll);
+        self.server.wake.notify_one();
+        let Some(response) = response else { return Ok(()) };
+        let message = Message::Grant(response);
+        let frame_bytes = write_in_time(&mut self.writer, &message, &mut self.scratch).await?;
+        self.server.traffic.record_written(&message, frame_bytes, Some(poll));
+        self.unanswered_poll = None;
+        Ok(())
+    }
+
+    /// Accepts a proposal, which is answered once it is part of a version, or rejects it at once.
+    async fn on_proposal(&mut self, number: u64, changes: Vec<Change>) -> Result<(), FrameError> {
+        let reply = self.proposals.reply_for(number);
+        match self.server.accept_proposal(self.client, changes, reply) {
+            Ok(()) => {
+                self.proposals.on_accepted();
+                Ok(())
+            }
+            Err(rejected) => {
+                let version = Err(rejected.to_string());
+                self.respond(Message::Proposed { number, version }).await
+            }
+        }
+    }
+
+    async fn respond(&mut self, message: Message) -> Result<(), FrameError> {
+        let frame_bytes = write_in_time(&mut self.writer, &message, &mut self.scratch).await?;
+        self.server.traffic.record_written(&message, frame_bytes, None);
+        Ok(())
+    }
+}
+
+/// Writes a message within [`WRITE_TIMEOUT`], so that a client that does not read holds no connection.
+async fn write_in_time(
+    writer: &mut WriteHalf<'_>, message: &Message, scratch: &mut Vec<u8>,
+) -> Result<usize, FrameError> {
+    match timeout(WRITE_TIMEOUT, write_message(writer, message, scratch)).await {
+        Ok(written) => written,
+        Err(_) => Err(FrameError::Io(io::ErrorKind::TimedOut.into())),
+    }
+}
--- /dev/null
+++ b/control/src/server/replica.rs
@@ -0,0 +1,51 @@
+//! A replica: follows the primary, and answers gateways in its place.
+use super::ControlServer;
+use crate::clock::Clock;
+use crate::polling_client::PollingClient;
+use crate::server_selection::{seed_of, ServerSelection};
+use std::convert::Infallible;
+use std::net::SocketAddr;
+use std::sync::Arc;
+use std::time::Duration;
+use ternstack_peers::distributor::Distributor;
+use ternstack_peers::lease::Terms;
+use ternstack_peers::wire::Member;
+use tokio::net::TcpListener;
+use tokio::sync::Notify;
+
+impl ControlServer<Distributor> {
+    /// A replica that has no state yet, and so answers no poll.
+    pub fn replica(member: Member, lease: Terms) -> Arc<Self> {
+        let clock = Clock::start();
+        let name = member.name.clone();
+        Self::with_clock(&name, clock, Distributor::new(lease, member, clock.now_ms()))
+    }
+
+    /// Serves connections of `listener`, and follows the first of `upstreams` that grants it leases, for as long as the
+    /// future is polled.
+    pub async fn run(
+        self: Arc<Self>, listener: TcpListener, upstreams: Vec<SocketAddr>, lease: Terms,
+    ) -> Infallible {
+        // Polls of clients change the core hundreds of times a second: it is checked at an interval instead.
+        let never_notified = Notify::new();
+        let lease_timeout_ms = lease.answer_within_ms();
+        let polling = PollingClient {
+            name: &self.name,
+            core: &self.core,
+            clock: self.clock,
+            servers: &upstreams,
+            traffic: &self.traffic,
+            wake: &never_notified,
+            check_interval_ms: lease.ask_soon_ms() / 2.0,
+            connect_timeout: Duration::from_secs_f64(lease_timeout_ms / 2000.0),
+        };
+        let mut no_observer = ();
+        let ranking = (0..upstreams.len()).collect();
+        let selection = ServerSelection::new(ranking, lease_timeout_ms, seed_of(&self.name));
+        tokio::select! {
+            never = self.clone().accept_connections(listener) => never,
+            never = polling.run(selection, &mut no_observer) => never,
+            never = self.forget_tombstones() => never,
+        }
+    }
+}
--- /dev/null
+++ b/control/src/server/server_core.rs
@@ -0,0 +1,88 @@
+//! The replication state machines behind a server.
+use ternstack_peers::distributor::Distributor;
+use ternstack_peers::origin::{Origin, Proposer, Unfit};
+use ternstack_peers::scope::{Change, Number};
+use ternstack_peers::store::Store;
+use ternstack_peers::wire::{Ask, Grant};
+use thiserror::Error;
+
+/// Why a server rejects a proposal.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
+pub enum ProposalRejected {
+    /// The changes are not valid.
+    #[error("{0}")]
+    Invalid(Unfit),
+    /// The server is a replica: only the primary takes proposals.
+    #[error("a distributor takes no proposals, expected an origin")]
+    NotPrimary,
+}
+
+/// A state machine that responds to polls. Times are in ms of the server's clock.
+pub trait ServerCore: Send + 'static {
+    /// The response to a poll; `None` if there is none now: the client may find one at another server.
+    fn on_poll(&mut self, now_ms: f64, poll: &Ask) -> Option<Grant>;
+    /// The replicated state.
+    fn store(&self) -> &Store;
+    /// How many clients hold a lease that it has granted.
+    fn lease_count(&self, now_ms: f64) -> usize;
+    /// How long its own lease lasts yet, in ms; `None` if it needs none.
+    fn remaining_lease_ms(&self, now_ms: f64) -> Option<f64>;
+    /// Accepts a proposal and returns its number.
+    fn propose(&mut self, proposer: Proposer, changes: Vec<Change>) -> Result<u64, ProposalRejected>;
+    /// Drops the tombstones of entries that were removed before a version.
+    fn forget_removed(&mut self, before: Number);
+}
+
+impl ServerCore for Origin {
+    fn on_poll(&mut self, now_ms: f64, poll: &Ask) -> Option<Grant> {
+        // A single process is its own majority until there are voters.
+        self.confirmed(now_ms);
+        self.asked(now_ms, poll)
+    }
+
+    fn store(&self) -> &Store {
+        Origin::store(self)
+    }
+
+    fn lease_count(&self, now_ms: f64) -> usize {
+        self.grantor().holders(now_ms).count()
+    }
+
+    fn remaining_lease_ms(&self, _: f64) -> Option<f64> {
+        None
+    }
+
+    fn propose(&mut self, proposer: Proposer, changes: Vec<Change>) -> Result<u64, ProposalRejected> {
+        Origin::propose(self, proposer, changes).map_err(ProposalRejected::Invalid)
+    }
+
+    fn forget_removed(&mut self, before: Number) {
+        self.forget(before);
+    }
+}
+
+impl ServerCore for Distributor {
+    fn on_poll(&mut self, now_ms: f64, poll: &Ask) -> Option<Grant> {
+        self.asked(now_ms, poll)
+    }
+
+    fn store(&self) -> &Store {
+        Distributor::store(self)
+    }
+
+    fn lease_count(&self, now_ms: f64) -> usize {
+        self.grantor().holders(now_ms).count()
+    }
+
+    fn remaining_lease_ms(&self, now_ms: f64) -> Option<f64> {
+        Some((self.follower().lease_until() - now_ms).max(0.0))
+    }
+
+    fn propose(&mut self, _: Proposer, _: Vec<Change>) -> Result<u64, ProposalRejected> {
+        Err(ProposalRejected::NotPrimary)
+    }
+
+    fn forget_removed(&mut self, before: Number) {
+        Distributor::forget_removed(self, before);
+    }
+}
--- /dev/null
+++ b/control/src/server_connection.rs
@@ -0,0 +1,201 @@
+//! One connection of a [`PollingClient`]: sends polls when they are due, applies responses as they come, and meanwhile tries
+//! to reach a preferred server.
+use crate::frames::{write_message, FrameError, FrameReader, ReceivedMessage};
+use crate::polling_client::{connect, lock, DisconnectReason, PollingClient, PollingCore, PollingObserver};
+use crate::server_selection::{FailbackCandidate, ServerSelection};
+use std::future::{pending, Future};
+use std::pin::Pin;
+use ternstack_peers::wire::{Ask, Grant, Message};
+use tokio::net::tcp::{ReadHalf, WriteHalf};
+use tokio::net::TcpStream;
+use tokio::time::{sleep_until, timeout_at};
+use tracing::{debug, warn};
+
+/// How a connection ended.
+pub(crate) enum ConnectionEnd {
+    /// A preferred server of that rank has been connected.
+    Failback { rank: usize, stream: TcpStream },
+    /// The connection was lost or given up.
+    Disconnected(DisconnectReason),
+}
+
+/// A connection attempt to a preferred server.
+struct FailbackAttempt {
+    rank: usize,
+    connecting: Pin<Box<dyn Future<Output = Result<TcpStream, DisconnectReason>> + Send>>,
+}
+
+/// What a connection waits for.
+#[allow(
+    clippy::large_enum_variant,
+    reason = "one event at a time, handled at once; boxing would allocate for each message"
+)]
+enum Event {
+    Read(Result<Option<ReceivedMessage>, FrameError>),
+    FailbackConnected(Result<TcpStream, DisconnectReason>),
+    /// A deadline has passed, or the core has been changed.
+    Due,
+}
+
+/// The state of a connection to a server.
+pub(crate) struct ServerConnection<'a, C> {
+    client: &'a PollingClient<'a, C>,
+    reader: FrameReader<ReadHalf<'a>>,
+    writer: WriteHalf<'a>,
+    scratch: Vec<u8>,
+    last_poll: Option<Ask>,
+    received_bytes: u64,
+    failback: Option<FailbackAttempt>,
+}
+
+impl<'a, C: PollingCore> ServerConnection<'a, C> {
+    /// Uses a stream that has just been connected.
+    pub fn new(client: &'a PollingClient<'a, C>, stream: &'a mut TcpStream) -> Self {
+        let (reader, writer) = stream.split();
+        ServerConnection {
+            client,
+            reader: FrameReader::new(reader),
+            writer,
+            scratch: Vec::new(),
+            last_poll: None,
+            received_bytes: 0,
+            failback: None,
+        }
+    }
+
+    /// Polls over the connection until it ends.
+    pub async fn run(
+        mut self, selection: &mut ServerSelection, observer: &mut impl PollingObserver,
+    ) -> ConnectionEnd {
+        loop {
+            if let Err(reason) = self.advance(selection).await {
+                return ConnectionEnd::Disconnected(reason);
+            }
+            match self.next_event(selection).await {
+                Event::Read(read) => {
+                    if let Err(reason) = self.on_read(read, selection, observer) {
+                        return ConnectionEnd::Disconnected(reason);
+                    }
+                }
+                Event::FailbackConnected(connected) => {
+                    if let Some(end) = self.on_failback_connected(connected) {
+                        return end;
+                    }
+                }
+                Event::Due => {}
+            }
+        }
+    }
+
+    /// Does all that is due now.
+    async fn advance(&mut self, selection: &mut ServerSelection) -> Result<(), DisconnectReason> {
+        let now_ms = self.client.clock.now_ms();
+        if self.reader.received_bytes() > self.received_bytes {
+            self.received_bytes = self.reader.received_bytes();
+            selection.on_received(now_ms);
+        }
+        if now_ms >= selection.deadline_ms() {
+            return Err(DisconnectReason::NoLease);
+        }
+        if now_ms >= selection.next_failback_at_ms() {
+            let candidate = selection.next_failback_candidate(now_ms);
+            self.failback = candidate.map(|candidate| self.start_failback(candidate));
+        }
+        let poll = lock(self.client.core).poll(now_ms);
+        match poll {
+            Some(poll) => self.send_poll(poll, selection).await,
+            None => Ok(()),
+        }
+    }
+
+    fn start_failback(&self, candidate: FailbackCandidate) -> FailbackAttempt {
+        let address = self.client.servers.get(candidate.server).copied();
+        let connecting = Box::pin(connect(address, self.client.connect_timeout));
+        FailbackAttempt { rank: candidate.rank, connecting }
+    }
+
+    async fn send_poll(&mut self, poll: Ask, selection: &ServerSelection) -> Result<(), DisconnectReason> {
+        let message = Message::Ask(poll);
+        let deadline = self.client.clock.instant_at(selection.deadline_ms());
+        let writing = write_message(&mut self.writer, &message, &mut self.scratch);
+        let written = timeout_at(deadline, writing).await;
+        let frame_bytes = written.map_err(|_| DisconnectReason::WriteTimedOut)??;
+        self.client.traffic.record_written(&message, frame_bytes, None);
+        if let Message::Ask(poll) = message {
+            self.last_poll = Some(poll);
+        }
+        Ok(())
+    }
+
+    async fn next_event(&mut self, selection: &ServerSelection) -> Event {
+        let client = self.client;
+        let now_ms = client.clock.now_ms();
+        let next_poll_at_ms = lock(client.core).next_poll_at_ms(now_ms);
+        let next_check_at_ms = next_poll_at_ms.min(now_ms + client.check_interval_ms);
+        let due_at_ms = next_check_at_ms.min(selection.deadline_ms()).min(selection.next_failback_at_ms());
+        let failback_connected = async {
+            match &mut self.failback {
+                Some(attempt) => (&mut attempt.connecting).await,
+                None => pending().await,
+            }
+        };
+        tokio::select! {
+            read = self.reader.next() => Event::Read(read),
+            connected = failback_connected => Event::FailbackConnected(connected),
+            () = client.wake.notified() => Event::Due,
+            () = sleep_until(client.clock.instant_at(due_at_ms)) => Event::Due,
+        }
+    }
+
+    fn on_read(
+        &mut self, read: Result<Option<ReceivedMessage>, FrameError>, selection: &mut ServerSelection,
+        observer: &mut impl PollingObserver,
+    ) -> Result<(), DisconnectReason> {
+        let received = read.inspect_err(|error| {
+            if matches!(error, FrameError::Malformed(_)) {
+                warn!(name = self.client.name, "malformed frame from a control server: {error}");
+            }
+        })?;
+        let ReceivedMessage { message, frame_bytes } = received.ok_or(DisconnectReason::Closed)?;
+        if !matches!(message, Message::Grant(_)) {
+            return Err(DisconnectReason::UnexpectedMessage);
+        }
+        self.client.traffic.record_read(&message, frame_bytes, self.last_poll.as_ref());
+        if let Message::Grant(response) = message {
+            self.apply(response, selection, observer);
+        }
+        Ok(())
+    }
+
+    fn apply(&self, response: Grant, selection: &mut ServerSelection, observer: &mut impl PollingObserver) {
+        let now_ms = self.client.clock.now_ms();
+        let mut core = lock(self.client.core);
+        let expired_at_ms = core.lease_expires_at_ms();
+        let applied = core.on_response(now_ms, response);
+        let is_renewed = core.lease_expires_at_ms() > expired_at_ms;
+        drop(core);
+        match applied {
+            Ok(events) => {
+                if is_renewed {
+                    selection.on_lease_renewed(now_ms);
+                }
+                observer.on_applied(now_ms, events);
+            }
+            Err(error) => debug!(name = self.client.name, "poll response rejected: {error}"),
+        }
+    }
+
+    /// The end of the connection, if the preferred server has been connected.
+    fn on_failback_connected(
+        &mut self, connected: Result<TcpStream, DisconnectReason>,
+    ) -> Option<ConnectionEnd> {
+        let attempt = self.failback.take()?;
+        match connected {
+            Ok(stream) => Some(ConnectionEnd::Failback { rank: attempt.rank, stream }),
+            Err(reason) => {
+                debug!(name = self.client.name, %reason, "preferred control server not reachable");
+                None
+            }
+        }
+    }
+}
--- a/control/tests/common/mod.rs
+++ b/control/tests/common/mod.rs
@@ -6,8 +6,10 @@
 use std::net::{Ipv4Addr, SocketAddr, SocketAddrV4};
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
-use ternstack_control::follow::{Beside, Follow, Following, Machine, Told};
-use ternstack_control::serve;
+use ternstack_control::gateway_client::{
+    ClientEvent, GatewayClient, GatewayClientConfig, ScopePriority, ServerEndpoint, SnapshotConfig,
+};
+use ternstack_control::server::ControlServer;
 use ternstack_peers::distributor::Distributor;
 use ternstack_peers::lease::Terms;
 use ternstack_peers::origin::Origin;
@@ -53,7 +55,7 @@
 
 /// A machine that runs until it is killed.
 pub struct Running<C> {
-    pub machine: Arc<serve::Machine<C>>,
+    pub server: Arc<ControlServer<C>>,
     pub at: SocketAddr,
     pub task: JoinHandle<()>,
 }
@@ -74,18 +76,20 @@
 
 pub async fn origin(hosts: u64) -> Running<Origin> {
     let (listener, at) = listener().await;
-    let machine = serve::Machine::origin("o", terms(), store(hosts));
-    let run = machine.clone().run(listener);
-    Running { machine, at, task: tokio::spawn(async move { match run.await {} }) }
+    let server = ControlServer::primary("o", terms(), store(hosts));
+    let run = server.clone().run(listener);
+    Running { server, at, task: tokio::spawn(async move { match run.await {} }) }
 }
 
 pub async fn distributor(name: &str, grantor: SocketAddr) -> Running<Distributor> {
     let (listener, at) = listener().await;
-    let machine = serve::Machine::distributor(Member { name: name.into(), incarnation: 1 }, terms());
-    let run = machine.clone().run(listener, vec![grantor], terms());
-    let running = Running { machine, at, task: tokio::spawn(async move { match run.await {} }) };
+    let server = ControlServer::replica(Member { name: name.into(), incarnation: 1 }, terms());
+    let run = server.clone().run(listener, vec![grantor], terms());
+    let running = Running { server, at, task: tokio::spawn(async move { match run.await {} }) };
     let complete = || {
-        running.machine.with(|core, now| core.follower().is_complete() && core.follower().lease_until() > now)
+        running
+            .server
+            .with_core(|core, now| core.follower().is_complete() && core.follower().lease_until() > now)
     };
     let waited = timeout(LONG, async {
         while !complete() {
@@ -98,10 +102,10 @@
 
 /// A follower of the service.
 pub struct Gateway {
-    pub following: Arc<Following>,
-    pub told: mpsc::UnboundedReceiver<Told>,
+    pub client: Arc<GatewayClient>,
+    pub events: mpsc::UnboundedReceiver<ClientEvent>,
     /// All that was told so far.
-    pub all: Arc<Mutex<Vec<Told>>>,
+    pub all: Arc<Mutex<Vec<ClientEvent>>>,
     pub task: JoinHandle<()>,
 }
 
@@ -111,31 +115,31 @@
     }
 }
 
-pub fn machine(name: &str, address: SocketAddr, zone: &str) -> Machine {
-    Machine { name: name.into(), address, zone: zone.into(), region: "north".into() }
+pub fn endpoint(name: &str, address: SocketAddr, zone: &str) -> ServerEndpoint {
+    ServerEndpoint { name: name.into(), address, zone: zone.into(), region: "north".into() }
 }
 
-pub fn follow(name: &str, incarnation: u64, machines: Vec<Machine>) -> Follow {
-    Follow {
+pub fn client_config(name: &str, incarnation: u64, servers: Vec<ServerEndpoint>) -> GatewayClientConfig {
+    GatewayClientConfig {
         member: Member { name: name.into(), incarnation },
         zone: "a".into(),
         region: "north".into(),
-        machines,
-        terms: terms(),
-        beside: None,
-        wanted: vec![(SERVICE, 1.0)],
+        servers,
+        lease: terms(),
+        snapshot: None,
+        scopes: vec![ScopePriority { scope: SERVICE, priority: 1.0 }],
     }
 }
 
-pub fn beside(path: &std::path::Path) -> Option<Beside> {
-    Some(Beside { path: path.to_path_buf(), every: LONG, thread: true })
+pub fn snapshot_config(path: &std::path::Path) -> Option<SnapshotConfig> {
+    Some(SnapshotConfig { path: path.to_path_buf(), write_interval: LONG, on_blocking_thread: true })
 }
 
 impl Gateway {
-    pub fn start(follow: Follow) -> Self {
-        let following = Following::new(follow);
-        let (tell, told) = mpsc::unbounded_channel();
-        let (running, all) = (following.clone(), Arc::new(Mutex::new(Vec::new())));
+    pub fn start(config: GatewayClientConfig) -> Self {
+        let client = GatewayClient::new(config);
+        let (tell, events) = mpsc::unbounded_channel();
+        let (running, all) = (client.clone(), Arc::new(Mutex::new(Vec::new())));
         let heard = all.clone();
         let task = tokio::spawn(async move {
             let tell = move |_, what| {
@@ -144,32 +148,32 @@
             };
             match running.run(tell).await {}
         });
-        Gateway { following, told, all, task }
+        Gateway { client, events, all, task }
     }
 
     /// Waits until something holds here, looking at it after whatever is told.
-    pub async fn until(&mut self, what: &str, holds: impl Fn(&Following) -> bool) {
+    pub async fn until(&mut self, what: &str, holds: impl Fn(&GatewayClient) -> bool) {
         let waited = timeout(LONG, async {
-            while !holds(&self.following) {
-                self.told.recv().await.expect("it runs");
+            while !holds(&self.client) {
+                self.events.recv().await.expect("it runs");
             }
         });
-        waited.await.unwrap_or_else(|_| panic!("{what}: never at {}", self.following.name()));
+        waited.await.unwrap_or_else(|_| panic!("{what}: never at {}", self.client.name()));
     }
 
     /// Waits until it acts on a version, or a later one, by a lease.
     pub async fn acts_on(&mut self, number: Number) {
-        let acts = |f: &Following| f.in_force() >= number && f.is_leased();
+        let acts = |f: &GatewayClient| f.in_force() >= number && f.holds_lease();
         self.until(&format!("version {number}"), acts).await;
     }
 
     /// Waits until it has its service whole.
     pub async fn whole(&mut self) {
-        let whole = |f: &Following| f.with(|core, _| core.is_complete()) && f.is_leased();
+        let whole = |f: &GatewayClient| f.with_core(|core, _| core.is_complete()) && f.holds_lease();
         self.until("whole", whole).await;
     }
 }
 
-pub fn drains(following: &Following, n: u64) -> bool {
-    matches!(following.entry(SERVICE, Key(n)), Some(Entry::Host(host)) if host.drains)
+pub fn drains(client: &GatewayClient, n: u64) -> bool {
+    matches!(client.entry(SERVICE, Key(n)), Some(Entry::Host(host)) if host.drains)
 }
--- a/control/tests/faults.rs
+++ b/control/tests/faults.rs
@@ -3,8 +3,8 @@
 use common::*;
 use std::io::Write;
 use std::sync::{Arc, Mutex};
-use ternstack_control::frames::{write, Frames};
-use ternstack_control::staff;
+use ternstack_control::admin_client;
+use ternstack_control::frames::{write_message, FrameReader, ReceivedMessage};
 use ternstack_peers::scope::{Change, Entry, Key, Scope};
 use ternstack_peers::store::Keeps;
 use ternstack_peers::wire::{encode, Ask, Cursor, Interest, Member, Message, HEADER, LONGEST};
@@ -91,9 +91,9 @@
     let (log, _guard) = Log::start();
     let origin = origin(20).await;
     let distributor = distributor("d1", origin.at).await;
-    let mut gateway = Gateway::start(follow("g0", 1, vec![machine("d1", distributor.at, "a")]));
+    let mut gateway = Gateway::start(client_config("g0", 1, vec![endpoint("d1", distributor.at, "a")]));
     gateway.whole().await;
-    let (was, moves) = (origin.machine.status(), gateway.following.moves());
+    let (was, moves) = (origin.server.status(), gateway.client.connection_count());
     for at in [origin.at, distributor.at] {
         for (bytes, line) in malformed() {
             let before = log.lines(line);
@@ -108,14 +108,14 @@
             assert_eq!(log.lines(line), before + 1, "{line}");
         }
     }
-    let is = origin.machine.status();
+    let is = origin.server.status();
     assert_eq!((is.in_force, is.through, is.sum), (was.in_force, was.through, was.sum));
     assert_eq!(is.followers, 1);
     // Whoever was connected still is, and hears of what comes.
-    let number = staff::propose(origin.at, vec![host(3, true)], LONG).await.expect("it is taken");
+    let number = admin_client::propose(origin.at, vec![host(3, true)], LONG).await.expect("it is taken");
     gateway.acts_on(number).await;
-    assert!(drains(&gateway.following, 3));
-    assert_eq!(gateway.following.moves(), moves);
+    assert!(drains(&gateway.client, 3));
+    assert_eq!(gateway.client.connection_count(), moves);
 }
 
 #[tokio::test]
@@ -124,14 +124,17 @@
     let origin = origin(20).await;
     let (between, at) = listener().await;
     let (tell, told) = oneshot::channel();
-    let mut gateway = Gateway::start(follow("g0", 1, vec![machine("d1", at, "a")]));
+    let mut gateway = Gateway::start(client_config("g0", 1, vec![endpoint("d1", at, "a")]));
     // It answers the first ask of each connection with another piece of rubbish; from then on it is a link to the origin.
     let (to, all) = (origin.at, gateway.all.clone());
     let playing = tokio::spawn(async move {
         for (bytes, _) in malformed() {
             let (mut stream, _) = between.accept().await.expect("one comes");
             let (reader, mut writer) = stream.split();
-            assert!(matches!(Frames::new(reader).next().await, Ok(Some((Message::Ask(_), _)))));
+            assert!(matches!(
+                FrameReader::new(reader).next().await,
+                Ok(Some(ReceivedMessage { message: Message::Ask(_), .. }))
+            ));
             let _ = writer.write_all(&bytes).await;
         }
         let (mut stream, _) = between.accept().await.expect("one comes");
@@ -142,39 +145,39 @@
         let _ = copy_bidirectional(&mut stream, &mut link).await;
     });
     gateway.whole().await;
-    assert_eq!(gateway.following.moves(), 1 + malformed().len() as u64);
+    assert_eq!(gateway.client.connection_count(), 1 + malformed().len() as u64);
     for (_, line) in malformed().iter().filter(|(_, line)| !line.contains("a proposal or a look")) {
         assert!(log.lines(line) >= 1, "{line}");
     }
-    assert_eq!(log.lines("it sent something else than an answer"), 1);
+    assert_eq!(log.lines("the server sent a message that is not a poll response"), 1);
     assert_eq!(told.await.expect("it was told"), [], "not one of them told it anything");
-    assert_eq!(gateway.following.in_force(), 1);
-    let sum = gateway.following.with(|core, _| core.keeps().digest(SERVICE));
-    assert_eq!(sum, origin.machine.with(|core, _| core.store().digest(SERVICE)));
+    assert_eq!(gateway.client.in_force(), 1);
+    let sum = gateway.client.with_core(|core, _| core.keeps().digest(SERVICE));
+    assert_eq!(sum, origin.server.with_core(|core, _| core.store().digest(SERVICE)));
     playing.abort();
 }
 
 #[tokio::test]
 async fn whoever_asks_and_does_not_read_holds_nobody_up() {
     let origin = origin(2000).await;
-    let mut gateway = Gateway::start(follow("g0", 1, vec![machine("o", origin.at, "a")]));
+    let mut gateway = Gateway::start(client_config("g0", 1, vec![endpoint("o", origin.at, "a")]));
     gateway.whole().await;
     // Asks without end, of which it reads no answer: what it is owed fills its connection, and its asks wait there.
     let mut stream = TcpStream::connect(origin.at).await.expect("it listens");
     let flooding = tokio::spawn(async move {
         for number in 1.. {
             let message = ask(number, vec![(SERVICE, Cursor::default())]);
-            if write(&mut stream, &message, &mut Vec::new()).await.is_err() {
+            if write_message(&mut stream, &message, &mut Vec::new()).await.is_err() {
                 return;
             }
         }
     });
     for n in 0..3 {
-        let number = staff::propose(origin.at, vec![host(n, true)], LONG).await.expect("it is taken");
+        let number = admin_client::propose(origin.at, vec![host(n, true)], LONG).await.expect("it is taken");
         gateway.acts_on(number).await;
-        assert!(drains(&gateway.following, n));
+        assert!(drains(&gateway.client, n));
     }
-    assert_eq!(gateway.following.moves(), 1);
+    assert_eq!(gateway.client.connection_count(), 1);
     flooding.abort();
 }
 
@@ -183,28 +186,34 @@
     let origin = origin(1).await;
     let distributor = distributor("d1", origin.at).await;
     let wrong = Change { scope: Scope::Zones, key: Key(1), entry: Some(Entry::Quota(1)) };
-    let refused = staff::propose(origin.at, vec![wrong], LONG).await.expect_err("it does not fit");
+    let refused =
+        admin_client::propose(origin.at, vec![wrong], LONG).await.expect_err("it does not fit").to_string();
     assert!(refused.contains("may not stand in Zones"), "{refused}");
-    let refused = staff::propose(origin.at, vec![], LONG).await.expect_err("it is empty");
+    let refused = admin_client::propose(origin.at, vec![], LONG).await.expect_err("it is empty").to_string();
     assert!(refused.contains("changes nothing"), "{refused}");
-    let refused = staff::propose(distributor.at, vec![host(0, true)], LONG).await.expect_err("no origin");
+    let refused = admin_client::propose(distributor.at, vec![host(0, true)], LONG)
+        .await
+        .expect_err("no origin")
+        .to_string();
     assert!(refused.contains("expected an origin"), "{refused}");
     // Several on one connection, before any answer is read: each gets its own.
     let mut stream = TcpStream::connect(origin.at).await.expect("it listens");
     for number in 10..15 {
         let message = Message::Propose { number, changes: vec![host(0, true)] };
-        write(&mut stream, &message, &mut Vec::new()).await.expect("it reads");
+        write_message(&mut stream, &message, &mut Vec::new()).await.expect("it reads");
     }
-    let mut frames = Frames::new(&mut stream);
+    let mut frames = FrameReader::new(&mut stream);
     let mut answered = Vec::new();
     for _ in 0..5 {
         match timeout(LONG, frames.next()).await.expect("an answer") {
-            Ok(Some((Message::Proposed { number, version: Ok(_) }, _))) => answered.push(number),
+            Ok(Some(ReceivedMessage { message: Message::Proposed { number, version: Ok(_) }, .. })) => {
+                answered.push(number)
+            }
             other => panic!("{other:?}"),
         }
     }
     answered.sort_unstable();
     assert_eq!(answered, [10, 11, 12, 13, 14]);
-    let status = staff::status(distributor.at, LONG).await.expect("it answers");
+    let status = admin_client::status(distributor.at, LONG).await.expect("it answers");
     assert_eq!(status.name, "d1");
 }
--- a/control/tests/folder.rs
+++ b/control/tests/folder.rs
@@ -8,7 +8,7 @@
 use shim::{Control, Kind, ALWAYS};
 use std::path::Path;
 use std::sync::atomic::Ordering::Relaxed;
-use ternstack_control::beside::{read, save};
+use ternstack_control::snapshot_file::{read, write};
 use ternstack_peers::snapshot::Snapshot;
 
 fn snapshot(version: u64) -> Snapshot {
@@ -27,14 +27,14 @@
     std::env::set_var("TERNSTACK_FAULTS_FOLDER", folder.path());
     let control: &Control = Box::leak(Box::default());
     shim::follow(control);
-    save(&path, &snapshot(1)).expect("nothing fails yet");
+    write(&path, &snapshot(1)).expect("nothing fails yet");
     for (kind, words) in [
         (Kind::FileOpen, "Too many open files"),
         (Kind::FileWrite, "No space"),
         (Kind::FileSync, "Input/output"),
     ] {
         control.rates[kind as usize].store(ALWAYS, Relaxed);
-        let problem = save(&path, &snapshot(2)).expect_err("it cannot be written");
+        let problem = write(&path, &snapshot(2)).expect_err("it cannot be written").to_string();
         assert!(problem.contains(words), "{problem}");
         control.rates[kind as usize].store(0, Relaxed);
         assert!(control.injected[kind as usize].load(Relaxed) > 0);
@@ -46,10 +46,10 @@
         std::fs::write(folder.path().join("gateway.snapshot.new"), &whole[..length]).expect("written");
         assert_eq!(version(&path), Some(1), "killed after {length} bytes");
     }
-    save(&path, &snapshot(3)).expect("all is well again");
+    write(&path, &snapshot(3)).expect("all is well again");
     assert_eq!(version(&path), Some(3));
     // A read that fails says so, and takes nothing for a snapshot.
     control.rates[Kind::FileRead as usize].store(ALWAYS, Relaxed);
-    assert!(read(&path).expect_err("it cannot be read").contains("Input/output"));
+    assert!(read(&path).expect_err("it cannot be read").to_string().contains("Input/output"));
     control.rates[Kind::FileRead as usize].store(0, Relaxed);
 }
--- a/control/tests/frames.rs
+++ b/control/tests/frames.rs
@@ -1,5 +1,6 @@
 //! Frames on a stream: cut anywhere, joined anyhow, and none that is malformed gets through.
-use ternstack_control::frames::{write, Broken, Counter, Frames};
+use ternstack_control::frames::{write_message, FrameError, FrameReader};
+use ternstack_control::traffic::TrafficCounter;
 use ternstack_peers::scope::{Change, Digest, Entry, Key, Scope, Version};
 use ternstack_peers::wire::{
     Ask, Cursor, Grant, Interest, Malformed, Member, Message, Part, HEADER, LONGEST,
@@ -26,7 +27,7 @@
 
 async fn bytes(message: &Message) -> Vec<u8> {
     let (mut bytes, mut scratch) = (Vec::new(), Vec::new());
-    let n = write(&mut bytes, message, &mut scratch).await.expect("it fits");
+    let n = write_message(&mut bytes, message, &mut scratch).await.expect("it fits");
     assert_eq!(n, bytes.len());
     bytes
 }
@@ -42,12 +43,12 @@
         let (mut to, from) = duplex(chunk);
         let sent = all.clone();
         let writing = tokio::spawn(async move { to.write_all(&sent).await });
-        let mut frames = Frames::new(from);
+        let mut frames = FrameReader::new(from);
         for message in &messages {
-            assert_eq!(frames.next().await.expect("sound").expect("one more").0, *message);
+            assert_eq!(frames.next().await.expect("sound").expect("one more").message, *message);
         }
         assert!(frames.next().await.expect("a clean end").is_none());
-        assert_eq!(frames.received(), all.len() as u64);
+        assert_eq!(frames.received_bytes(), all.len() as u64);
         writing.await.expect("no panic").expect("written");
     }
 }
@@ -65,8 +66,8 @@
         (b"GET / HTTP/1.1\r\n\r\n", "expected 9 to 1048576"),
         (&[0, 0, 0, 9, 77], "format 77, expected 1"),
     ] {
-        let words = match Frames::new(given).next().await {
-            Err(broken) => broken.to_string(),
+        let words = match FrameReader::new(given).next().await {
+            Err(error) => error.to_string(),
             other => panic!("{told}: {other:?}"),
         };
         assert!(words.contains(told), "{words}");
@@ -81,14 +82,14 @@
     longest.push(1);
     longest.extend(crc32fast::hash(&content).to_be_bytes());
     longest.extend(content);
-    let mut frames = Frames::new(&longest[..]);
-    assert!(matches!(frames.next().await, Err(Broken::Malformed(Malformed::Content(_)))));
-    assert_eq!(frames.received(), LONGEST as u64);
+    let mut frames = FrameReader::new(&longest[..]);
+    assert!(matches!(frames.next().await, Err(FrameError::Malformed(Malformed::Content(_)))));
+    assert_eq!(frames.received_bytes(), LONGEST as u64);
 }
 
 #[tokio::test]
 async fn bytes_are_counted_by_cause_and_none_is_lost() {
-    let counter = Counter::default();
+    let counter = TrafficCounter::default();
     let change = Change { scope: Scope::Zones, key: Key(1), entry: Some(Entry::Zone(false)) };
     let version = Version { number: 4, changes: vec![change] };
     let (news, fetched) = (part(Scope::Hosts(1), 2), part(Scope::Hosts(2), 50));
@@ -113,7 +114,7 @@
         (Message::Look, None),
     ] {
         let n = bytes(&message).await.len();
-        counter.written(&message, n, asked);
+        counter.record_written(&message, n, asked);
         all += n as u64;
     }
     let counts = counter.counts();
--- a/control/tests/operator.rs
+++ b/control/tests/operator.rs
@@ -1,13 +1,14 @@
 //! The operators' file and the staff's: read whole, or told by line, key and what was expected.
-use ternstack_control::operator::{changes, Operator, Role};
+use ternstack_control::gateway_client::ScopePriority;
+use ternstack_control::operator_file::{parse_changes, OperatorFile, ServerRole};
 use ternstack_peers::lease::Terms;
 use ternstack_peers::scope::{Entry, Key, Scope};
 use ternstack_peers::version::Repeat;
 
 const EXAMPLE: &str = include_str!("../../deploy/operator.example.toml");
 
-fn example() -> Operator {
-    Operator::read("example", EXAMPLE).expect("the example is sound")
+fn example() -> OperatorFile {
+    OperatorFile::parse("example", EXAMPLE).expect("the example is sound")
 }
 
 /// The line of the example that has this text, from 1 on.
@@ -18,22 +19,23 @@
 #[test]
 fn the_example_is_read_and_has_the_defaults() {
     let operator = example();
-    assert_eq!(operator.terms, Terms::default());
+    assert_eq!(operator.lease, Terms::default());
     assert_eq!(
-        operator.control("origin-1", Role::Origin).map(|m| m.address),
+        operator.server("origin-1", ServerRole::Primary).map(|m| m.address),
         Ok("10.1.0.5:7411".parse().unwrap())
     );
-    let wrong = operator.control("origin-1", Role::Distributor).expect_err("it is none");
-    assert_eq!(wrong, "--name origin-1: expected one of north-1, south-1");
-    let follow = operator.follow().expect("it names a gateway");
-    assert_eq!((follow.member.name.as_str(), follow.region.as_str()), ("gateway-1", "north"));
-    let names: Vec<_> = follow.machines.iter().map(|m| (m.name.as_str(), m.region.as_str())).collect();
+    let wrong = operator.server("origin-1", ServerRole::Replica).expect_err("it is none");
+    assert_eq!(wrong.to_string(), "--name origin-1: expected one of north-1, south-1");
+    let config = operator.gateway_client_config().expect("it names a gateway");
+    assert_eq!((config.member.name.as_str(), config.region.as_str()), ("gateway-1", "north"));
+    let names: Vec<_> = config.servers.iter().map(|m| (m.name.as_str(), m.region.as_str())).collect();
     assert_eq!(names, [("north-1", "north"), ("south-1", "south")]);
-    assert_eq!(follow.wanted, [(Scope::Hosts(7), 1.0)]);
+    assert_eq!(config.scopes, [ScopePriority { scope: Scope::Hosts(7), priority: 1.0 }]);
     // Without distributors a gateway calls the origin.
     let small = EXAMPLE.replace("role = \"distributor\"", "role = \"origin\"");
-    let small = Operator::read("small", &small).expect("sound").follow().expect("a gateway");
-    assert_eq!(small.machines.len(), 3);
+    let small =
+        OperatorFile::parse("small", &small).expect("sound").gateway_client_config().expect("a gateway");
+    assert_eq!(small.servers.len(), 3);
 }
 
 #[test]
@@ -68,21 +70,22 @@
         let at = EXAMPLE.find(was).expect("it is there");
         let mut number = EXAMPLE[..at].matches('\n').count() + 1;
         number += usize::from(is.ends_with("port = 1"));
-        let problem = Operator::read("op.toml", &EXAMPLE.replacen(was, is, 1)).expect_err(is);
+        let problem =
+            OperatorFile::parse("op.toml", &EXAMPLE.replacen(was, is, 1)).expect_err(is).to_string();
         assert!(problem.starts_with(&format!("op.toml:{number}: ")), "{is}: {problem}");
         for told in told {
             assert!(problem.contains(told), "{is}: {problem}");
         }
     }
-    let problem = Operator::read("op.toml", "[[machine]]\nname = 1").expect_err("not text");
+    let problem = OperatorFile::parse("op.toml", "[[machine]]\nname = 1").expect_err("not text").to_string();
     assert!(
         problem.starts_with("op.toml:2: name: invalid type: integer `1`, expected a string"),
         "{problem}"
     );
-    let problem = Operator::read("op.toml", "[terms\n").expect_err("no toml");
+    let problem = OperatorFile::parse("op.toml", "[terms\n").expect_err("no toml").to_string();
     assert!(problem.starts_with("op.toml:1: "), "{problem}");
     let none = EXAMPLE.replace("role = \"origin\"", "role = \"distributor\"");
-    let problem = Operator::read("op.toml", &none).expect_err("no origin");
+    let problem = OperatorFile::parse("op.toml", &none).expect_err("no origin").to_string();
     assert!(problem.contains("machine: expected one with the role origin"), "{problem}");
     assert!(problem.starts_with(&format!("op.toml:{}: ", line("[[machine]]"))), "{problem}");
 }
@@ -125,7 +128,7 @@
 
 #[test]
 fn the_staffs_changes_become_entries() {
-    let changes = changes(&example(), "c.toml", CHANGES).expect("sound");
+    let changes = parse_changes(&example(), "c.toml", CHANGES).expect("sound");
     assert!(changes.iter().all(|c| c.entry.is_none_or(|entry| entry.fits(c.scope))));
     let entry =
         |scope, key| changes.iter().find(|c| c.scope == scope && c.key == key).expect("it is there").entry;
@@ -153,9 +156,10 @@
         ("class = 1\n", "\n", "c.toml:26: route.class: expected a class' number"),
         ("serves = false", "serve = false", "c.toml:17: unknown field `serve`"),
     ] {
-        let problem = changes(&example(), "c.toml", &CHANGES.replacen(was, is, 1)).expect_err(is);
+        let problem =
+            parse_changes(&example(), "c.toml", &CHANGES.replacen(was, is, 1)).expect_err(is).to_string();
         assert!(problem.starts_with(told), "{is}: {problem}");
     }
-    let problem = changes(&example(), "c.toml", "").expect_err("nothing");
+    let problem = parse_changes(&example(), "c.toml", "").expect_err("nothing").to_string();
     assert_eq!(problem, "c.toml:1: expected host, zone, quota, route or class at least once");
 }
--- a/control/tests/recorded_bytes.rs
+++ b/control/tests/recorded_bytes.rs
@@ -3,10 +3,11 @@
 use common::*;
 use std::net::{Ipv4Addr, SocketAddrV4};
 use std::time::Duration;
-use ternstack_control::beside::{read, save};
-use ternstack_control::follow::Following;
-use ternstack_control::frames::{write, Frames};
-use ternstack_control::{serve, staff};
+use ternstack_control::admin_client;
+use ternstack_control::frames::{write_message, FrameReader};
+use ternstack_control::gateway_client::GatewayClient;
+use ternstack_control::server::ControlServer;
+use ternstack_control::snapshot_file::{read, write};
 use ternstack_peers::follower::Follower;
 use ternstack_peers::lease::Terms;
 use ternstack_peers::scope::{Change, Digest, Entry, Host, Key, Route, Scope, Version};
@@ -131,13 +132,13 @@
 async fn frames_of_every_kind_have_the_recorded_bytes() {
     let mut all = Vec::new();
     for message in messages() {
-        write(&mut all, &message, &mut Vec::new()).await.expect("it fits");
+        write_message(&mut all, &message, &mut Vec::new()).await.expect("it fits");
     }
     fixtures::assert_same_bytes("control_frames.bin", &all);
     let recorded = fixtures::bytes("control_frames.bin");
-    let mut frames = Frames::new(&recorded[..]);
+    let mut frames = FrameReader::new(&recorded[..]);
     for message in messages() {
-        assert_eq!(frames.next().await.expect("sound").expect("one more").0, message);
+        assert_eq!(frames.next().await.expect("sound").expect("one more").message, message);
     }
     assert!(frames.next().await.expect("a clean end").is_none());
 }
@@ -157,16 +158,16 @@
 
 async fn encoded(message: &Message) -> Vec<u8> {
     let mut bytes = Vec::new();
-    write(&mut bytes, message, &mut Vec::new()).await.expect("it fits");
+    write_message(&mut bytes, message, &mut Vec::new()).await.expect("it fits");
     bytes
 }
 
 #[tokio::test]
 async fn a_gateways_polls_have_the_recorded_bytes() {
     let (server, at) = listener().await;
-    let mut settings = follow("gateway-1", 12345, vec![machine("d1", at, "a")]);
+    let mut settings = client_config("gateway-1", 12345, vec![endpoint("d1", at, "a")]);
     // Long enough that no poll is repeated here for want of an answer.
-    settings.terms = Terms { lease_ms: 8000.0, ..terms() };
+    settings.lease = Terms { lease_ms: 8000.0, ..terms() };
     let gateway = Gateway::start(settings);
     let (mut stream, _) = server.accept().await.expect("it calls");
     let mut all = frame(&mut stream).await;
@@ -194,8 +195,8 @@
 async fn a_servers_answers_have_the_recorded_bytes() {
     let (server, at) = listener().await;
     // No lease runs out here.
-    let terms = Terms { lease_ms: 600_000.0, ..terms() };
-    let run = serve::Machine::origin("o", terms, store(5)).run(server);
+    let lease = Terms { lease_ms: 600_000.0, ..terms() };
+    let run = ControlServer::primary("o", lease, store(5)).run(server);
     let serving = tokio::spawn(async move { match run.await {} });
     let mut stream = TcpStream::connect(at).await.expect("it listens");
     let member = Member { name: "gateway-1".into(), incarnation: 12345 };
@@ -247,19 +248,19 @@
         }
         all
     });
-    assert_eq!(staff::status(at, LONG).await.expect("a status"), status());
-    assert_eq!(staff::propose(at, changes(), LONG).await.expect("a version"), 15);
-    let refused = staff::propose(at, vec![], LONG).await.expect_err("it is refused");
+    assert_eq!(admin_client::status(at, LONG).await.expect("a status"), status());
+    assert_eq!(admin_client::propose(at, changes(), LONG).await.expect("a version"), 15);
+    let refused = admin_client::propose(at, vec![], LONG).await.expect_err("it is refused");
     assert_eq!(refused.to_string(), format!("{at}: refused: it changes nothing"));
-    let other = staff::status(at, LONG).await.expect_err("something else");
+    let other = admin_client::status(at, LONG).await.expect_err("something else");
     assert_eq!(other.to_string(), format!("{at}: expected a status"));
-    let other = staff::propose(at, changes(), LONG).await.expect_err("something else");
+    let other = admin_client::propose(at, changes(), LONG).await.expect_err("something else");
     assert_eq!(other.to_string(), format!("{at}: expected a version, or why there is none"));
     fixtures::assert_same_bytes("admin_calls.bin", &serving.await.expect("no panic"));
-    let gone = staff::status(at, LONG).await.expect_err("nobody listens");
+    let gone = admin_client::status(at, LONG).await.expect_err("nobody listens");
     assert!(gone.to_string().starts_with(&format!("{at}: Connection refused")), "{gone}");
     let (_silent, at) = listener().await;
-    let silent = staff::status(at, Duration::from_millis(50)).await.expect_err("nobody answers");
+    let silent = admin_client::status(at, Duration::from_millis(50)).await.expect_err("nobody answers");
     assert_eq!(silent.to_string(), format!("{at}: no answer within 0.05 s"));
 }
 
@@ -275,18 +276,18 @@
 fn a_snapshot_file_has_the_recorded_bytes_and_is_restored() {
     let folder = tempfile::tempdir().expect("a folder");
     let file = folder.path().join("gateway.snapshot");
-    save(&file, &snapshot()).expect("it is written");
+    write(&file, &snapshot()).expect("it is written");
     fixtures::assert_same_bytes("gateway.snapshot", &std::fs::read(&file).expect("it is there"));
     let names: Vec<_> = std::fs::read_dir(folder.path()).expect("a folder").collect();
     assert_eq!(names.len(), 1, "nothing else is left there");
 
     let recorded = fixtures::path("gateway.snapshot");
     assert_eq!(read(&recorded).expect("sound").expect("there"), snapshot());
-    let mut settings = follow("gateway-1", 2, vec![machine("d1", ([127, 0, 0, 1], 1).into(), "a")]);
-    settings.beside = beside(&recorded);
-    let restored = Following::new(settings);
+    let mut settings = client_config("gateway-1", 2, vec![endpoint("d1", ([127, 0, 0, 1], 1).into(), "a")]);
+    settings.snapshot = snapshot_config(&recorded);
+    let restored = GatewayClient::new(settings);
     assert_eq!(restored.in_force(), 12);
-    let (known, kept) = restored.with(|core, _| (core.known(), core.snapshot()));
+    let (known, kept) = restored.with_core(|core, _| (core.known(), core.snapshot()));
     // It acts on the tables, so it counts as known what they are of; later versions are sent again.
     let restored = Snapshot { known: 12, ..snapshot() };
     assert_eq!((known, kept), (12, restored.clone()));
@@ -324,7 +325,7 @@
     assert!(read(&file).expect("no file is no error").is_none());
     words.push(read(folder.path()).expect_err("a folder").to_string());
     let nowhere = folder.path().join("none/gateway.snapshot");
-    let failed = save(&nowhere, &snapshot()).expect_err("no folder").to_string();
+    let failed = write(&nowhere, &snapshot()).expect_err("no folder").to_string();
     words.push(failed.replace(&folder.path().display().to_string(), "FOLDER"));
     fixtures::assert_same_lines("snapshot_errors.txt", &words);
 }
--- a/control/tests/recorded_settings.rs
+++ b/control/tests/recorded_settings.rs
@@ -3,7 +3,8 @@
 mod common;
 use common::fixtures;
 use std::fmt::Debug;
-use ternstack_control::operator::{changes, Operator, Role};
+use ternstack_control::gateway_client::ScopePriority;
+use ternstack_control::operator_file::{parse_changes, OperatorFile, ServerRole};
 use ternstack_peers::scope::{Change, Entry, Scope};
 use ternstack_peers::version::Repeat;
 
@@ -12,8 +13,8 @@
     format!("{what} = {value:?}")
 }
 
-fn terms(operator: &Operator) -> Vec<String> {
-    let t = &operator.terms;
+fn terms(operator: &OperatorFile) -> Vec<String> {
+    let t = &operator.lease;
     [
         ("lease_ms", t.lease_ms),
         ("drift", t.drift),
@@ -28,33 +29,34 @@
 }
 
 /// All values of a file, without the names that the code has for them.
-fn values(operator: &Operator) -> Vec<String> {
+fn values(operator: &OperatorFile) -> Vec<String> {
     let mut all = terms(operator);
-    for m in &operator.machine {
+    for m in &operator.servers {
         let role = match m.role {
-            Role::Origin => "origin",
-            Role::Distributor => "distributor",
+            ServerRole::Primary => "origin",
+            ServerRole::Replica => "distributor",
         };
         all.push(line("machine", (&m.name, m.address.to_string(), role, &m.zone)));
     }
-    all.extend(operator.zone.iter().map(|z| line("zone", (&z.name, z.number, &z.region))));
-    all.extend(operator.service.iter().map(|s| line("service", (&s.name, s.number))));
+    all.extend(operator.zones.iter().map(|z| line("zone", (&z.name, z.number, &z.region))));
+    all.extend(operator.services.iter().map(|s| line("service", (&s.name, s.number))));
     let gateway = operator.gateway.as_ref();
     all.push(line("gateway", gateway.map(|g| (&g.name, &g.zone, &g.services))));
     all.push(line("snapshot", gateway.map(|g| (&g.snapshot, g.snapshot_every_s))));
-    all.push(line("origins", operator.origins()));
-    let Some(follow) = operator.follow() else { return all };
-    all.push(line("member", &follow.member.name));
-    all.push(line("place", (&follow.zone, &follow.region)));
-    for m in &follow.machines {
+    all.push(line("origins", operator.primary_addresses()));
+    let Some(config) = operator.gateway_client_config() else { return all };
+    all.push(line("member", &config.member.name));
+    all.push(line("place", (&config.zone, &config.region)));
+    for m in &config.servers {
         all.push(line("server", (&m.name, m.address.to_string(), &m.zone, &m.region)));
     }
-    all.push(line("same terms", follow.terms == operator.terms));
-    let snapshot = follow.beside.as_ref().map(|b| (&b.path, b.every.as_millis(), b.thread));
+    all.push(line("same terms", config.lease == operator.lease));
+    let snapshot =
+        config.snapshot.as_ref().map(|s| (&s.path, s.write_interval.as_millis(), s.on_blocking_thread));
     all.push(line("snapshot file", snapshot));
-    for (scope, heat) in &follow.wanted {
+    for ScopePriority { scope, priority } in &config.scopes {
         let Scope::Hosts(service) = scope else { panic!("{scope:?}") };
-        all.push(line("wanted", (service, heat.to_bits())));
+        all.push(line("wanted", (service, priority.to_bits())));
     }
     all
 }
@@ -63,9 +65,9 @@
 fn every_key_of_the_operators_file_is_read_to_the_recorded_value() {
     for name in ["operator_all_keys", "operator_defaults", "operator_without_gateway"] {
         let text = fixtures::text(&format!("{name}.toml"));
-        let operator = Operator::read(name, &text).expect(name);
+        let operator = OperatorFile::parse(name, &text).expect(name);
         fixtures::assert_same_lines(&format!("{name}.values.txt"), &values(&operator));
-        let read = Operator::from_file(&fixtures::path(&format!("{name}.toml"))).expect(name);
+        let read = OperatorFile::from_file(&fixtures::path(&format!("{name}.toml"))).expect(name);
         assert_eq!(read, operator);
     }
 }
@@ -99,14 +101,14 @@
     format!("{scope} / {:016x}: {entry}", change.key.0)
 }
 
-fn operator() -> Operator {
-    Operator::read("op.toml", &fixtures::text("operator_all_keys.toml")).expect("sound")
+fn operator() -> OperatorFile {
+    OperatorFile::parse("op.toml", &fixtures::text("operator_all_keys.toml")).expect("sound")
 }
 
 #[test]
 fn every_key_of_the_file_of_changes_is_read_to_the_recorded_value() {
     let text = fixtures::text("changes_all_keys.toml");
-    let read = changes(&operator(), "changes.toml", &text).expect("sound");
+    let read = parse_changes(&operator(), "changes.toml", &text).expect("sound");
     let lines: Vec<String> = read.iter().map(change).collect();
     fixtures::assert_same_lines("changes_all_keys.values.txt", &lines);
 }
@@ -129,16 +131,18 @@
 #[test]
 fn a_faulty_operators_file_is_told_in_the_recorded_words() {
     let text = fixtures::text("operator_all_keys.toml");
-    faults("operator_errors.txt", &text, |text| Operator::read("op.toml", text).err().map(|e| e.to_string()));
+    faults("operator_errors.txt", &text, |text| {
+        OperatorFile::parse("op.toml", text).err().map(|e| e.to_string())
+    });
     let text = fixtures::text("operator_without_gateway.toml");
     let whole = ["", "[[machine]]\nname = 1", "[terms\n", &text.replace("\"origin\"", "\"distributor\"")];
-    let words = whole.map(|text| Operator::read("op.toml", text).expect_err(text).to_string());
+    let words = whole.map(|text| OperatorFile::parse("op.toml", text).expect_err(text).to_string());
     fixtures::assert_same_lines("operator_whole_file_errors.txt", &words.map(|w| w.replace('\n', "\\n")));
     let operator = operator();
     let words = [
-        operator.control("north-1", Role::Origin).expect_err("another role").to_string(),
-        operator.control("nobody", Role::Distributor).expect_err("unknown").to_string(),
-        Operator::from_file("/nowhere/op.toml".as_ref()).expect_err("no file").to_string(),
+        operator.server("north-1", ServerRole::Primary).expect_err("another role").to_string(),
+        operator.server("nobody", ServerRole::Replica).expect_err("unknown").to_string(),
+        OperatorFile::from_file("/nowhere/op.toml".as_ref()).expect_err("no file").to_string(),
     ];
     fixtures::assert_same_lines("operator_lookup_errors.txt", &words);
 }
@@ -146,7 +150,7 @@
 #[test]
 fn a_faulty_file_of_changes_is_told_in_the_recorded_words() {
     let (operator, text) = (operator(), fixtures::text("changes_all_keys.toml"));
-    let problem = |text: &str| changes(&operator, "changes.toml", text).err().map(|e| e.to_string());
+    let problem = |text: &str| parse_changes(&operator, "changes.toml", text).err().map(|e| e.to_string());
     faults("changes_errors.txt", &text, problem);
     assert_eq!(
         problem("").expect("empty"),
--- a/gateway/src/control.rs
+++ b/gateway/src/control.rs
@@ -9,8 +9,8 @@
 use std::net::SocketAddr;
 use std::path::Path;
 use std::sync::{Arc, Mutex, PoisonError};
-use ternstack_control::follow::{Follow, Following, Told};
-use ternstack_control::operator::Operator;
+use ternstack_control::gateway_client::{ClientEvent, GatewayClient, GatewayClientConfig};
+use ternstack_control::operator_file::OperatorFile;
 use ternstack_peers::follower::{Acting, Follower, News as Agreed};
 use ternstack_peers::scope::{Entry, Host, Key, Scope};
 use ternstack_peers::store::Keeps;
@@ -24,22 +24,22 @@
 /// What the operators' file tells this gateway.
 #[derive(Clone, Debug)]
 pub struct Control {
-    follow: Follow,
+    client: GatewayClientConfig,
     zones: BTreeMap<u16, String>,
 }
 
 impl Control {
     /// Reads the operators' file. The error names it, the line, the key and what was expected.
     pub fn from_file(path: &Path) -> Result<Self, String> {
-        let operator = Operator::from_file(path)?;
+        let operator = OperatorFile::from_file(path).map_err(|e| e.to_string())?;
         let missing = || format!("{}: expected [gateway] with name, zone and services", path.display());
         Self::new(&operator).ok_or_else(missing)
     }
 
     /// What the file's `[gateway]` is told; `None` if it has none.
-    pub fn new(operator: &Operator) -> Option<Self> {
-        let zones = operator.zone.iter().map(|zone| (zone.number, zone.name.clone())).collect();
-        Some(Control { follow: operator.follow()?, zones })
+    pub fn new(operator: &OperatorFile) -> Option<Self> {
+        let zones = operator.zones.iter().map(|zone| (zone.number, zone.name.clone())).collect();
+        Some(Control { client: operator.gateway_client_config()?, zones })
     }
 }
 
@@ -62,25 +62,27 @@
 }
 
 impl Dirty {
-    fn hear(&mut self, told: Told) {
+    fn hear(&mut self, told: ClientEvent) {
         match told {
-            Told::News(Agreed::Changed(Scope::Hosts(_), key)) => {
+            ClientEvent::Follower(Agreed::Changed(Scope::Hosts(_), key)) => {
                 self.keys.insert(key);
                 // Guards against a set that grows while nobody takes it.
                 self.all |= self.keys.len() > ONE_BY_ONE;
             }
-            Told::News(Agreed::Changed(Scope::Zones, _) | Agreed::Whole(_) | Agreed::Behind(_)) => {
+            ClientEvent::Follower(
+                Agreed::Changed(Scope::Zones, _) | Agreed::Whole(_) | Agreed::Behind(_),
+            ) => {
                 self.all = true;
             }
-            Told::Leased => {
+            ClientEvent::LeaseAcquired => {
                 info!("control: leased");
                 self.all = true;
             }
-            Told::LeaseLost => {
+            ClientEvent::LeaseExpired => {
                 warn!("control: the lease has run out; nothing new arrives until there is one");
                 self.all = true;
             }
-            Told::News(_) => {}
+            ClientEvent::Follower(_) => {}
         }
         if self.all {
             self.keys.clear();
@@ -197,11 +199,11 @@
 /// Follows, and hands on what is agreed, until nobody listens. `known` is the warm copy as it was read; `asked` has the
 /// module's wishes to hear from discovery, which is not asked here.
 pub async fn follow(control: Control, known: EndpointList, mut asked: mpsc::Receiver<()>, queue: Queue) {
-    let Control { follow, zones } = control;
-    let services = follow.wanted.iter().map(|(scope, _)| *scope).collect();
+    let Control { client, zones } = control;
+    let services = client.scopes.iter().map(|wanted| wanted.scope).collect();
     let cells = known.targets.iter().map(|entry| (Key::of(&entry.uid), entry.pod_group)).collect();
     let mut view = View { services, zones, cells, told: BTreeMap::new(), complete: false, first: false };
-    let reading = tokio::task::spawn_blocking(move || Following::new(follow));
+    let reading = tokio::task::spawn_blocking(move || GatewayClient::new(client));
     let Ok(following) = reading.await else { return warn!("control: the snapshot could not be read") };
     let (dirty, changed) = (Mutex::new(Dirty { all: true, keys: BTreeSet::new() }), Notify::new());
     let tell = |_, told| {
@@ -219,7 +221,7 @@
 }
 
 async fn hand_on(
-    following: &Arc<Following>, view: &mut View, dirty: &Mutex<Dirty>, changed: &Notify, queue: &Queue,
+    following: &Arc<GatewayClient>, view: &mut View, dirty: &Mutex<Dirty>, changed: &Notify, queue: &Queue,
 ) {
     loop {
         let seen = std::mem::take(&mut *dirty.lock().unwrap_or_else(PoisonError::into_inner));
@@ -227,7 +229,7 @@
             changed.notified().await;
             continue;
         }
-        for list in following.with(|core, now| view.look(core, now, seen)) {
+        for list in following.with_core(|core, now| view.look(core, now, seen)) {
             debug!(rev = list.rev, all = list.all, entries = list.targets.len(), "agreed list");
             if queue.send(Input::Discovery(News::Listed(list))).await.is_err() {
                 return;
--- a/gateway/tests/control.rs
+++ b/gateway/tests/control.rs
@@ -8,11 +8,11 @@
 use std::path::Path;
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
+use ternstack_control::admin_client;
 use ternstack_control::clock::Clock;
-use ternstack_control::frames::{write, Frames};
-use ternstack_control::operator::{changes, Operator};
-use ternstack_control::serve::Machine;
-use ternstack_control::staff;
+use ternstack_control::frames::{write_message, FrameReader, ReceivedMessage};
+use ternstack_control::operator_file::{parse_changes, OperatorFile};
+use ternstack_control::server::ControlServer;
 use ternstack_gateway::control::Control;
 use ternstack_peers::grantor::Grantor;
 use ternstack_peers::scope::Version;
@@ -44,7 +44,7 @@
 /// An origin, and an operator who proposes there.
 struct Origin {
     at: SocketAddr,
-    operator: Operator,
+    operator: OperatorFile,
     task: JoinHandle<()>,
 }
 
@@ -52,8 +52,8 @@
     async fn start(snapshot: Option<&Path>) -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("a free port");
         let at = listener.local_addr().expect("an address");
-        let operator = Operator::read("op.toml", &operator(at, snapshot)).expect("it is sound");
-        let run = Machine::origin("o", operator.terms, Store::new()).run(listener);
+        let operator = OperatorFile::parse("op.toml", &operator(at, snapshot)).expect("it is sound");
+        let run = ControlServer::primary("o", operator.lease, Store::new()).run(listener);
         Origin { at, operator, task: tokio::spawn(async move { match run.await {} }) }
     }
 
@@ -63,10 +63,10 @@
 
     /// Proposes, and waits until that is in force.
     async fn propose(&self, text: &str) {
-        let changes = changes(&self.operator, "changes.toml", text).expect("they are sound");
-        let version = staff::propose(self.at, changes, LONG).await.expect("it is taken");
+        let changes = parse_changes(&self.operator, "changes.toml", text).expect("they are sound");
+        let version = admin_client::propose(self.at, changes, LONG).await.expect("it is taken");
         let waited = timeout(LONG, async {
-            while staff::status(self.at, LONG).await.expect("it answers").in_force < version {
+            while admin_client::status(self.at, LONG).await.expect("it answers").in_force < version {
                 sleep(Duration::from_millis(5)).await;
             }
         });
@@ -232,8 +232,8 @@
 
 impl Played {
     /// Brings a version into force at once.
-    fn agree(played: &Mutex<Played>, operator: &Operator, text: &str) {
-        let changes = changes(operator, "changes.toml", text).expect("they are sound");
+    fn agree(played: &Mutex<Played>, operator: &OperatorFile, text: &str) {
+        let changes = parse_changes(operator, "changes.toml", text).expect("they are sound");
         let mut played = played.lock().expect("no panic");
         let number = played.store.through() + 1;
         played.store.pending(Version { number, changes });
@@ -244,13 +244,13 @@
         let clock = Clock::start();
         while let Ok((mut stream, _)) = listener.accept().await {
             let (reader, mut writer) = stream.split();
-            let mut frames = Frames::new(reader);
-            while let Ok(Some((Message::Ask(ask), _))) = frames.next().await {
+            let mut frames = FrameReader::new(reader);
+            while let Ok(Some(ReceivedMessage { message: Message::Ask(ask), .. })) = frames.next().await {
                 let grant = {
                     let Played { store, grantor, leases } = &mut *played.lock().expect("no panic");
-                    grantor.asked(clock.now(), store, if *leases { 700.0 } else { 0.0 }, &ask)
+                    grantor.asked(clock.now_ms(), store, if *leases { 700.0 } else { 0.0 }, &ask)
                 };
-                if write(&mut writer, &Message::Grant(grant), &mut Vec::new()).await.is_err() {
+                if write_message(&mut writer, &Message::Grant(grant), &mut Vec::new()).await.is_err() {
                     break;
                 }
             }
@@ -263,8 +263,8 @@
     let (log, _guard) = Log::start();
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a free port");
     let at = listener.local_addr().expect("an address");
-    let operator = Operator::read("op.toml", &operator(at, None)).expect("it is sound");
-    let played = Played { store: Store::new(), grantor: Grantor::new(operator.terms, 0.0), leases: true };
+    let operator = OperatorFile::parse("op.toml", &operator(at, None)).expect("it is sound");
+    let played = Played { store: Store::new(), grantor: Grantor::new(operator.lease, 0.0), leases: true };
     let played = Arc::new(Mutex::new(played));
     let (mut one, mut two) = (Server::start(SERVED).await, Server::start(SERVED).await);
     let (mut three, mut four) = (Server::start(SERVED).await, Server::start(SERVED).await);
--- a/scale/src/fleet.rs
+++ b/scale/src/fleet.rs
@@ -10,7 +10,7 @@
 use std::path::PathBuf;
 use std::time::Duration;
 use tempfile::TempDir;
-use ternstack_control::beside::save;
+use ternstack_control::snapshot_file;
 use ternstack_peers::placing;
 use ternstack_peers::scope::{Digest, Key, Number, Scope};
 use ternstack_peers::snapshot::Snapshot;
@@ -290,7 +290,7 @@
 fn snapshot(world: &World, file: PathBuf) -> Result<PathBuf, String> {
     let mut tables = Tables::new();
     world.entries().for_each(|(scope, key, entry)| tables.set(scope, key, 1, Some(entry)));
-    save(&file, &Snapshot { known: 1, in_force: 1, tables })?;
+    snapshot_file::write(&file, &Snapshot { known: 1, in_force: 1, tables }).map_err(|e| e.to_string())?;
     Ok(file)
 }
 
--- a/scale/src/hollow.rs
+++ b/scale/src/hollow.rs
@@ -12,8 +12,10 @@
 use std::process::ExitCode;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
-use ternstack_control::follow::{Beside, Follow, Following, Machine, Told as Heard};
-use ternstack_control::serve;
+use ternstack_control::gateway_client::{
+    ClientEvent, GatewayClient, GatewayClientConfig, ScopePriority, ServerEndpoint, SnapshotConfig,
+};
+use ternstack_control::server::ControlServer;
 use ternstack_peers::distributor::Distributor;
 use ternstack_peers::follower::{Acting, News};
 use ternstack_peers::origin::Origin;
@@ -97,7 +99,7 @@
             store.in_force(1);
             let listener = bind(SocketAddr::from(([127, 0, 0, 1], 0))).await?;
             let at = local(&listener)?;
-            let machine = serve::Machine::<Origin>::origin("origin", common.terms, store);
+            let machine = ControlServer::<Origin>::primary("origin", common.terms, store);
             tokio::spawn(machine.run(listener));
             at
         }
@@ -105,7 +107,7 @@
             let listener = bind(*listen).await?;
             let at = local(&listener)?;
             let member = Member { name: name.clone(), incarnation: now_us() };
-            let machine = serve::Machine::<Distributor>::distributor(member, common.terms);
+            let machine = ControlServer::<Distributor>::replica(member, common.terms);
             tokio::spawn(machine.run(listener, vec![*origin], common.terms));
             at
         }
@@ -130,18 +132,20 @@
 impl Kept {
     /// Takes in what its drive tells, now. What it tells of one moment is of one moment here: who gets a lease and a later
     /// version with one answer never acts on the one before.
-    fn hear(&mut self, moment: f64, heard: Heard) {
+    fn hear(&mut self, moment: f64, heard: ClientEvent) {
         if self.last.0 != moment {
             self.last = (moment, now_us());
         }
         let at_us = self.last.1;
         match heard {
-            Heard::Leased => self.track.leased(at_us),
-            Heard::LeaseLost => self.track.lost(at_us),
-            Heard::News(News::InForce(number)) => self.track.in_force(at_us, number),
-            Heard::News(News::Whole(scope)) => drop(self.missing.remove(&scope)),
-            Heard::News(News::Behind(scope) | News::Anew(scope)) => drop(self.missing.insert(scope)),
-            Heard::News(_) => {}
+            ClientEvent::LeaseAcquired => self.track.leased(at_us),
+            ClientEvent::LeaseExpired => self.track.lost(at_us),
+            ClientEvent::Follower(News::InForce(number)) => self.track.in_force(at_us, number),
+            ClientEvent::Follower(News::Whole(scope)) => drop(self.missing.remove(&scope)),
+            ClientEvent::Follower(News::Behind(scope) | News::Anew(scope)) => {
+                self.missing.insert(scope);
+            }
+            ClientEvent::Follower(_) => {}
         }
         if self.missing.is_empty() && self.track.number() > 0 {
             self.track.whole(at_us);
@@ -151,7 +155,7 @@
 
 /// A life: the real program's end towards control, and what is kept of it.
 struct Life {
-    following: Arc<Following>,
+    client: Arc<GatewayClient>,
     kept: Arc<Mutex<Kept>>,
     task: tokio::task::JoinHandle<()>,
 }
@@ -215,40 +219,44 @@
         &self, seat: &Hollow, machines: &[MachineAt], beside: Option<(PathBuf, BTreeSet<Scope>)>,
     ) -> Option<Life> {
         let wanted = self.wanted(seat.number);
-        let (beside, missing) = match beside {
-            Some((path, missing)) => (Some(Beside { path, every: NEVER, thread: false }), missing),
+        let (snapshot, missing) = match beside {
+            Some((path, missing)) => {
+                let config = SnapshotConfig { path, write_interval: NEVER, on_blocking_thread: false };
+                (Some(config), missing)
+            }
             None => (None, wanted.iter().copied().chain([Scope::Zones, Scope::Fleet]).collect()),
         };
-        let machine = |at: &MachineAt| Machine {
+        let endpoint = |at: &MachineAt| ServerEndpoint {
             name: at.name.clone(),
             address: at.at,
             zone: at.zone.clone(),
             region: at.region.clone(),
         };
-        let following = Following::new(Follow {
+        let prioritized = |(n, scope): (usize, Scope)| ScopePriority { scope, priority: -(n as f64) };
+        let client = GatewayClient::new(GatewayClientConfig {
             member: Member { name: hollow(seat.number), incarnation: now_us() },
             zone: seat.zone.clone(),
             region: seat.region.clone(),
-            machines: machines.iter().map(machine).collect(),
-            terms: self.common.as_ref()?.terms,
-            beside,
-            wanted: wanted.into_iter().enumerate().map(|(n, scope)| (scope, -(n as f64))).collect(),
+            servers: machines.iter().map(endpoint).collect(),
+            lease: self.common.as_ref()?.terms,
+            snapshot,
+            scopes: wanted.into_iter().enumerate().map(prioritized).collect(),
         });
         let kept = Arc::new(Mutex::new(Kept {
             track: Track::begins(now_us()),
             missing,
             last: (f64::NEG_INFINITY, 0),
         }));
-        let (runs, heard) = (following.clone(), kept.clone());
+        let (runs, heard) = (client.clone(), kept.clone());
         let task = tokio::spawn(async move {
             runs.run(move |moment, told| lock(&heard).hear(moment, told)).await;
         });
-        Some(Life { following, kept, task })
+        Some(Life { client, kept, task })
     }
 
     /// Writes what a gateway would have kept; where, and what it lacks.
     fn keep(&self, seat: &Seat) -> Option<(PathBuf, BTreeSet<Scope>)> {
-        let snapshot = seat.life.following.with(|core, _| core.snapshot());
+        let snapshot = seat.life.client.with_core(|core, _| core.snapshot());
         let there: BTreeSet<Scope> = snapshot.tables.scopes().collect();
         let file = self.folder.join(hollow(seat.hollow.number));
         std::fs::write(&file, snapshot.encode().ok()?).ok()?;
@@ -285,7 +293,7 @@
             let mut kept = lock(&last.kept);
             kept.track.ends(now_us());
             seat.past.push(std::mem::take(&mut kept.track));
-            seat.spent = seat.spent.plus(&Traffic::of(&last.following.counts()));
+            seat.spent = seat.spent.plus(&Traffic::of(&last.client.counts()));
         }
         self.seats = seats;
     }
@@ -293,8 +301,8 @@
     fn report(&self, versions: &[(u64, u64)]) -> Report {
         let mut report = Report { least: u64::MAX, ..Report::default() };
         for seat in &self.seats {
-            let following = &seat.life.following;
-            let (whole, bytes) = following.with(|core, _| (core.is_complete(), core.keeps().bytes()));
+            let client = &seat.life.client;
+            let (whole, bytes) = client.with_core(|core, _| (core.is_complete(), core.keeps().bytes()));
             let kept = lock(&seat.life.kept);
             report.followers += 1;
             report.whole += u64::from(whole);
@@ -309,7 +317,7 @@
                 report.went_back += track.went_back();
                 report.reached.take(track, versions);
             }
-            let traffic = seat.spent.plus(&Traffic::of(&following.counts()));
+            let traffic = seat.spent.plus(&Traffic::of(&client.counts()));
             report.most_bytes = report.most_bytes.max(traffic.all_read().bytes as u64);
             report.traffic = report.traffic.plus(&traffic);
         }
@@ -319,7 +327,7 @@
     fn holdings(&self) -> Vec<(Scope, Digest, u64)> {
         let mut all: HashMap<(Scope, Digest), u64> = HashMap::new();
         for seat in &self.seats {
-            seat.life.following.with(|core, _| {
+            seat.life.client.with_core(|core, _| {
                 for (scope, _) in core.whole() {
                     *all.entry((scope, core.keeps().digest(scope))).or_insert(0) += 1;
                 }
@@ -332,12 +340,12 @@
     fn probe(&self, scope: Scope, key: Key) -> Told {
         let (mut asked, mut still) = (0, 0);
         for seat in &self.seats {
-            let following = &seat.life.following;
-            if following.acting(scope) == Acting::Unknown {
+            let client = &seat.life.client;
+            if client.acting(scope) == Acting::Unknown {
                 continue;
             }
             asked += 1;
-            let entry = following.entry(scope, key);
+            let entry = client.entry(scope, key);
             still += u64::from(matches!(entry, Some(Entry::Host(host)) if !host.drains));
         }
         Told::Probe { asked, still }
