--- a/control/src/commands/mod.rs
+++ b/control-plane/src/commands/mod.rs
@@ -3,9 +3,9 @@
 use std::net::SocketAddr;
 use std::process::ExitCode;
 use std::time::Duration;
-use ternstack_control::admin_client::AdminError;
-use ternstack_control::operator_file::{InvalidFile, OperatorFileError, UnknownServer};
-use ternstack_peers::scope::Number;
+use ternstack_control_plane::admin_client::AdminError;
+use ternstack_control_plane::operator_file::{InvalidFile, OperatorFileError, UnknownServer};
+use ternstack_replication::scope::Number;
 use thiserror::Error;
 
 mod propose;
--- a/control/src/commands/propose.rs
+++ b/control-plane/src/commands/propose.rs
@@ -3,9 +3,9 @@
 use crate::cli::ProposeArguments;
 use std::net::SocketAddr;
 use std::time::Duration;
-use ternstack_control::admin_client;
-use ternstack_control::operator_file::{parse_changes, OperatorFile};
-use ternstack_peers::scope::Number;
+use ternstack_control_plane::admin_client;
+use ternstack_control_plane::operator_file::{parse_changes, OperatorFile};
+use ternstack_replication::scope::Number;
 use tokio::time::{sleep, Instant};
 
 /// The interval at which the primary is asked whether a version is in force.
--- a/control/src/commands/status.rs
+++ b/control-plane/src/commands/status.rs
@@ -1,9 +1,9 @@
 //! `status`: prints the status of every control server, as a table or as JSON lines.
 use super::{time_limit, CommandError};
 use crate::cli::StatusArguments;
-use ternstack_control::admin_client;
-use ternstack_control::operator_file::OperatorFile;
-use ternstack_peers::wire::{Causes, Status};
+use ternstack_control_plane::admin_client;
+use ternstack_control_plane::operator_file::OperatorFile;
+use ternstack_replication::wire::{Causes, Status};
 use tracing::error;
 
 /// Requests the status of each server in turn.
--- a/control/src/frames.rs
+++ b/control-plane/src/frames.rs
@@ -1,7 +1,7 @@
-//! Reads and writes control messages, framed by [`wire`](ternstack_peers::wire), on byte streams with bounded buffers.
+//! Reads and writes control messages, framed by [`wire`](ternstack_replication::wire), on byte streams with bounded buffers.
 use bytes::{BufMut, BytesMut};
 use std::io;
-use ternstack_peers::wire::{decode, encode, Malformed, Message, LONGEST};
+use ternstack_replication::wire::{decode, encode, Malformed, Message, LONGEST};
 use thiserror::Error;
 use tokio::io::{AsyncRead, AsyncReadExt, AsyncWrite, AsyncWriteExt};
 
--- a/control/src/gateway_client/config.rs
+++ b/control-plane/src/gateway_client/config.rs
@@ -2,9 +2,9 @@
 use std::net::SocketAddr;
 use std::path::PathBuf;
 use std::time::Duration;
-use ternstack_peers::lease::Terms;
-use ternstack_peers::scope::Scope;
-use ternstack_peers::wire::Member;
+use ternstack_replication::lease::Terms;
+use ternstack_replication::scope::Scope;
+use ternstack_replication::wire::Member;
 
 /// A control server that a gateway may connect to.
 #[derive(Clone, Debug, PartialEq, Eq)]
--- a/control/src/gateway_client/events.rs
+++ b/control-plane/src/gateway_client/events.rs
@@ -1,5 +1,5 @@
 //! Events of a gateway's client, and the lease that two of them depend on.
-use ternstack_peers::follower::News;
+use ternstack_replication::follower::News;
 
 /// What has happened to a client.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
--- a/control/src/lib.rs
+++ b/control-plane/src/lib.rs
@@ -1,4 +1,4 @@
-//! The control plane on sockets: runs the state machines of [`ternstack_peers`] on tokio's current-thread runtime.
+//! The control plane on sockets: runs the state machines of [`ternstack_replication`] on tokio's current-thread runtime.
 //!
 //! - [`frames`] reads and writes messages; [`traffic`] counts them by cause.
 //! - [`server`] is a primary or a replica.
--- a/control/src/main.rs
+++ b/control-plane/src/main.rs
@@ -5,7 +5,7 @@
 use clap::Parser;
 use cli::{Cli, Command};
 use std::process::ExitCode;
-use ternstack_control::operator_file::ServerRole;
+use ternstack_control_plane::operator_file::ServerRole;
 
 mod cli;
 mod commands;
--- a/control/src/operator_file/changes.rs
+++ b/control-plane/src/operator_file/changes.rs
@@ -5,8 +5,8 @@
 use super::OperatorFile;
 use serde::Deserialize;
 use std::net::SocketAddrV4;
-use ternstack_peers::scope::{Change, Entry, Host, Key, Route, Scope};
-use ternstack_peers::version::Repeat;
+use ternstack_replication::scope::{Change, Entry, Host, Key, Route, Scope};
+use ternstack_replication::version::Repeat;
 
 /// The least weight of a host.
 const MIN_HOST_WEIGHT: f64 = 0.001;
--- a/control/src/operator_file/mod.rs
+++ b/control-plane/src/operator_file/mod.rs
@@ -7,9 +7,9 @@
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
-use ternstack_peers::lease::Terms;
-use ternstack_peers::scope::Scope;
-use ternstack_peers::wire::Member;
+use ternstack_replication::lease::Terms;
+use ternstack_replication::scope::Scope;
+use ternstack_replication::wire::Member;
 
 mod changes;
 mod error;
--- a/control/src/operator_file/validation.rs
+++ b/control-plane/src/operator_file/validation.rs
@@ -3,7 +3,7 @@
 use super::source_text::PathStep::{Index, Key};
 use super::source_text::SourceText;
 use super::{GatewaySection, OperatorFile, ServerRole};
-use ternstack_peers::lease::Terms;
+use ternstack_replication::lease::Terms;
 
 /// The values that a key of `[terms]` may have.
 struct Bounds {
--- a/control/src/server/proposals.rs
+++ b/control-plane/src/server/proposals.rs
@@ -2,8 +2,8 @@
 use std::collections::HashMap;
 use std::future::pending;
 use std::time::{SystemTime, UNIX_EPOCH};
-use ternstack_peers::origin::Proposer;
-use ternstack_peers::scope::Number;
+use ternstack_replication::origin::Proposer;
+use ternstack_replication::scope::Number;
 use tokio::sync::mpsc;
 
 /// Proposals of one connection that may be pending; further messages are read once some are agreed.
--- a/control/src/server/replica.rs
+++ b/control-plane/src/server/replica.rs
@@ -7,9 +7,9 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 use std::time::Duration;
-use ternstack_peers::distributor::Distributor;
-use ternstack_peers::lease::Terms;
-use ternstack_peers::wire::Member;
+use ternstack_replication::distributor::Distributor;
+use ternstack_replication::lease::Terms;
+use ternstack_replication::wire::Member;
 use tokio::net::TcpListener;
 use tokio::sync::Notify;
 
--- a/control/src/server/server_core.rs
+++ b/control-plane/src/server/server_core.rs
@@ -1,9 +1,9 @@
 //! The replication state machines behind a server.
-use ternstack_peers::distributor::Distributor;
-use ternstack_peers::origin::{Origin, Proposer, Unfit};
-use ternstack_peers::scope::{Change, Number};
-use ternstack_peers::store::Store;
-use ternstack_peers::wire::{Ask, Grant};
+use ternstack_replication::distributor::Distributor;
+use ternstack_replication::origin::{Origin, Proposer, Unfit};
+use ternstack_replication::scope::{Change, Number};
+use ternstack_replication::store::Store;
+use ternstack_replication::wire::{Ask, Grant};
 use thiserror::Error;
 
 /// Why a server rejects a proposal.
--- a/control/src/server_connection.rs
+++ b/control-plane/src/server_connection.rs
@@ -5,7 +5,7 @@
 use crate::server_selection::{FailbackCandidate, ServerSelection};
 use std::future::{pending, Future};
 use std::pin::Pin;
-use ternstack_peers::wire::{Ask, Grant, Message};
+use ternstack_replication::wire::{Ask, Grant, Message};
 use tokio::net::tcp::{ReadHalf, WriteHalf};
 use tokio::net::TcpStream;
 use tokio::time::{sleep_until, timeout_at};
--- a/control/src/server_selection.rs
+++ b/control-plane/src/server_selection.rs
@@ -5,7 +5,7 @@
 //! Once all have been tried without a lease, a server that at least responds is kept for longer, since in a partitioned
 //! region no other one has a lease to give. A client that is not connected to its preferred server tries better ones at
 //! random intervals, so that a server that recovers is not met by all of its clients at once.
-use ternstack_peers::scope::Key;
+use ternstack_replication::scope::Key;
 
 /// Failures in a row after which [`SUSTAINED_BACKOFF_MAX_MS`] applies.
 const FAST_RETRY_COUNT: u32 = 2;
--- a/control/src/snapshot_file.rs
+++ b/control-plane/src/snapshot_file.rs
@@ -1,9 +1,9 @@
 //! The snapshot file of a gateway: its replicated state at one revision, from which a restart resumes so that only later
-//! changes are sent. [`ternstack_peers::snapshot`] defines the bytes.
+//! changes are sent. [`ternstack_replication::snapshot`] defines the bytes.
 use std::fs::File;
 use std::io::{self, ErrorKind, Write};
 use std::path::{Path, PathBuf};
-use ternstack_peers::snapshot::{Snapshot, Unreadable};
+use ternstack_replication::snapshot::{Snapshot, Unreadable};
 use thiserror::Error;
 
 /// Why a snapshot file could not be read or written.
--- a/control/src/traffic.rs
+++ b/control-plane/src/traffic.rs
@@ -1,6 +1,6 @@
 //! Counts messages and bytes by cause, for any number of connections.
 use std::sync::atomic::{AtomicU64, Ordering::Relaxed};
-use ternstack_peers::wire::{Ask, Causes, Counts, Grant, Message, Tally};
+use ternstack_replication::wire::{Ask, Causes, Counts, Grant, Message, Tally};
 
 /// Counts messages read and written. Shared between tasks; may be read at any time.
 #[derive(Debug, Default)]
--- a/control/tests/choice.rs
+++ b/control-plane/tests/choice.rs
@@ -1,5 +1,5 @@
 //! Whom a member calls, and when it leaves.
-use ternstack_control::server_selection::{FailbackCandidate, ServerSelection};
+use ternstack_control_plane::server_selection::{FailbackCandidate, ServerSelection};
 
 const LEASE_TIMEOUT_MS: f64 = 950.0;
 
--- a/control/tests/common/mod.rs
+++ b/control-plane/tests/common/mod.rs
@@ -6,16 +6,16 @@
 use std::net::{Ipv4Addr, SocketAddr, SocketAddrV4};
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
-use ternstack_control::gateway_client::{
+use ternstack_control_plane::gateway_client::{
     ClientEvent, GatewayClient, GatewayClientConfig, ScopePriority, ServerEndpoint, SnapshotConfig,
 };
-use ternstack_control::server::ControlServer;
-use ternstack_peers::distributor::Distributor;
-use ternstack_peers::lease::Terms;
-use ternstack_peers::origin::Origin;
-use ternstack_peers::scope::{Change, Entry, Host, Key, Number, Scope, Version};
-use ternstack_peers::store::Store;
-use ternstack_peers::wire::Member;
+use ternstack_control_plane::server::ControlServer;
+use ternstack_replication::distributor::Distributor;
+use ternstack_replication::lease::Terms;
+use ternstack_replication::origin::Origin;
+use ternstack_replication::scope::{Change, Entry, Host, Key, Number, Scope, Version};
+use ternstack_replication::store::Store;
+use ternstack_replication::wire::Member;
 use tokio::net::TcpListener;
 use tokio::sync::mpsc;
 use tokio::task::JoinHandle;
--- a/control/tests/machines.rs
+++ b/control-plane/tests/machines.rs
@@ -1,14 +1,14 @@
 //! An origin, two distributors and followers on real sockets. No outcome here depends on how fast the machine is.
 mod common;
 use common::*;
-use ternstack_control::gateway_client::ClientEvent;
-use ternstack_peers::follower::News;
-use ternstack_peers::scope::{Change, Entry, Key, Number, Scope};
+use ternstack_control_plane::gateway_client::ClientEvent;
+use ternstack_replication::follower::News;
+use ternstack_replication::scope::{Change, Entry, Key, Number, Scope};
 use tokio::io::copy_bidirectional;
 use tokio::net::TcpStream;
 
 /// Waits until a proposal from within is agreed on: the number of its version follows the last one.
-fn propose(origin: &Running<ternstack_peers::origin::Origin>, changes: Vec<Change>) -> Number {
+fn propose(origin: &Running<ternstack_replication::origin::Origin>, changes: Vec<Change>) -> Number {
     let next = origin.server.with_core(|core, _| core.store().through()) + 1;
     origin.server.propose(changes).expect("it is sound");
     next
--- a/control/tests/recorded_bytes.rs
+++ b/control-plane/tests/recorded_bytes.rs
@@ -3,19 +3,19 @@
 use common::*;
 use std::net::{Ipv4Addr, SocketAddrV4};
 use std::time::Duration;
-use ternstack_control::admin_client;
-use ternstack_control::frames::{write_message, FrameReader};
-use ternstack_control::gateway_client::GatewayClient;
-use ternstack_control::server::ControlServer;
-use ternstack_control::snapshot_file::{read, write};
-use ternstack_peers::follower::Follower;
-use ternstack_peers::lease::Terms;
-use ternstack_peers::scope::{Change, Digest, Entry, Host, Key, Route, Scope, Version};
-use ternstack_peers::snapshot::Snapshot;
-use ternstack_peers::store::Keeps;
-use ternstack_peers::tables::Tables;
-use ternstack_peers::version::Repeat;
-use ternstack_peers::wire::{
+use ternstack_control_plane::admin_client;
+use ternstack_control_plane::frames::{write_message, FrameReader};
+use ternstack_control_plane::gateway_client::GatewayClient;
+use ternstack_control_plane::server::ControlServer;
+use ternstack_control_plane::snapshot_file::{read, write};
+use ternstack_replication::follower::Follower;
+use ternstack_replication::lease::Terms;
+use ternstack_replication::scope::{Change, Digest, Entry, Host, Key, Route, Scope, Version};
+use ternstack_replication::snapshot::Snapshot;
+use ternstack_replication::store::Keeps;
+use ternstack_replication::tables::Tables;
+use ternstack_replication::version::Repeat;
+use ternstack_replication::wire::{
     Ask, Causes, Counts, Cursor, Grant, Interest, Member, Message, Part, Status, Tally,
 };
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
--- a/gateway/src/control.rs
+++ b/gateway/src/control.rs
@@ -9,12 +9,12 @@
 use std::net::SocketAddr;
 use std::path::Path;
 use std::sync::{Arc, Mutex, PoisonError};
-use ternstack_control::gateway_client::{ClientEvent, GatewayClient, GatewayClientConfig};
-use ternstack_control::operator_file::OperatorFile;
-use ternstack_peers::follower::{Acting, Follower, News as Agreed};
-use ternstack_peers::scope::{Entry, Host, Key, Scope};
-use ternstack_peers::store::Keeps;
-use ternstack_peers::tables::Tables;
+use ternstack_control_plane::gateway_client::{ClientEvent, GatewayClient, GatewayClientConfig};
+use ternstack_control_plane::operator_file::OperatorFile;
+use ternstack_replication::follower::{Acting, Follower, News as Agreed};
+use ternstack_replication::scope::{Entry, Host, Key, Scope};
+use ternstack_replication::store::Keeps;
+use ternstack_replication::tables::Tables;
 use tokio::sync::{mpsc, Notify};
 use tracing::{debug, info, warn};
 
