--- /dev/null
+++ b/gateway/src/control/pending_changes.rs
@@ -0,0 +1,50 @@
+//! Which endpoints have to be published again.
+use std::collections::BTreeSet;
+use ternstack_control_plane::gateway_client::ClientEvent;
+use ternstack_replication::follower::News;
+use ternstack_replication::scope::{Key, Scope};
+
+/// Changed keys that are tracked one by one; with more, all keys are published again, which bounds the memory.
+const MAX_TRACKED_KEY_COUNT: usize = 256;
+
+/// The keys whose endpoints may have changed since they were published.
+#[derive(Debug)]
+pub(super) enum PendingChanges {
+    /// These keys.
+    Keys(BTreeSet<Key>),
+    /// All keys.
+    All,
+}
+
+impl Default for PendingChanges {
+    /// Nothing has changed.
+    fn default() -> Self {
+        PendingChanges::Keys(BTreeSet::new())
+    }
+}
+
+impl PendingChanges {
+    /// Adds what an event changes.
+    pub fn record(&mut self, event: ClientEvent) {
+        match event {
+            ClientEvent::Follower(News::Changed(Scope::Hosts(_), key)) => self.add_key(key),
+            ClientEvent::Follower(News::Changed(Scope::Zones, _) | News::Whole(_) | News::Behind(_))
+            | ClientEvent::LeaseAcquired
+            | ClientEvent::LeaseExpired => *self = PendingChanges::All,
+            ClientEvent::Follower(_) => {}
+        }
+    }
+
+    /// Whether nothing has changed.
+    pub fn is_empty(&self) -> bool {
+        matches!(self, PendingChanges::Keys(keys) if keys.is_empty())
+    }
+
+    fn add_key(&mut self, key: Key) {
+        let PendingChanges::Keys(keys) = self else { return };
+        keys.insert(key);
+        if keys.len() > MAX_TRACKED_KEY_COUNT {
+            *self = PendingChanges::All;
+        }
+    }
+}
--- a/gateway/src/program/mod.rs
+++ b/gateway/src/program/mod.rs
@@ -4,7 +4,7 @@
 mod reload;
 
 use crate::config::{Config, ConfigError};
-use crate::control::Control;
+use crate::control::ControlConfig;
 use crate::sockets::{is_local, socket};
 use crate::ServeError;
 use rustix::io::Errno;
@@ -83,7 +83,7 @@
 struct Setup {
     signals: Signals,
     config: Config,
-    control: Option<Control>,
+    control: Option<ControlConfig>,
 }
 
 impl Setup {
@@ -93,7 +93,7 @@
         let config = retry_at_start(Config::from_env, may_become_readable)?;
         let control = match operator_file(std::env::args_os().skip(1))? {
             Some(path) => {
-                let control = Control::from_file(&path);
+                let control = ControlConfig::from_file(&path);
                 Some(control.map_err(|e| ProgramError::OperatorFile(e.to_string()))?)
             }
             None => None,
@@ -178,7 +178,7 @@
     Ok(std::env::var_os("LB_OPERATOR").map(PathBuf::from))
 }
 
-async fn serve(config: Config, control: Option<Control>, signals: Signals) -> Result<(), ProgramError> {
+async fn serve(config: Config, control: Option<ControlConfig>, signals: Signals) -> Result<(), ProgramError> {
     let Signals { mut terminate, mut interrupt, hangup } = signals;
     let (discovery, discovery_now) = watch::channel(config.discovery);
     let address = config.listen;
--- a/gateway/src/serve.rs
+++ b/gateway/src/serve.rs
@@ -1,6 +1,6 @@
 //! A gateway's tasks: how they are started, and how they end in a graceful shutdown.
 use crate::config::Config;
-use crate::control::{self, Control};
+use crate::control::{self, ControlConfig};
 use crate::descriptors::Descriptors;
 use crate::discovery::{self, FollowConfig};
 use crate::endpoint_list::EndpointList;
@@ -66,7 +66,7 @@
 /// # Errors
 /// As [`serve`].
 pub async fn serve_with_control(
-    config: Config, control: Option<Control>, listener: TcpListener, discovery: DiscoveryAddress,
+    config: Config, control: Option<ControlConfig>, listener: TcpListener, discovery: DiscoveryAddress,
     stop: impl Future<Output = ()>,
 ) -> Result<(), ServeError> {
     let mut gateway = Gateway::start(config, control, listener, discovery)?;
@@ -92,7 +92,7 @@
 
 impl Gateway {
     fn start(
-        config: Config, control: Option<Control>, listener: TcpListener, discovery: DiscoveryAddress,
+        config: Config, control: Option<ControlConfig>, listener: TcpListener, discovery: DiscoveryAddress,
     ) -> Result<Self, ServeError> {
         let Config { name, seed, sockets, known, site, .. } = config;
         let address = listener.local_addr().map_err(ServeError::Listener)?;
@@ -113,7 +113,7 @@
         let deadlines_ms = site.balancer.classes.iter().map(|class| class.deadline_ms);
         let longest_deadline = Duration::from_secs_f64(deadlines_ms.fold(0.0, f64::max) / 1000.0);
         let list_source = ListSource::new(control, discovery, &site, &known);
-        let cached_list = if list_source.is_control() { control::renamed(known) } else { known };
+        let cached_list = if list_source.is_control() { control::with_replicated_uids(known) } else { known };
         let (revision, endpoints) = (cached_list.revision, cached_list.endpoints.len());
         let dependencies =
             Dependencies { upstream, watch_requests, violations: violations.clone(), lag: lag.clone() };
@@ -177,7 +177,7 @@
 enum ListSource {
     /// From the control servers.
     Control {
-        control: Box<Control>,
+        control: Box<ControlConfig>,
         /// The cached list as it was configured.
         cached_list: EndpointList,
     },
@@ -187,7 +187,7 @@
 
 impl ListSource {
     fn new(
-        control: Option<Control>, address: DiscoveryAddress, site: &Site, cached_list: &EndpointList,
+        control: Option<ControlConfig>, address: DiscoveryAddress, site: &Site, cached_list: &EndpointList,
     ) -> Self {
         if let Some(control) = control {
             return ListSource::Control { control: Box::new(control), cached_list: cached_list.clone() };
--- a/gateway/tests/common/mod.rs
+++ b/gateway/tests/common/mod.rs
@@ -6,7 +6,7 @@
 use std::sync::mpsc as threads;
 use std::time::Duration;
 use ternstack_gateway::config::Config;
-use ternstack_gateway::control::Control;
+use ternstack_gateway::control::ControlConfig;
 use ternstack_gateway::http1::{CompleteMessage, Reader, RequestLine, StartLine, StatusLine, MAX_BODY_BYTES};
 use ternstack_gateway::ServeError;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
@@ -276,7 +276,7 @@
     }
 
     /// The same, with what an operators' file tells it.
-    pub async fn start_with_control(config: &Value, control: Option<Control>) -> Self {
+    pub async fn start_with_control(config: &Value, control: Option<ControlConfig>) -> Self {
         let config = Config::read(&config.to_string(), |_| None).expect("a sound configuration");
         let listener = TcpListener::bind(config.listen).await.expect("a free port");
         let at = listener.local_addr().expect("an address");
--- a/gateway/tests/control.rs
+++ b/gateway/tests/control.rs
@@ -13,7 +13,7 @@
 use ternstack_control_plane::frames::{write_message, FrameReader, ReceivedMessage};
 use ternstack_control_plane::operator_file::{parse_changes, OperatorFile};
 use ternstack_control_plane::server::ControlServer;
-use ternstack_gateway::control::Control;
+use ternstack_gateway::control::ControlConfig;
 use ternstack_replication::grantor::Grantor;
 use ternstack_replication::scope::Version;
 use ternstack_replication::store::Store;
@@ -57,8 +57,8 @@
         Origin { at, operator, task: tokio::spawn(async move { match run.await {} }) }
     }
 
-    fn control(&self) -> Option<Control> {
-        Control::new(&self.operator)
+    fn control(&self) -> Option<ControlConfig> {
+        ControlConfig::new(&self.operator)
     }
 
     /// Proposes, and waits until that is in force.
@@ -211,7 +211,7 @@
     waited.await.expect("the snapshot is written");
     let control = origin.control();
     origin.kill().await;
-    log.until("the lease has run out").await;
+    log.until("control-plane lease expired").await;
     ask_often(&gateway, "apart").await;
     assert!(!one.so_far().0.is_empty());
     assert_eq!(two.so_far(), (vec![], 0), "what drains still drains");
@@ -272,12 +272,12 @@
     Played::agree(&played, &operator, &(first + &host(4, four.at, "draining", "a")));
     let serving = tokio::spawn(Played::serve(played.clone(), listener));
     let config = config_of(vec![], nobody().await);
-    let gateway = Gateway::start_with_control(&config, Control::new(&operator)).await;
+    let gateway = Gateway::start_with_control(&config, ControlConfig::new(&operator)).await;
     until_seen(&gateway, &mut one).await;
     until_seen(&gateway, &mut two).await;
 
     played.lock().expect("no panic").leases = false;
-    log.until("the lease has run out").await;
+    log.until("control-plane lease expired").await;
     let second = host(2, two.at, "draining", "a") + &host(3, three.at, "serving", "a");
     Played::agree(&played, &operator, &(second + &host(4, four.at, "serving", "a")));
     let_go(&mut two).await;
