--- a/gateway/src/discovery/connection.rs
+++ b/gateway/src/discovery/connection.rs
@@ -1,7 +1,7 @@
 //! The connection to discovery, and the descriptor that is reserved for it.
 use super::WatchError;
 use crate::http1::{CompleteMessage, Reader, StatusLine};
-use crate::sockets::{self, has_no_route, is_local, opened, socket};
+use crate::sockets::{self, has_no_route, is_local, socket, with_nodelay};
 use std::io;
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -15,14 +15,14 @@
 /// The connection to discovery. It always holds one descriptor, for the connection that is up or the next one: clients
 /// that take all descriptors while discovery is down would otherwise keep its return from being noticed.
 pub(super) struct DiscoveryConnection {
-    dial_timeout: Duration,
+    connect_timeout: Duration,
     stream: Option<TcpStream>,
     reserved: Option<TcpSocket>,
 }
 
 impl DiscoveryConnection {
-    pub(super) fn new(dial_timeout: Duration) -> Self {
-        DiscoveryConnection { dial_timeout, stream: None, reserved: None }
+    pub(super) fn new(connect_timeout: Duration) -> Self {
+        DiscoveryConnection { connect_timeout, stream: None, reserved: None }
     }
 
     /// Closes the connection and reserves its descriptor. No other task runs in between and could take it.
@@ -36,7 +36,7 @@
     pub(super) async fn dial(&mut self, address: SocketAddr, deadline: Instant) -> Result<(), WatchError> {
         loop {
             self.reserve(address);
-            match self.connect(address, deadline.min(Instant::now() + self.dial_timeout)).await {
+            match self.connect(address, deadline.min(Instant::now() + self.connect_timeout)).await {
                 Ok(stream) => {
                     self.stream = Some(stream);
                     return Ok(());
@@ -61,7 +61,7 @@
             Some(reserved) => reserved,
             None => socket(address)?,
         };
-        opened(timeout_at(deadline, socket.connect(address)).await?)
+        with_nodelay(timeout_at(deadline, socket.connect(address)).await?)
     }
 
     /// Sends a request and receives the response.
--- a/gateway/src/event_loop/mod.rs
+++ b/gateway/src/event_loop/mod.rs
@@ -51,7 +51,7 @@
     balancer: Balancer,
     classes: Vec<RequestClass>,
     max_attempts: usize,
-    max_open: usize,
+    max_open_requests: usize,
     max_retry_after_ms: f64,
     violations: Violations,
     lag: LoopLag,
@@ -75,23 +75,23 @@
     /// # Errors
     /// Fails on settings that the balancer cannot work with.
     pub fn new(
-        site: Deployment, seed: u64, cached_list: EndpointList, dependencies: Dependencies,
+        deployment: Deployment, seed: u64, cached_list: EndpointList, dependencies: Dependencies,
     ) -> Result<Self, SettingsError> {
         let Dependencies { upstream, watch_requests, violations, lag } = dependencies;
         let clock = Clock::start();
         // A load report is of no use once it is older than the shortest latency objective.
-        let objectives_ms = site.balancer.classes.iter().map(|class| class.latency_objective_ms);
+        let objectives_ms = deployment.balancer.classes.iter().map(|class| class.latency_objective_ms);
         let health_check_timeout_s = (objectives_ms.fold(f64::INFINITY, f64::min) / 1000.0)
             .clamp(MIN_HEALTH_CHECK_TIMEOUT_S, MAX_HEALTH_CHECK_TIMEOUT_S);
         let mut event_loop = EventLoop {
-            max_attempts: site.balancer.max_attempts as usize,
-            max_open: site.max_open_requests,
-            classes: site.balancer.classes.clone(),
+            max_attempts: deployment.balancer.max_attempts as usize,
+            max_open_requests: deployment.max_open_requests,
+            classes: deployment.balancer.classes.clone(),
             violations,
             lag,
-            max_retry_after_ms: site.balancer.max_retry_after_ms,
-            endpoints: Endpoints::new(site.names),
-            balancer: Balancer::new(site.balancer, seed)?,
+            max_retry_after_ms: deployment.balancer.max_retry_after_ms,
+            endpoints: Endpoints::new(deployment.names),
+            balancer: Balancer::new(deployment.balancer, seed)?,
             now_ms: clock.now(),
             clock,
             requests: OpenRequests::default(),
@@ -202,7 +202,7 @@
 
     fn on_request(&mut self, request: Request) {
         let Request { id, class, tenant, deadline, raw, respond_to } = request;
-        if self.requests.unanswered_count() >= self.max_open {
+        if self.requests.unanswered_count() >= self.max_open_requests {
             // The receiver is gone if the client's connection has just ended.
             let _ = respond_to.send(Response::Rejected { retry_after_ms: self.max_retry_after_ms });
             return;
--- a/gateway/tests/same_bytes.rs
+++ b/gateway/tests/same_bytes.rs
@@ -437,24 +437,24 @@
     "settings": {"classes": [{"name": "a", "deadline_ms": 1000.0}], "limits": {"dial_timeout_ms": 1.0, "max_open": 1}}}"#;
 
 fn config_lines(config: &Config) -> Vec<String> {
-    let balancer = &config.site.balancer;
+    let balancer = &config.deployment.balancer;
     let mut lines = vec![
         format!("name={} listen={} discovery={}", config.name, config.listen, config.discovery),
-        format!("seed={:016x} sockets={} log={}", config.seed, config.sockets, config.log),
-        format!("rev={} all={}", config.known.revision, config.known.is_complete),
+        format!("seed={:016x} sockets={} log={}", config.seed, config.max_sockets, config.log_level),
+        format!("rev={} all={}", config.cached_list.revision, config.cached_list.is_complete),
         format!(
             "max_open={} dial_timeout={:016x}",
-            config.site.max_open_requests,
-            config.site.connect_timeout_ms.to_bits()
+            config.deployment.max_open_requests,
+            config.deployment.connect_timeout_ms.to_bits()
         ),
         format!("classes={} tenants={}", balancer.classes.len(), balancer.tenants.len()),
     ];
-    let names = &mut config.site.names.clone();
+    let names = &mut config.deployment.names.clone();
     let classes = ["look", "book", "a", "other"].map(|name| names.class_index(name));
     let tenants = ["acme", "zeta", "other"].map(|name| names.tenant_index(name));
     let zones = ["a", "b", "c", "new", ""].map(|name| names.zone_number(name));
     lines.push(format!("classes={classes:?} tenants={tenants:?} zones={zones:?}"));
-    for entry in &config.known.endpoints {
+    for entry in &config.cached_list.endpoints {
         lines.push(format!(
             "uid={} endpoint={:?} az={} pod_group={} state={} capacity_hint={:016x} boot_ms={:016x}",
             entry.uid,
