--- a/gateway/src/control/endpoint_view.rs
+++ b/gateway/src/control/endpoint_view.rs
@@ -5,7 +5,7 @@
 use std::net::SocketAddr;
 use ternstack_replication::follower::{Follower, ScopeMode};
 use ternstack_replication::scope::{Entry, Host, Key, Scope};
-use ternstack_replication::store::Storage;
+use ternstack_replication::storage::Storage;
 use ternstack_replication::tables::Tables;
 
 /// Set in the cell of a host that is not in the cached list, so that it is none of that list's cells.
