--- a/gateway/tests/control.rs
+++ b/gateway/tests/control.rs
@@ -8,12 +8,12 @@
 use std::path::Path;
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
+use ternstack_control_plane::admin_client;
 use ternstack_control_plane::clock::Clock;
-use ternstack_control_plane::frames::{write, Frames};
-use ternstack_control_plane::operator::{changes, Operator};
-use ternstack_control_plane::serve::Machine;
-use ternstack_control_plane::staff;
-use ternstack_gateway::control::Control;
+use ternstack_control_plane::frames::{write_message, FrameReader, ReceivedMessage};
+use ternstack_control_plane::operator_file::{parse_changes, OperatorFile};
+use ternstack_control_plane::server::ControlServer;
+use ternstack_gateway::control::ControlConfig;
 use ternstack_replication::lessor::Lessor;
 use ternstack_replication::scope::ChangeSet;
 use ternstack_replication::store::Store;
@@ -42,31 +42,31 @@
 }
 
 /// An origin, and an operator who proposes there.
-struct Origin {
+struct Primary {
     at: SocketAddr,
-    operator: Operator,
+    operator: OperatorFile,
     task: JoinHandle<()>,
 }
 
-impl Origin {
+impl Primary {
     async fn start(snapshot: Option<&Path>) -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("a free port");
         let at = listener.local_addr().expect("an address");
-        let operator = Operator::read("op.toml", &operator(at, snapshot)).expect("it is sound");
-        let run = Machine::origin("o", operator.terms, Store::new()).run(listener);
-        Origin { at, operator, task: tokio::spawn(async move { match run.await {} }) }
+        let operator = OperatorFile::parse("op.toml", &operator(at, snapshot)).expect("it is sound");
+        let run = ControlServer::primary("o", operator.lease, Store::new()).run(listener);
+        Primary { at, operator, task: tokio::spawn(async move { match run.await {} }) }
     }
 
-    fn control(&self) -> Option<Control> {
-        Control::new(&self.operator)
+    fn control(&self) -> Option<ControlConfig> {
+        ControlConfig::new(&self.operator)
     }
 
     /// Proposes, and waits until that is in force.
     async fn propose(&self, text: &str) {
-        let changes = changes(&self.operator, "changes.toml", text).expect("they are sound");
-        let version = staff::propose(self.at, changes, LONG).await.expect("it is taken");
+        let changes = parse_changes(&self.operator, "changes.toml", text).expect("they are sound");
+        let version = admin_client::propose(self.at, changes, LONG).await.expect("it is taken");
         let waited = timeout(LONG, async {
-            while staff::status(self.at, LONG).await.expect("it answers").in_force < version {
+            while admin_client::status(self.at, LONG).await.expect("it answers").in_force < version {
                 sleep(Duration::from_millis(5)).await;
             }
         });
@@ -151,7 +151,7 @@
 
 #[tokio::test]
 async fn drains_arrivals_removals_and_a_lost_zone_reach_the_requests() {
-    let origin = Origin::start(None).await;
+    let origin = Primary::start(None).await;
     let (mut one, mut two) = (Server::start(SERVED).await, Server::start(SERVED).await);
     let (mut three, mut four) = (Server::start(SERVED).await, Server::start(SERVED).await);
     origin.propose(&(host(1, one.at, "serving", "a") + &host(2, two.at, "serving", "a"))).await;
@@ -196,7 +196,7 @@
     let (log, _guard) = Log::start();
     let dir = tempfile::tempdir().expect("a directory");
     let path = dir.path().join("g.snapshot");
-    let origin = Origin::start(Some(&path)).await;
+    let origin = Primary::start(Some(&path)).await;
     let (mut one, mut two) = (Server::start(SERVED).await, Server::start(SERVED).await);
     let serving = host(1, one.at, "serving", "a");
     origin.propose(&(serving + &host(2, two.at, "draining", "a"))).await;
@@ -211,7 +211,7 @@
     waited.await.expect("the snapshot is written");
     let control = origin.control();
     origin.kill().await;
-    log.until("the lease has run out").await;
+    log.until("control-plane lease expired").await;
     ask_often(&gateway, "apart").await;
     assert!(!one.so_far().0.is_empty());
     assert_eq!(two.so_far(), (vec![], 0), "what drains still drains");
@@ -232,8 +232,8 @@
 
 impl Played {
     /// Brings a version into force at once.
-    fn agree(played: &Mutex<Played>, operator: &Operator, text: &str) {
-        let changes = changes(operator, "changes.toml", text).expect("they are sound");
+    fn agree(played: &Mutex<Played>, operator: &OperatorFile, text: &str) {
+        let changes = parse_changes(operator, "changes.toml", text).expect("they are sound");
         let mut played = played.lock().expect("no panic");
         let number = played.store.through() + 1;
         played.store.add_pending(ChangeSet { revision: number, changes });
@@ -244,13 +244,15 @@
         let clock = Clock::start();
         while let Ok((mut stream, _)) = listener.accept().await {
             let (reader, mut writer) = stream.split();
-            let mut frames = Frames::new(reader);
-            while let Ok(Some((Message::PollRequest(ask), _))) = frames.next().await {
+            let mut frames = FrameReader::new(reader);
+            while let Ok(Some(ReceivedMessage { message: Message::PollRequest(ask), .. })) =
+                frames.next().await
+            {
                 let grant = {
                     let Played { store, grantor, leases } = &mut *played.lock().expect("no panic");
-                    grantor.handle_poll(clock.now(), store, if *leases { 700.0 } else { 0.0 }, &ask)
+                    grantor.handle_poll(clock.now_ms(), store, if *leases { 700.0 } else { 0.0 }, &ask)
                 };
-                if write(&mut writer, &Message::PollResponse(grant), &mut Vec::new()).await.is_err() {
+                if write_message(&mut writer, &Message::PollResponse(grant), &mut Vec::new()).await.is_err() {
                     break;
                 }
             }
@@ -263,8 +265,8 @@
     let (log, _guard) = Log::start();
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a free port");
     let at = listener.local_addr().expect("an address");
-    let operator = Operator::read("op.toml", &operator(at, None)).expect("it is sound");
-    let played = Played { store: Store::new(), grantor: Lessor::new(operator.terms, 0.0), leases: true };
+    let operator = OperatorFile::parse("op.toml", &operator(at, None)).expect("it is sound");
+    let played = Played { store: Store::new(), grantor: Lessor::new(operator.lease, 0.0), leases: true };
     let played = Arc::new(Mutex::new(played));
     let (mut one, mut two) = (Server::start(SERVED).await, Server::start(SERVED).await);
     let (mut three, mut four) = (Server::start(SERVED).await, Server::start(SERVED).await);
@@ -272,12 +274,12 @@
     Played::agree(&played, &operator, &(first + &host(4, four.at, "draining", "a")));
     let serving = tokio::spawn(Played::serve(played.clone(), listener));
     let config = config_of(vec![], nobody().await);
-    let gateway = Gateway::start_with_control(&config, Control::new(&operator)).await;
+    let gateway = Gateway::start_with_control(&config, ControlConfig::new(&operator)).await;
     until_seen(&gateway, &mut one).await;
     until_seen(&gateway, &mut two).await;
 
     played.lock().expect("no panic").leases = false;
-    log.until("the lease has run out").await;
+    log.until("control-plane lease expired").await;
     let second = host(2, two.at, "draining", "a") + &host(3, three.at, "serving", "a");
     Played::agree(&played, &operator, &(second + &host(4, four.at, "serving", "a")));
     let_go(&mut two).await;
--- a/scale-tests/src/fleet.rs
+++ b/scale-tests/src/fleet.rs
@@ -10,7 +10,7 @@
 use std::path::PathBuf;
 use std::time::Duration;
 use tempfile::TempDir;
-use ternstack_control_plane::beside::save;
+use ternstack_control_plane::snapshot_file;
 use ternstack_fault_tests::links::{Faults, Link};
 use ternstack_fault_tests::process::Launch;
 use ternstack_replication::placement;
@@ -293,7 +293,7 @@
 fn snapshot(world: &World, file: PathBuf) -> Result<PathBuf, String> {
     let mut tables = Tables::new();
     world.entries().for_each(|(scope, key, entry)| tables.set(scope, key, 1, Some(entry)));
-    save(&file, &Snapshot { known: 1, in_force: 1, tables })?;
+    snapshot_file::write(&file, &Snapshot { known: 1, in_force: 1, tables }).map_err(|e| e.to_string())?;
     Ok(file)
 }
 
