--- a/balancer/src/slow_start.rs
+++ b/balancer/src/slow_start.rs
@@ -1,18 +1,31 @@
 //! Slow start: how much an endpoint gets whose process has just started.
 //!
 //! Rule: an endpoint's capacity grows linearly from the deployment's minimum ratio to 1 over the slow start
-//! time. Meanwhile all gateways' sends together stay within a part of what it can do at that moment. Only
-//! some gateways, next to the endpoint on a ring that all know, share it; the others send it nothing until
-//! it is warm. The mean number of gateways that use an endpoint would not do as a divisor: it grows when a
-//! whole zone restarts.
+//! time. Meanwhile this gateway sends it at most, in requests a second,
+//!
+//! ```text
+//! allowed = (by_age + min(reported, by_age)) * slow_start_share_ratio
+//!           * min(OVERLOAD_MARGIN_RATIO * overload_multiple, 1)
+//! ```
+//!
+//! where `by_age` is the mean capacity of the fleet's endpoints (without load reports: the mean rate that
+//! they are sent), times the endpoint's listed size relative to the mean, times its warm-up ratio; and
+//! `reported` is the capacity that its own load reports show, 0 before the first report. The reported
+//! capacity is added because an endpoint that reports has shown that it carries that rate; it at most
+//! doubles what the age alone allows.
+//!
+//! Only some gateways, next to the endpoint on a ring that all know, share it; the others send it nothing
+//! until it is warm. The mean number of gateways that use an endpoint would not do as a divisor: it grows
+//! when a whole zone restarts.
 
 use crate::endpoint::Endpoint;
 use crate::endpoint_set::EndpointSet;
 use crate::settings::Settings;
 use crate::traffic_share::{GATEWAYS_PER_ENDPOINT_COUNT, MIN_SUBSET_COUNT};
 
-/// Slow start uses this part of the multiple of its capacity at which an endpoint fails: the rest is left
-/// for a slower kind of endpoint, handshakes and chance.
+/// The allowed rate is scaled by this fraction of `overload_multiple`, the multiple of its capacity at
+/// which an endpoint fails, and by 1 at most. The rest of the multiple is a margin for slower endpoints,
+/// connection handshakes and random variation.
 const OVERLOAD_MARGIN_RATIO: f64 = 0.25;
 
 /// Gateways that share an endpoint in slow start, as a multiple of those that share a warm one.
@@ -25,8 +38,8 @@
 /// Multiplier that spreads ring distances (Fibonacci hashing).
 const RING_MULTIPLIER: u64 = 0x9e37_79b9_7f4a_7c15;
 
-/// Lower bound of an endpoint's budget, in requests a second: the send interval must stay finite.
-const MIN_BUDGET_PER_S: f64 = 1e-3;
+/// Lower bound of the allowed rate, in requests a second: the send interval must stay finite.
+const MIN_ALLOWED_PER_S: f64 = 1e-3;
 
 /// The rule's settings.
 #[derive(Debug)]
@@ -55,7 +68,7 @@
         self.duration_ms
     }
 
-    /// The part of its capacity that an endpoint can be trusted with, by its age.
+    /// The fraction of its capacity that an endpoint can be trusted with, by its age.
     pub fn warm_up_ratio(&self, now_ms: f64, endpoint: &Endpoint) -> f64 {
         let since_ms = endpoint.slow_start_since_ms.filter(|since_ms| *since_ms > 0.0);
         let age_ms = since_ms.map_or(f64::INFINITY, |since_ms| (now_ms - since_ms).max(0.0));
@@ -68,9 +81,11 @@
         self.warm_up_ratio(now_ms, endpoint) < 1.0
     }
 
-    /// This gateway's part of what an endpoint in slow start gets, 0 where it is left to others; `None` for a
-    /// warm endpoint. Worked out from numbers that all gateways know.
-    pub fn share_ratio(&self, now_ms: f64, endpoint: &Endpoint, eligible_count: usize) -> Option<f64> {
+    /// This gateway's share of the rate that an endpoint in slow start is allowed, 0 where it is left to
+    /// others; `None` for a warm endpoint. Worked out from numbers that all gateways know.
+    pub fn slow_start_share_ratio(
+        &self, now_ms: f64, endpoint: &Endpoint, eligible_count: usize,
+    ) -> Option<f64> {
         if !self.is_warming_up(now_ms, endpoint) {
             return None;
         }
@@ -90,16 +105,18 @@
 
     /// Whether an endpoint in slow start is left to other gateways.
     pub fn is_left_to_others(&self, now_ms: f64, endpoint: &Endpoint, eligible_count: usize) -> bool {
-        self.share_ratio(now_ms, endpoint, eligible_count) == Some(0.0)
+        self.slow_start_share_ratio(now_ms, endpoint, eligible_count) == Some(0.0)
     }
 
-    /// The time between this gateway's sends to an endpoint, in ms; 0 for a warm endpoint.
+    /// The time between this gateway's sends to an endpoint, in ms: the inverse of the allowed rate (see
+    /// the module's formula), and at most the duration of slow start; 0 for a warm endpoint.
     ///
-    /// `endpoint_share_ratio` is the part of an endpoint's requests that one of its gateways sends it.
+    /// `endpoint_share_ratio` is the fraction of an endpoint's requests that one of its gateways sends it.
     pub fn send_interval_ms(
         &self, now_ms: f64, endpoint: &Endpoint, endpoints: &EndpointSet, endpoint_share_ratio: f64,
     ) -> f64 {
-        let Some(share_ratio) = self.share_ratio(now_ms, endpoint, endpoints.eligible_count()) else {
+        let Some(own_share_ratio) = self.slow_start_share_ratio(now_ms, endpoint, endpoints.eligible_count())
+        else {
             return 0.0;
         };
         // Without load reports, the mean rate that endpoints are sent stands in for their capacity.
@@ -112,13 +129,13 @@
             * listed_size_ratio(endpoint, endpoints)
             * self.warm_up_ratio(now_ms, endpoint);
         let reported_per_s = endpoint.load.capacity_per_s.unwrap_or(0.0).min(by_age_per_s);
-        let own_budget_per_s = (by_age_per_s + reported_per_s) * share_ratio;
-        let budget_per_s = own_budget_per_s * (OVERLOAD_MARGIN_RATIO * self.overload_multiple).min(1.0);
-        (1000.0 / budget_per_s.max(MIN_BUDGET_PER_S)).min(self.duration_ms)
+        let share_per_s = (by_age_per_s + reported_per_s) * own_share_ratio;
+        let allowed_per_s = share_per_s * (OVERLOAD_MARGIN_RATIO * self.overload_multiple).min(1.0);
+        (1000.0 / allowed_per_s.max(MIN_ALLOWED_PER_S)).min(self.duration_ms)
     }
 }
 
-/// An endpoint's listed size as a part of the mean; 1 where none is listed.
+/// An endpoint's listed size relative to the mean; 1 where none is listed.
 fn listed_size_ratio(endpoint: &Endpoint, endpoints: &EndpointSet) -> f64 {
     let listed_size = |endpoint: &Endpoint| {
         let size = endpoint.load.idle_weight.max(endpoint.record.weight);
--- a/balancer/src/subset.rs
+++ b/balancer/src/subset.rs
@@ -114,8 +114,9 @@
     let subset = endpoints.subset().get(side);
     let is_shared = |id: &EndpointId| {
         let endpoint = endpoints.get(*id);
-        let share_ratio = endpoint
-            .and_then(|endpoint| slow_start.share_ratio(now_ms, endpoint, endpoints.eligible_count()));
+        let share_ratio = endpoint.and_then(|endpoint| {
+            slow_start.slow_start_share_ratio(now_ms, endpoint, endpoints.eligible_count())
+        });
         share_ratio.is_some_and(|share_ratio| share_ratio > 0.0)
     };
     let eligible = endpoints.eligible().get(side).iter();
