--- a/balancer/src/attempt_outcome.rs
+++ b/balancer/src/attempt_outcome.rs
@@ -1,15 +1,16 @@
 //! What an attempt's end says about its endpoint.
 //!
-//! Rule: an attempt has stalled if it got no response in a time in which it should have had one, or one far
-//! later than the other classes' responses and the latency objective. An attempt that was sent too late to
-//! be answered says nothing.
+//! Rule: an attempt has stalled if it got no response in a time in which it should have had one, or one
+//! after more than twice the typical latency of the slowest class and the shortest latency objective. An
+//! attempt that was sent too late to be answered says nothing.
 
 use crate::event::{AttemptEnd, Outcome};
 
-/// A response is far too late after this many typical latencies of the slowest class.
-const LATE_LATENCIES: f64 = 2.0;
+/// An attempt without a response after this many typical latencies of the slowest class has stalled; a
+/// response that comes later than that, and than the shortest latency objective, counts as a stall too.
+const STALL_LATENCIES: f64 = 2.0;
 
-/// An attempt that was given this part of its latency objective and got no response has stalled.
+/// An attempt that was given this fraction of its latency objective and got no response has stalled.
 const STALL_OBJECTIVE_RATIO: f64 = 0.5;
 
 /// What an attempt's end says about its endpoint.
@@ -19,8 +20,8 @@
     pub failed: bool,
     /// It got no response in a time in which it should have had one.
     pub stalled: bool,
-    /// It was served, but far too late.
-    pub served_late: bool,
+    /// It was served, but with a latency that counts as a stall (see [`STALL_LATENCIES`]).
+    pub served_as_stall: bool,
     /// It says something about the endpoint at all.
     pub is_informative: bool,
 }
@@ -31,17 +32,17 @@
     pub fn of(
         end: &AttemptEnd, class_objective_ms: Option<f64>, shortest_objective_ms: f64, slowest_class_ms: f64,
     ) -> Self {
-        let late_ms = LATE_LATENCIES * slowest_class_ms;
+        let slow_ms = STALL_LATENCIES * slowest_class_ms;
         let stall_ms = class_objective_ms
-            .map_or(late_ms, |objective_ms| late_ms.min(STALL_OBJECTIVE_RATIO * objective_ms));
-        let served_late =
-            end.outcome == Outcome::Served && end.latency_ms > late_ms.max(shortest_objective_ms);
+            .map_or(slow_ms, |objective_ms| slow_ms.min(STALL_OBJECTIVE_RATIO * objective_ms));
+        let served_as_stall =
+            end.outcome == Outcome::Served && end.latency_ms > slow_ms.max(shortest_objective_ms);
         let timed_out = end.outcome == Outcome::ResponseTimeout && end.latency_ms >= stall_ms;
-        let stalled = served_late || timed_out;
+        let stalled = served_as_stall || timed_out;
         let is_error =
             matches!(end.outcome, Outcome::ServerError | Outcome::ConnectFailed | Outcome::ConnectionLost);
         let failed = stalled || is_error;
         let is_success = matches!(end.outcome, Outcome::Served | Outcome::Rejected);
-        AttemptOutcome { failed, stalled, served_late, is_informative: failed || is_success }
+        AttemptOutcome { failed, stalled, served_as_stall, is_informative: failed || is_success }
     }
 }
--- a/balancer/src/balancer.rs
+++ b/balancer/src/balancer.rs
@@ -137,7 +137,7 @@
         let in_use = self.fleet.endpoints.in_use();
         let context = RejectionContext {
             saturation_ratio: self.saturation_ratio(now_ms),
-            traffic_share_ratio: self.fleet.traffic_share.ratio(),
+            traffic_share_ratio: self.fleet.traffic_share.traffic_share_ratio(),
             spillover_ratio: self.spillover.ratio(),
             pending_count: self.pending.len(),
             ejected_count: in_use.filter(|endpoint| endpoint.health.is_ejected()).count(),
--- a/balancer/src/balancer/endpoints.rs
+++ b/balancer/src/balancer/endpoints.rs
@@ -98,11 +98,11 @@
 
     /// Counts a success or a failure for the endpoint.
     fn record_endpoint_outcome(&mut self, now_ms: f64, attempt: &EndedAttempt) {
-        let AttemptOutcome { stalled, served_late, .. } = attempt.outcome;
+        let AttemptOutcome { stalled, served_as_stall, .. } = attempt.outcome;
         let objective_ms = self.fleet.objective_ms();
         let Some(endpoint) = self.fleet.endpoints.get_mut(attempt.end.endpoint) else { return };
         match attempt.end.outcome {
-            Outcome::Served if !served_late => endpoint.record_success(now_ms),
+            Outcome::Served if !served_as_stall => endpoint.record_success(now_ms),
             Outcome::Rejected => {
                 endpoint.record_success(now_ms);
                 let pause_ms = REJECTED_PAUSE_OBJECTIVES * objective_ms;
@@ -134,7 +134,7 @@
     /// Counts a failure against an endpoint, and ejects it if it has become an outlier.
     fn record_endpoint_failure(&mut self, now_ms: f64, attempt: &EndedAttempt) {
         let Some(endpoint) = self.fleet.endpoints.get_mut(attempt.end.endpoint) else { return };
-        if attempt.outcome.served_late {
+        if attempt.outcome.served_as_stall {
             endpoint.mark_responsive(now_ms);
         }
         endpoint.health.record_failure(attempt.excuse_ratio);
--- a/balancer/src/balancer/requests.rs
+++ b/balancer/src/balancer/requests.rs
@@ -42,7 +42,9 @@
 
         self.retry_budget.deposit();
         self.health_checks.deposit();
-        if let Some(rejection) = self.check_admission(now_ms, arrival, saturation_ratio, deadlines.is_late) {
+        if let Some(rejection) =
+            self.check_admission(now_ms, arrival, saturation_ratio, deadlines.misses_objective)
+        {
             return self.reject(arrival.request, rejection, actions);
         }
 
@@ -61,13 +63,13 @@
 
     /// Whether a request is shed on arrival, and why.
     fn check_admission(
-        &mut self, now_ms: f64, arrival: &Arrival, saturation_ratio: f64, is_late: bool,
+        &mut self, now_ms: f64, arrival: &Arrival, saturation_ratio: f64, misses_objective: bool,
     ) -> Option<Rejection> {
         let Arrival { class, tenant, client_timeout_ms, .. } = *arrival;
         let is_full = admission::is_full(saturation_ratio);
-        let is_too_late = admission::arrives_too_late(
+        let arrives_too_late = admission::arrives_too_late(
             &self.settings.classes[class],
-            is_late,
+            misses_objective,
             self.latencies.typical_ms(class),
             client_timeout_ms,
             is_full,
@@ -82,20 +84,21 @@
         let reject = |reason| Some(Rejection { reason, retry_after: RetryAfter::Longest });
         if self.rng.rand_float() < shed_ratio {
             reject(RejectionReason::NoCapacity)
-        } else if is_too_late && admission::is_busy(saturation_ratio) {
+        } else if arrives_too_late && admission::is_busy(saturation_ratio) {
             reject(RejectionReason::TooLate)
         } else {
             None
         }
     }
 
-    /// Counts a request for its tenant. While no limit binds, this gateway's part of the traffic is learnt.
+    /// Counts a request for its tenant. While no limit binds, this gateway's share of the traffic is
+    /// learnt.
     fn check_rate_limit(&mut self, now_ms: f64, tenant: Option<usize>, is_full: bool) -> RateLimit {
         let Some(tenant) = tenant.filter(|tenant| self.rate_limiter.knows(*tenant)) else {
             return RateLimit::Within;
         };
-        let share_ratio = self.fleet.traffic_share.ratio();
-        let limit = self.rate_limiter.check(now_ms, tenant, share_ratio, is_full, &mut self.rng);
+        let traffic_share_ratio = self.fleet.traffic_share.traffic_share_ratio();
+        let limit = self.rate_limiter.check(now_ms, tenant, traffic_share_ratio, is_full, &mut self.rng);
         if !is_full {
             self.fleet.learn_traffic_share(now_ms);
         }
@@ -149,9 +152,9 @@
     fn enqueue(&mut self, now_ms: f64, id: RequestId, actions: &mut Vec<Action>) {
         let Some(request) = self.requests.get(&id) else { return };
         let typical_ms = self.latencies.typical_ms(request.class);
-        let is_late =
+        let cannot_be_useful =
             now_ms + typical_ms.max(MIN_PENDING_WAKE_UPS * WAKE_INTERVAL_MS) > request.useful_until_ms;
-        if is_late || !self.may_retry(now_ms, request) {
+        if cannot_be_useful || !self.may_retry(now_ms, request) {
             self.end(id, RejectionReason::NoCapacity, actions);
         } else {
             self.pending.push(id);
@@ -172,8 +175,8 @@
 
     fn may_send_pending(&self, now_ms: f64, id: RequestId) -> bool {
         let Some(request) = self.requests.get(&id) else { return false };
-        let is_late = now_ms + self.latencies.typical_ms(request.class) > request.useful_until_ms;
-        !is_late && self.may_retry(now_ms, request)
+        let cannot_be_useful = now_ms + self.latencies.typical_ms(request.class) > request.useful_until_ms;
+        !cannot_be_useful && self.may_retry(now_ms, request)
     }
 
     fn may_retry(&self, now_ms: f64, request: &Request) -> bool {
@@ -196,7 +199,7 @@
         }
     }
 
-    /// Learns from an attempt's latency, by the part that is the endpoint's doing.
+    /// Learns from an attempt's latency, by the fraction that is the endpoint's fault.
     fn record_latency(&mut self, end: &AttemptEnd, class: usize, blame_ratio: f64) {
         let is_served = end.outcome == Outcome::Served;
         let is_timeout = end.outcome == Outcome::ResponseTimeout;
--- a/balancer/src/capacity.rs
+++ b/balancer/src/capacity.rs
@@ -6,7 +6,7 @@
 use crate::endpoint::Endpoint;
 use crate::fleet::Fleet;
 
-/// An endpoint's balancing weight is at least this part of the mean capacity.
+/// An endpoint's balancing weight is at least this fraction of the mean capacity.
 const MIN_WEIGHT_RATIO: f64 = 0.25;
 
 /// The least balancing weight, in requests a second: above 0, so that an endpoint can be drawn.
@@ -44,7 +44,7 @@
             .max(MIN_WEIGHT_PER_S)
     }
 
-    /// An endpoint's listed size as a part of the mean of those in use, where weights reflect load; else 1.
+    /// An endpoint's listed size relative to the mean of those in use, where weights reflect load; else 1.
     fn relative_size(&self, endpoint: &Endpoint) -> f64 {
         let size = endpoint.load.idle_weight;
         if size <= 0.0 {
--- a/balancer/src/class_errors.rs
+++ b/balancer/src/class_errors.rs
@@ -40,7 +40,7 @@
 }
 
 impl ClassErrorRatios {
-    /// The part of the class's responses that were errors.
+    /// The fraction of the class's responses that were errors.
     pub fn error_ratio(&self, class: usize) -> f64 {
         self.by_class.get(class).map_or(0.0, |errors| errors.error_ratio)
     }
--- a/balancer/src/client_timeouts.rs
+++ b/balancer/src/client_timeouts.rs
@@ -1,13 +1,13 @@
 //! How long a client has been trying, inferred from its timeout.
 //!
 //! Rule: a client waits the same time in each of its attempts, except in the last one, which waits for what
-//! is left of the deadline, more or less. A timeout that is not the typical one thus shows how long ago
-//! the client's first attempt was; a typical timeout most often is a first attempt. Each tenant and class has
+//! is left of the deadline, more or less. A timeout that is not the typical one thus shows how long ago the
+//! client's first attempt was; a typical timeout most often is a first attempt. Each tenant and class has
 //! its own typical timeout: many impatient clients of one must not make all others' attempts late.
 
 use crate::settings::Settings;
 
-/// A timeout further than this part of the deadline from the typical one is not typical.
+/// A timeout further than this fraction of the deadline from the typical one is not typical.
 const TYPICAL_MARGIN_RATIO: f64 = 0.05;
 
 /// The most typical timeouts that a client can have waited for before its last attempt.
--- a/balancer/src/concurrency_limit.rs
+++ b/balancer/src/concurrency_limit.rs
@@ -1,8 +1,9 @@
 //! How many requests this gateway may have in flight at an endpoint.
 //!
-//! Rule: the limit is this gateway's part of what the endpoint serves within a part of the shortest latency
-//! objective, times the endpoint's AIMD factor. The gateway's part is its own send rate over the endpoint's
-//! reported throughput, and never less than an even part among the gateways that use the endpoint.
+//! Rule: the limit is this gateway's share of what the endpoint serves within a fraction of the shortest
+//! latency objective, times the endpoint's AIMD factor. The gateway's share is its own send rate over the
+//! endpoint's reported throughput, and never less than an even share among the gateways that use the
+//! endpoint.
 //!
 //! Unit of limits: requests, which may be a fraction.
 
@@ -38,17 +39,18 @@
         if capacity_per_s <= 0.0 {
             return UNKNOWN_CAPACITY_LIMIT_COUNT * self.fleet.subset.endpoint_share_ratio();
         }
-        let own_capacity_per_s = capacity_per_s * self.share_ratio(endpoint);
-        let usable_per_s = own_capacity_per_s * endpoint.concurrency.ratio();
+        let own_capacity_per_s = capacity_per_s * self.limit_share_ratio(endpoint);
+        let usable_per_s = own_capacity_per_s * endpoint.concurrency.factor();
         drainable_count(usable_per_s, self.fleet.objective_ms())
     }
 
-    /// This gateway's part of the endpoint's requests.
-    fn share_ratio(&self, endpoint: &Endpoint) -> f64 {
-        let even_ratio = self.fleet.subset.endpoint_share_ratio();
+    /// This gateway's share of the endpoint's requests: its send rate over the reported throughput, and at
+    /// least the share of [`crate::subset`]; that alone without a report.
+    fn limit_share_ratio(&self, endpoint: &Endpoint) -> f64 {
+        let endpoint_share_ratio = self.fleet.subset.endpoint_share_ratio();
         let reported_per_s = endpoint.load.last_report.throughput_per_s.filter(|per_s| *per_s > 0.0);
-        reported_per_s.map_or(even_ratio, |reported_per_s| {
-            (endpoint.send_rate.per_s(self.now_ms) / reported_per_s).clamp(even_ratio, 1.0)
+        reported_per_s.map_or(endpoint_share_ratio, |reported_per_s| {
+            (endpoint.send_rate.per_s(self.now_ms) / reported_per_s).clamp(endpoint_share_ratio, 1.0)
         })
     }
 }
--- a/balancer/src/decaying.rs
+++ b/balancer/src/decaying.rs
@@ -38,7 +38,7 @@
     }
 }
 
-/// The part of recent events that went wrong, from 0 to 1, and when it was last updated.
+/// The fraction of recent events that went wrong, from 0 to 1, and when it was last updated.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct DecayingRatio {
     /// The part as of the last update.
--- a/balancer/src/discovery.rs
+++ b/balancer/src/discovery.rs
@@ -16,10 +16,10 @@
 /// All gateways' polls fall within this time.
 const MAX_SPREAD_MS: f64 = 2000.0;
 
-/// Polls are spread over at most this part of the age that the list may have.
+/// Polls are spread over at most this fraction of the age that the list may have.
 const MAX_SPREAD_AGE_RATIO: f64 = 0.5;
 
-/// A pause is jittered from this part of itself up to all of it.
+/// A pause is jittered from this fraction of itself up to all of it.
 const MIN_JITTER_RATIO: f64 = 0.5;
 
 /// When discovery is due, and whether it has responded.
--- a/balancer/src/endpoint_set.rs
+++ b/balancer/src/endpoint_set.rs
@@ -138,7 +138,8 @@
         self.mean(|endpoint| endpoint.health.ratio_unless_ejected()).unwrap_or(0.0)
     }
 
-    /// The least part of a class's responses that are errors: where all endpoints fail it, none is excluded.
+    /// The least fraction of a class's responses that are errors: where all endpoints fail it, none is
+    /// excluded.
     pub fn least_error_ratio(&self, class: usize) -> f64 {
         self.in_use().map(|endpoint| endpoint.class_errors.error_ratio(class)).fold(1.0, f64::min)
     }
--- a/balancer/src/event.rs
+++ b/balancer/src/event.rs
@@ -80,7 +80,7 @@
 /// An endpoint's load report; absent values were not reported.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct LoadReport {
-    /// Part of its CPU that is busy, from 0 to 1.
+    /// Fraction of its CPU that is busy, from 0 to 1.
     pub utilization: Option<f64>,
     /// Requests served a second.
     pub throughput_per_s: Option<f64>,
--- a/balancer/src/fleet.rs
+++ b/balancer/src/fleet.rs
@@ -14,7 +14,7 @@
 /// Weight of other gateways' requests in flight relative to own ones, once they are known.
 const KNOWN_FLEET_LOAD_WEIGHT: f64 = 1.0;
 
-/// The endpoints, the subset in use, slow start and this gateway's part of the traffic.
+/// The endpoints, the subset in use, slow start and this gateway's share of the traffic.
 #[derive(Debug)]
 pub(crate) struct Fleet {
     /// The endpoints, indexed by whether they are eligible and in use.
@@ -23,7 +23,7 @@
     pub subset: Subset,
     /// How much an endpoint gets whose process has just started.
     pub slow_start: SlowStart,
-    /// This gateway's part of the fleet's traffic.
+    /// This gateway's share of the fleet's traffic.
     pub traffic_share: TrafficShare,
     /// How much the fleet load of endpoints counts: 0 until it is known.
     fleet_load_weight: f64,
@@ -91,8 +91,8 @@
 
     /// The time between this gateway's sends to an endpoint in slow start, in ms; 0 for a warm one.
     pub fn slow_start_interval_ms(&self, now_ms: f64, endpoint: &Endpoint) -> f64 {
-        let share_ratio = self.subset.endpoint_share_ratio();
-        self.slow_start.send_interval_ms(now_ms, endpoint, &self.endpoints, share_ratio)
+        let endpoint_share_ratio = self.subset.endpoint_share_ratio();
+        self.slow_start.send_interval_ms(now_ms, endpoint, &self.endpoints, endpoint_share_ratio)
     }
 
     /// Whether an endpoint in slow start is left to other gateways.
@@ -100,7 +100,7 @@
         self.slow_start.is_left_to_others(now_ms, endpoint, self.endpoints.eligible_count())
     }
 
-    /// Learns this gateway's part of the traffic from its own rate and the reported throughput.
+    /// Learns this gateway's share of the traffic from its own rate and the reported throughput.
     pub fn learn_traffic_share(&mut self, now_ms: f64) {
         let own_per_s: f64 = self.endpoints.in_use().map(|endpoint| endpoint.send_rate.per_s(now_ms)).sum();
         let reported_per_s = self.endpoints.mean(|endpoint| endpoint.load.last_report.throughput_per_s);
--- a/balancer/src/health_checks.rs
+++ b/balancer/src/health_checks.rs
@@ -10,7 +10,7 @@
 /// Interval of health checks to an endpoint.
 pub(crate) const HEALTH_CHECK_INTERVAL_MS: f64 = 1500.0;
 
-/// Health checks may be this part of the requests, so that many gateways' checks don't load endpoints.
+/// Health checks may be this fraction of the requests, so that many gateways' checks don't load endpoints.
 const HEALTH_CHECK_RATIO: f64 = 0.15;
 
 /// The most health checks that may be sent at once.
--- a/balancer/src/load.rs
+++ b/balancer/src/load.rs
@@ -1,8 +1,8 @@
 //! An endpoint's load and capacity, learnt from its load reports and its listed weight.
 //!
 //! Rule: a report's throughput over its utilization is the endpoint's capacity in requests a second; it is
-//! smoothed, with little weight for reports of nearly idle endpoints. Weights of the list, where they reflect
-//! load, and reported queues tell what all gateways together have in flight at an endpoint.
+//! smoothed, with little weight for reports of nearly idle endpoints. Weights of the list, where they
+//! reflect load, and reported queues tell what all gateways together have in flight at an endpoint.
 
 use crate::event::LoadReport;
 
@@ -15,22 +15,22 @@
 /// From this utilization on a report is trusted in full as to the capacity.
 pub(crate) const RELIABLE_UTILIZATION_RATIO: f64 = 0.5;
 
-/// Part of a new report that enters the smoothed weight and capacity.
+/// Fraction of a new report that enters the smoothed weight and capacity.
 const REPORT_GAIN_RATIO: f64 = 0.3;
 
-/// Part of a new sample that enters the smoothed fleet load.
+/// Fraction of a new sample that enters the smoothed fleet load.
 const FLEET_LOAD_GAIN_RATIO: f64 = 0.5;
 
-/// A sample of the fleet load counts as this at most.
-const MAX_FLEET_LOAD_RATIO: f64 = 9.0;
+/// A sample of the fleet load counts as this at most; 1 is a full endpoint.
+const MAX_FLEET_LOAD: f64 = 9.0;
 
 /// Number of requests in flight a core at which an endpoint is full.
 pub(crate) const FULL_IN_FLIGHT_PER_CORE_COUNT: f64 = 4.0;
 
-/// The part of the shortest latency objective in which what is in flight at an endpoint may drain.
+/// The fraction of the shortest latency objective in which what is in flight at an endpoint may drain.
 const DRAIN_OBJECTIVE_RATIO: f64 = 0.25;
 
-/// How many requests an endpoint may have in flight: what it serves in a part of the latency objective.
+/// How many requests an endpoint may have in flight: what it serves in a fraction of the latency objective.
 pub(crate) fn drainable_count(capacity_per_s: f64, objective_ms: f64) -> f64 {
     capacity_per_s * objective_ms * DRAIN_OBJECTIVE_RATIO / 1000.0
 }
@@ -44,8 +44,8 @@
     pub capacity_per_s: Option<f64>,
     /// The greatest weight that a list whose weights reflect load gave it: its weight when idle.
     pub idle_weight: f64,
-    /// What all gateways have in flight there, as a part of what may be in flight.
-    pub fleet_load_ratio: f64,
+    /// What all gateways have in flight there, as a multiple of what may be in flight, up to 9.
+    pub fleet_load: f64,
     /// The last report that was taken.
     pub last_report: LoadReport,
 }
@@ -109,14 +109,14 @@
         }
     }
 
-    fn learn_fleet_load(&mut self, sample_ratio: f64) {
-        let sample_ratio = sample_ratio.min(MAX_FLEET_LOAD_RATIO);
-        self.fleet_load_ratio += FLEET_LOAD_GAIN_RATIO * (sample_ratio - self.fleet_load_ratio);
+    fn learn_fleet_load(&mut self, sample: f64) {
+        let sample = sample.min(MAX_FLEET_LOAD);
+        self.fleet_load += FLEET_LOAD_GAIN_RATIO * (sample - self.fleet_load);
     }
 
     /// How busy the endpoint's cores are by the fleet load, from 0 to 1.
     pub fn busy_ratio(&self) -> f64 {
-        1.0 - 1.0 / (1.0 + FULL_IN_FLIGHT_PER_CORE_COUNT * self.fleet_load_ratio)
+        1.0 - 1.0 / (1.0 + FULL_IN_FLIGHT_PER_CORE_COUNT * self.fleet_load)
     }
 
     /// Forgets weight and capacity, which a restarted process has to earn anew.
--- a/balancer/src/locality.rs
+++ b/balancer/src/locality.rs
@@ -1,28 +1,28 @@
-//! Cross-zone spillover: which part of the requests goes to other zones.
+//! Cross-zone spillover: which fraction of the requests goes to other zones.
 //!
-//! Rule: requests stay in the own zone while an endpoint there has capacity, but for a part that is learnt
-//! from how much busier the own zone is than the others. A zone with more traffic than its endpoints can
-//! serve thus sends the excess to other zones.
+//! Rule: requests stay in the own zone while an endpoint there has capacity, but for a fraction that is
+//! learnt from how much busier the own zone is than the others. A zone with more traffic than its endpoints
+//! can serve thus sends the excess to other zones.
 
 use crate::endpoint_set::EndpointSet;
 use crate::fleet::Fleet;
 use crate::settings::Settings;
 use crate::zone::ZoneSide;
 
-/// The part that spills before the load of zones is known.
+/// The fraction that spills before the load of zones is known.
 const INITIAL_SPILLOVER_RATIO: f64 = 0.3;
 
-/// At most this part spills.
+/// At most this fraction spills.
 const MAX_SPILLOVER_RATIO: f64 = 0.9;
 
 /// An own zone busier by 1 than its target spills everything after this many shortest latency objectives.
 const LEARNING_TIME_OBJECTIVES: f64 = 3.75;
 
-/// The own zone is preferred while an endpoint there is filled less than this; other zones count as this busy
-/// until their load is known.
+/// The own zone is preferred while an endpoint there is filled less than this; other zones count as this
+/// busy until their load is known.
 pub(crate) const LOCAL_SATURATION_LIMIT_RATIO: f64 = 0.6;
 
-/// The part of the requests that goes to other zones.
+/// The fraction of the requests that goes to other zones.
 #[derive(Debug)]
 pub(crate) struct Spillover {
     cost_ratio: f64,
@@ -42,7 +42,7 @@
         }
     }
 
-    /// The part of the requests that goes to other zones, from 0 to 1.
+    /// The fraction of the requests that goes to other zones, from 0 to 1.
     pub fn ratio(&self) -> f64 {
         self.ratio
     }
--- a/balancer/src/outlier_ejection.rs
+++ b/balancer/src/outlier_ejection.rs
@@ -2,9 +2,9 @@
 //!
 //! Rule: an endpoint whose failure ratio lies [`EJECTION_MARGIN_RATIO`] above the mean is ejected. After an
 //! interval it gets one trial request, which must be idempotent where such requests exist. A failed trial
-//! doubles the interval. A response ends the ejection, be it an error or a rejection, unless it comes far too
-//! late; so does a new start of the endpoint's process. Where everything fails or is slow at once, the mean
-//! rises too and few are ejected.
+//! doubles the interval. A response ends the ejection, be it an error or a rejection, unless it comes far
+//! too late; so does a new start of the endpoint's process. Where everything fails or is slow at once, the
+//! mean rises too and few are ejected.
 
 use crate::decaying::DecayingRatio;
 use crate::failure_ratios::FAILURE_GAIN_RATIO;
@@ -145,8 +145,9 @@
 
     /// When an ejected endpoint's next trial is due, in ms.
     ///
-    /// A gateway whose subset grew to replace lost endpoints, `subset_count` instead of `target_count`, waits
-    /// longer at an endpoint that has long been silent: all gateways together then send it no more trials.
+    /// A gateway whose subset grew to replace lost endpoints, `subset_count` instead of `target_count`,
+    /// waits longer at an endpoint that has long been silent: all gateways together then send it no more
+    /// trials.
     pub fn trial_due_at_ms(
         &self, now_ms: f64, ejection: Ejection, last_response_at_ms: f64, subset_count: usize,
         target_count: usize,
--- a/balancer/src/pending_queue.rs
+++ b/balancer/src/pending_queue.rs
@@ -1,7 +1,7 @@
 //! Requests that wait for an endpoint with capacity.
 //!
 //! Rule: a request waits while it could still be in time. The one that stays useful longest goes first:
-//! one that is nearly late would take capacity and may still be late.
+//! one that is nearly past its useful time would take capacity and may still be of no use.
 
 use crate::ids::RequestId;
 use crate::request::Request;
--- a/balancer/src/pick.rs
+++ b/balancer/src/pick.rs
@@ -21,8 +21,8 @@
 use crate::zone::{BySide, ZoneSide};
 use oorandom::Rand64;
 
-/// An endpoint with attempts in flight is unresponsive after this many typical latencies of the slowest class
-/// without a response.
+/// An endpoint with attempts in flight is unresponsive after this many typical latencies of the slowest
+/// class without a response.
 const UNRESPONSIVE_LATENCIES: f64 = 3.0;
 
 /// The weight of an endpoint whose idle connections have closed counts this part: each request there would
@@ -80,7 +80,7 @@
 }
 
 impl EndpointPick<'_> {
-    /// Picks an endpoint, or none where none can take the request. `spillover_ratio` is the part of the
+    /// Picks an endpoint, or none where none can take the request. `spillover_ratio` is the fraction of the
     /// requests that goes to other zones.
     pub fn pick(&self, spillover_ratio: f64, rng: &mut Rand64) -> Option<EndpointId> {
         let means = FleetMeans {
@@ -172,7 +172,7 @@
         let silence_ms = self.now_ms - endpoint.unresponsive_since_ms;
         let is_unresponsive =
             endpoint.in_flight_count > 0 && silence_ms > UNRESPONSIVE_LATENCIES * self.slowest_class_ms;
-        // Each of many gateways would round a part of a request up to a whole one.
+        // Each of many gateways would round a fraction of a request up to a whole one.
         let rounding_ratio = (1.0 - self.fleet.traffic_share.visibility_ratio()) / limit_count;
         let is_full = saturation_ratio + rounding_ratio >= 1.0;
         let is_paused = self.now_ms < endpoint.next_send_at_ms;
@@ -193,8 +193,8 @@
             * class_factor
             * means.limits.capacities().weight_per_s(endpoint)
             * (1.0 - saturation_ratio)
-            * endpoint.concurrency.ratio();
-        let fleet_load = FULL_IN_FLIGHT_PER_CORE_COUNT * endpoint.load.fleet_load_ratio;
+            * endpoint.concurrency.factor();
+        let fleet_load = FULL_IN_FLIGHT_PER_CORE_COUNT * endpoint.load.fleet_load;
         capacity_weight * served_ratio.powi(HEALTH_EXPONENT) / (1.0 + fleet_load)
     }
 }
--- a/balancer/src/rate_limiter.rs
+++ b/balancer/src/rate_limiter.rs
@@ -1,6 +1,6 @@
 //! Tenant rate limits.
 //!
-//! Rule: in a full fleet, a tenant whose recent average rate is above its quota, times this gateway's part
+//! Rule: in a full fleet, a tenant whose recent average rate is above its quota, times this gateway's share
 //! of the traffic, is admitted with the probability limit / rate. So a bursting tenant keeps its own share.
 //! While the fleet has capacity nothing is rejected: that would gain nothing.
 //!
@@ -53,7 +53,7 @@
         tenant < self.by_tenant.len()
     }
 
-    /// Counts a request for its tenant. `traffic_share_ratio` is this gateway's part of the fleet's
+    /// Counts a request for its tenant. `traffic_share_ratio` is this gateway's share of the fleet's
     /// traffic, and limits bind only where the fleet `is_full`.
     pub fn check(
         &mut self, now_ms: f64, tenant: usize, traffic_share_ratio: f64, is_full: bool, rng: &mut Rand64,
--- a/balancer/src/rejection_log.rs
+++ b/balancer/src/rejection_log.rs
@@ -19,9 +19,9 @@
 pub(crate) struct RejectionContext {
     /// How full the fleet is; 1 and more when full.
     pub saturation_ratio: f64,
-    /// This gateway's part of the fleet's traffic.
+    /// This gateway's share of the fleet's traffic.
     pub traffic_share_ratio: f64,
-    /// The part of the requests that goes to other zones.
+    /// The fraction of the requests that goes to other zones.
     pub spillover_ratio: f64,
     /// Requests that wait for capacity.
     pub pending_count: usize,
--- a/balancer/src/retry.rs
+++ b/balancer/src/retry.rs
@@ -9,13 +9,14 @@
 use crate::token_budget::TokenBudget;
 use crate::zone::Locality;
 
-/// Retries may be this part of the requests, plus a burst.
+/// Retries may be this fraction of the requests, plus a burst.
 const RETRY_RATIO: f64 = 0.15;
 
 /// The most retries that may be sent at once.
 const RETRY_BURST_COUNT: f64 = 10.0;
 
-/// A request is retried only if this part of its class's typical latency fits before it loses its value.
+/// A request is retried only if this fraction of its class's typical latency fits before it loses its
+/// value.
 const RETRY_LATENCY_RATIO: f64 = 0.5;
 
 /// The budget of retries.
--- a/balancer/src/saturation.rs
+++ b/balancer/src/saturation.rs
@@ -1,9 +1,9 @@
 //! How full the fleet is.
 //!
 //! Rule: what is in flight at the endpoints in use of the own zone, over what may be; at least 1 while
-//! requests are pending. Where the load of other gateways is unknown, the reported utilization
-//! counts too: a small part of the traffic doesn't show it. A busy fleet that keeps its latencies may so be
-//! taken for full.
+//! requests are pending. Where the load of other gateways is unknown, the reported utilization counts too:
+//! a small fraction of the traffic doesn't show it. A busy fleet that keeps its latencies may so be taken
+//! for full.
 
 use crate::concurrency_limit::ConcurrencyLimits;
 use crate::fleet::Fleet;
@@ -18,9 +18,7 @@
     let fleet_load_weight = fleet.fleet_load_weight();
     let in_flight_count: f64 = endpoints
         .of(subset.get(side).iter())
-        .map(|endpoint| {
-            f64::from(endpoint.in_flight_count) + fleet_load_weight * endpoint.load.fleet_load_ratio
-        })
+        .map(|endpoint| f64::from(endpoint.in_flight_count) + fleet_load_weight * endpoint.load.fleet_load)
         .sum();
     let limit_count: f64 = endpoints
         .of(subset.get(side).iter())
--- a/balancer/src/settings.rs
+++ b/balancer/src/settings.rs
@@ -45,7 +45,8 @@
 }
 
 impl RequestClass {
-    /// Whether a client may be told that a retry of its own is harmless, given that an attempt may have run.
+    /// Whether a client may be told that a retry of its own is harmless, given that an attempt may have
+    /// run.
     pub fn may_reject(&self, may_have_run: bool) -> bool {
         let deduplicated_everywhere = self.idempotency == Idempotency::IdempotentWithKey
             && self.deduplication_scope == DeduplicationScope::All;
@@ -90,7 +91,7 @@
     pub tick_ms: f64,
     /// The endpoint list's weights are sizes divided by 1 + requests in flight a core.
     pub weights_reflect_load: bool,
-    /// Cost of an attempt that crosses zones, as a part of the value of a request.
+    /// Cost of an attempt that crosses zones, as a fraction of the value of a request.
     pub cross_zone_cost_ratio: f64,
     /// Endpoints close an idle connection after this time, in ms.
     pub connection_idle_timeout_ms: f64,
@@ -108,14 +109,14 @@
     pub max_retry_after_ms: f64,
     /// A watch, or a poll, of discovery must be at most this old, in ms.
     pub max_discovery_age_ms: f64,
-    /// An endpoint starts with this part of its capacity or more, from 0 to 1.
+    /// An endpoint starts with this fraction of its capacity or more, from 0 to 1.
     pub slow_start_min_ratio: f64,
     /// An endpoint has its full capacity after this time, in ms.
     pub slow_start_ms: f64,
     /// An endpoint in slow start fails when sent more than this multiple of its capacity at that moment.
     pub slow_start_overload_multiple: f64,
-    /// Only a drain that the endpoint list has shown binds: an endpoint that is removed without one may still
-    /// be sent to.
+    /// Only a drain that the endpoint list has shown binds: an endpoint that is removed without one may
+    /// still be sent to.
     pub removal_is_advisory: bool,
     /// Weight of availability in the deployment's result, counted in nines of the served part.
     pub availability_weight: f64,
--- a/balancer/src/subset.rs
+++ b/balancer/src/subset.rs
@@ -1,6 +1,6 @@
 //! The subset: which of the eligible endpoints this gateway uses.
 //!
-//! Rule: a gateway uses so many endpoints, by its part of the traffic, that each endpoint has about
+//! Rule: a gateway uses so many endpoints, by its share of the traffic, that each endpoint has about
 //! [`GATEWAYS_PER_ENDPOINT_COUNT`] gateways, and up to three times as many in a small fleet. New ones come
 //! from a low-discrepancy sequence over all gateways, which uses endpoints evenly; surplus ones go at
 //! random.
@@ -12,7 +12,8 @@
 use crate::zone::ZoneSide;
 use oorandom::Rand64;
 
-/// Where gateways see enough of every endpoint, an endpoint has 1 + this times the usual number of gateways.
+/// Where gateways see enough of every endpoint, an endpoint has 1 + this times the usual number of
+/// gateways.
 const SMALL_FLEET_SURPLUS_FACTOR: f64 = 2.0;
 
 /// Step of the sequence from one gateway to the next: the golden ratio's fraction.
@@ -35,7 +36,7 @@
         Subset { gateway_index, draw_count: 0.0, endpoint_share_ratio: 1.0 / f64::from(gateway_count) }
     }
 
-    /// The part of an endpoint's requests that one of its gateways sends it.
+    /// The fraction of an endpoint's requests that one of its gateways sends it.
     pub fn endpoint_share_ratio(&self) -> f64 {
         self.endpoint_share_ratio
     }
@@ -44,7 +45,7 @@
     pub fn target_count(traffic_share: &TrafficShare, eligible_count: usize) -> usize {
         let surplus = SMALL_FLEET_SURPLUS_FACTOR * traffic_share.visibility_ratio();
         let gateways_per_endpoint = GATEWAYS_PER_ENDPOINT_COUNT * (1.0 + surplus);
-        let count = gateways_per_endpoint * eligible_count as f64 * traffic_share.ratio();
+        let count = gateways_per_endpoint * eligible_count as f64 * traffic_share.traffic_share_ratio();
         count.max(MIN_SUBSET_COUNT).ceil() as usize
     }
 
@@ -87,9 +88,9 @@
                 usable_count += 1;
             }
         }
-        let even_ratio = traffic_share.even_ratio();
-        let share_ratio = endpoints.eligible_count() as f64 * even_ratio / target_count as f64;
-        self.endpoint_share_ratio = share_ratio.clamp(even_ratio, 1.0);
+        let even_share_ratio = traffic_share.even_share_ratio();
+        let endpoint_share_ratio = endpoints.eligible_count() as f64 * even_share_ratio / target_count as f64;
+        self.endpoint_share_ratio = endpoint_share_ratio.clamp(even_share_ratio, 1.0);
     }
 
     /// Follows a changed list: drops at random what is more than the target, and replenishes the rest.
@@ -114,10 +115,10 @@
     let subset = endpoints.subset().get(side);
     let is_shared = |id: &EndpointId| {
         let endpoint = endpoints.get(*id);
-        let share_ratio = endpoint.and_then(|endpoint| {
+        let slow_start_share_ratio = endpoint.and_then(|endpoint| {
             slow_start.slow_start_share_ratio(now_ms, endpoint, endpoints.eligible_count())
         });
-        share_ratio.is_some_and(|share_ratio| share_ratio > 0.0)
+        slow_start_share_ratio.is_some_and(|slow_start_share_ratio| slow_start_share_ratio > 0.0)
     };
     let eligible = endpoints.eligible().get(side).iter();
     let added: Vec<_> = eligible.filter(|id| is_shared(id) && !subset.contains(id)).copied().collect();
--- a/balancer/src/token_budget.rs
+++ b/balancer/src/token_budget.rs
@@ -1,6 +1,6 @@
 //! A budget of tokens that requests deposit and extra work withdraws.
 
-/// A budget: each request deposits a part of a token, each piece of extra work withdraws one.
+/// A budget: each request deposits a fraction of a token, each piece of extra work withdraws one.
 #[derive(Debug)]
 pub(crate) struct TokenBudget {
     tokens_count: f64,
