--- a/balancer/src/attempt_outcome.rs
+++ b/balancer/src/attempt_assessment.rs
@@ -15,7 +15,7 @@
 
 /// What an attempt's end says about its endpoint.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct AttemptOutcome {
+pub(crate) struct AttemptAssessment {
     /// It failed in any way, a stall included.
     pub failed: bool,
     /// It got no response in a time in which it should have had one.
@@ -26,7 +26,7 @@
     pub is_informative: bool,
 }
 
-impl AttemptOutcome {
+impl AttemptAssessment {
     /// Judges an attempt's end by the latency objective of its class, if the request is still open, the
     /// shortest latency objective, and the typical latency of the slowest class.
     pub fn of(
@@ -43,6 +43,6 @@
             matches!(end.outcome, Outcome::ServerError | Outcome::ConnectFailed | Outcome::ConnectionLost);
         let failed = stalled || is_error;
         let is_success = matches!(end.outcome, Outcome::Served | Outcome::Rejected);
-        AttemptOutcome { failed, stalled, served_as_stall, is_informative: failed || is_success }
+        AttemptAssessment { failed, stalled, served_as_stall, is_informative: failed || is_success }
     }
 }
--- a/balancer/src/balancer/endpoints.rs
+++ b/balancer/src/balancer/endpoints.rs
@@ -2,11 +2,11 @@
 
 use super::Balancer;
 use crate::action::Action;
-use crate::attempt_outcome::AttemptOutcome;
+use crate::attempt_assessment::AttemptAssessment;
 use crate::endpoint_updates::EndpointUpdate;
 use crate::event::{AttemptEnd, EndpointRecord, Outcome, Readiness, UpdateKind};
 use crate::failure_ratios::FaultKind;
-use crate::turn_taking;
+use crate::request_pacing;
 
 /// An endpoint that rejected an attempt is left alone for this many shortest latency objectives: a full
 /// endpoint responds fastest and looks the emptiest.
@@ -15,7 +15,7 @@
 /// What is known of an attempt that has ended, and of its request.
 struct EndedAttempt<'a> {
     end: &'a AttemptEnd,
-    outcome: AttemptOutcome,
+    assessment: AttemptAssessment,
     /// Class and tenant, if the request is still open.
     class: Option<usize>,
     tenant: Option<usize>,
@@ -56,34 +56,37 @@
         let request = self.requests.get(&end.request);
         let class = request.map(|request| request.class);
         let tenant = request.and_then(|request| request.tenant);
-        let outcome = AttemptOutcome::of(
+        let assessment = AttemptAssessment::of(
             end,
             class.map(|class| self.settings.classes[class].latency_objective_ms),
             self.fleet.objective_ms(),
             self.latencies.slowest_class_ms(),
         );
-        let excuse_ratio = self.count_failure(tenant, class, outcome);
+        let excuse_ratio = self.count_failure(tenant, class, assessment);
         let mean_failure_ratio = self.fleet.endpoints.mean_failure_ratio();
-        let attempt = EndedAttempt { end, outcome, class, tenant, excuse_ratio, mean_failure_ratio };
+        let attempt = EndedAttempt { end, assessment, class, tenant, excuse_ratio, mean_failure_ratio };
         self.update_endpoint(now_ms, &attempt);
         self.record_endpoint_outcome(now_ms, &attempt);
     }
 
     /// Counts an outcome for tenant, class and overall; how far these excused the endpoint before.
-    fn count_failure(&mut self, tenant: Option<usize>, class: Option<usize>, outcome: AttemptOutcome) -> f64 {
-        let Some(class) = class.filter(|_| outcome.is_informative) else { return 0.0 };
+    fn count_failure(
+        &mut self, tenant: Option<usize>, class: Option<usize>, assessment: AttemptAssessment,
+    ) -> f64 {
+        let Some(class) = class.filter(|_| assessment.is_informative) else { return 0.0 };
         let excuse_ratio = self.failure_ratios.excuse_ratio(tenant, class, FaultKind::Failure);
-        self.failure_ratios.record(tenant, class, outcome.failed, outcome.stalled);
+        self.failure_ratios.record(tenant, class, assessment.failed, assessment.stalled);
         excuse_ratio
     }
 
-    /// Updates what every ended attempt changes at its endpoint: turns, decay of failures, errors by class.
+    /// Updates what every ended attempt changes at its endpoint: pacing, decay of failures, errors by
+    /// class.
     fn update_endpoint(&mut self, now_ms: f64, attempt: &EndedAttempt) {
         let end = attempt.end;
-        let paused_until_ms = now_ms + self.turn_pause_ms(now_ms, end, attempt.class);
+        let paused_until_ms = now_ms + self.pacing_pause_ms(now_ms, end, attempt.class);
         let Some(endpoint) = self.fleet.endpoints.get_mut(end.endpoint) else { return };
         endpoint.defer_sends_until(paused_until_ms);
-        if attempt.outcome.is_informative {
+        if attempt.assessment.is_informative {
             self.outlier_ejection.decay(now_ms, &mut endpoint.health, attempt.mean_failure_ratio);
         }
         let has_responded = matches!(end.outcome, Outcome::ServerError | Outcome::Served);
@@ -98,7 +101,7 @@
 
     /// Counts a success or a failure for the endpoint.
     fn record_endpoint_outcome(&mut self, now_ms: f64, attempt: &EndedAttempt) {
-        let AttemptOutcome { stalled, served_as_stall, .. } = attempt.outcome;
+        let AttemptAssessment { stalled, served_as_stall, .. } = attempt.assessment;
         let objective_ms = self.fleet.objective_ms();
         let Some(endpoint) = self.fleet.endpoints.get_mut(attempt.end.endpoint) else { return };
         match attempt.end.outcome {
@@ -122,10 +125,10 @@
         }
     }
 
-    /// How long this gateway lets others have their turns at a busy endpoint, in ms.
-    fn turn_pause_ms(&self, now_ms: f64, end: &AttemptEnd, class: Option<usize>) -> f64 {
+    /// How long this gateway sends nothing more to a busy endpoint, in ms ([`request_pacing`]).
+    fn pacing_pause_ms(&self, now_ms: f64, end: &AttemptEnd, class: Option<usize>) -> f64 {
         let endpoint = self.fleet.endpoints.get(end.endpoint);
-        let pause_factor = turn_taking::pause_factor(now_ms, &self.fleet, endpoint);
+        let pause_factor = request_pacing::pause_factor(now_ms, &self.fleet, endpoint);
         let typical_ms = class.map_or(0.0, |class| self.latencies.typical_ms(class));
         let pause_ms = pause_factor * (end.latency_ms - typical_ms);
         pause_ms.min(self.outlier_ejection.max_interval_ms())
@@ -134,7 +137,7 @@
     /// Counts a failure against an endpoint, and ejects it if it has become an outlier.
     fn record_endpoint_failure(&mut self, now_ms: f64, attempt: &EndedAttempt) {
         let Some(endpoint) = self.fleet.endpoints.get_mut(attempt.end.endpoint) else { return };
-        if attempt.outcome.served_as_stall {
+        if attempt.assessment.served_as_stall {
             endpoint.mark_responsive(now_ms);
         }
         endpoint.health.record_failure(attempt.excuse_ratio);
--- a/balancer/src/concurrency_limit.rs
+++ b/balancer/src/concurrency_limit.rs
@@ -37,7 +37,7 @@
     pub fn limit_count(&self, endpoint: &Endpoint) -> f64 {
         let capacity_per_s = self.capacities.capacity_per_s(endpoint);
         if capacity_per_s <= 0.0 {
-            return UNKNOWN_CAPACITY_LIMIT_COUNT * self.fleet.subset.endpoint_share_ratio();
+            return UNKNOWN_CAPACITY_LIMIT_COUNT * self.fleet.subset_selector.endpoint_share_ratio();
         }
         let own_capacity_per_s = capacity_per_s * self.limit_share_ratio(endpoint);
         let usable_per_s = own_capacity_per_s * endpoint.concurrency.factor();
@@ -47,7 +47,7 @@
     /// This gateway's share of the endpoint's requests: its send rate over the reported throughput, and at
     /// least the share of [`crate::subset`]; that alone without a report.
     fn limit_share_ratio(&self, endpoint: &Endpoint) -> f64 {
-        let endpoint_share_ratio = self.fleet.subset.endpoint_share_ratio();
+        let endpoint_share_ratio = self.fleet.subset_selector.endpoint_share_ratio();
         let reported_per_s = endpoint.load.last_report.throughput_per_s.filter(|per_s| *per_s > 0.0);
         reported_per_s.map_or(endpoint_share_ratio, |reported_per_s| {
             (endpoint.send_rate.per_s(self.now_ms) / reported_per_s).clamp(endpoint_share_ratio, 1.0)
--- a/balancer/src/endpoint.rs
+++ b/balancer/src/endpoint.rs
@@ -33,8 +33,9 @@
     pub in_flight_count: u32,
     /// The rate at which this gateway sends it attempts.
     pub send_rate: DecayingRate,
-    /// With attempts in flight: since when there was no response.
-    pub unresponsive_since_ms: f64,
+    /// When it last responded, or was sent an attempt while none was in flight; at first, when it was
+    /// added. With attempts in flight, the time since then is its silence.
+    pub last_activity_at_ms: f64,
     /// When an attempt was last answered.
     pub last_response_at_ms: f64,
     /// It has responded once, or was listed at the start.
@@ -51,7 +52,7 @@
     /// An endpoint of which nothing is known yet.
     pub fn new(now_ms: f64, next_health_check_at_ms: f64) -> Self {
         Endpoint {
-            unresponsive_since_ms: now_ms,
+            last_activity_at_ms: now_ms,
             last_response_at_ms: now_ms,
             next_health_check_at_ms,
             ..Endpoint::default()
@@ -71,7 +72,7 @@
     /// An attempt is sent there.
     pub fn mark_sent(&mut self, now_ms: f64, class: usize, send_interval_ms: f64) {
         if self.in_flight_count == 0 {
-            self.unresponsive_since_ms = now_ms;
+            self.last_activity_at_ms = now_ms;
         }
         self.in_flight_count += 1;
         self.send_rate.record(now_ms);
@@ -87,7 +88,7 @@
 
     /// Something has been heard from it.
     pub fn mark_responsive(&mut self, now_ms: f64) {
-        self.unresponsive_since_ms = now_ms;
+        self.last_activity_at_ms = now_ms;
         self.last_response_at_ms = now_ms;
     }
 
--- a/balancer/src/endpoint_set.rs
+++ b/balancer/src/endpoint_set.rs
@@ -2,7 +2,7 @@
 
 use crate::endpoint::Endpoint;
 use crate::ids::EndpointId;
-use crate::zone::{BySide, ZoneSide};
+use crate::zone::{PerZoneSide, ZoneSide};
 use std::collections::BTreeMap;
 
 /// All known endpoints, indexed by whether they are eligible and in use.
@@ -10,9 +10,9 @@
 pub(crate) struct EndpointSet {
     by_id: BTreeMap<EndpointId, Endpoint>,
     /// Those that may get requests, in an order that all gateways share.
-    eligible: BySide<Vec<EndpointId>>,
+    eligible: PerZoneSide<Vec<EndpointId>>,
     /// Those of them that this gateway uses.
-    subset: BySide<Vec<EndpointId>>,
+    subset: PerZoneSide<Vec<EndpointId>>,
 }
 
 impl EndpointSet {
@@ -62,7 +62,7 @@
     }
 
     /// The endpoints that may get requests, by side, in an order that all gateways share.
-    pub fn eligible(&self) -> &BySide<Vec<EndpointId>> {
+    pub fn eligible(&self) -> &PerZoneSide<Vec<EndpointId>> {
         &self.eligible
     }
 
@@ -72,12 +72,12 @@
     }
 
     /// The endpoints that this gateway uses, by side.
-    pub fn subset(&self) -> &BySide<Vec<EndpointId>> {
+    pub fn subset(&self) -> &PerZoneSide<Vec<EndpointId>> {
         &self.subset
     }
 
     /// The endpoints that this gateway uses, to be changed.
-    pub fn subset_mut(&mut self) -> &mut BySide<Vec<EndpointId>> {
+    pub fn subset_mut(&mut self) -> &mut PerZoneSide<Vec<EndpointId>> {
         &mut self.subset
     }
 
--- a/balancer/src/fleet.rs
+++ b/balancer/src/fleet.rs
@@ -6,7 +6,7 @@
 use crate::ids::EndpointId;
 use crate::settings::Settings;
 use crate::slow_start::SlowStart;
-use crate::subset::Subset;
+use crate::subset::SubsetSelector;
 use crate::traffic_share::TrafficShare;
 use crate::zone::ZoneSide;
 use oorandom::Rand64;
@@ -20,7 +20,7 @@
     /// The endpoints, indexed by whether they are eligible and in use.
     pub endpoints: EndpointSet,
     /// How this gateway chooses those that it uses.
-    pub subset: Subset,
+    pub subset_selector: SubsetSelector,
     /// How much an endpoint gets whose process has just started.
     pub slow_start: SlowStart,
     /// This gateway's share of the fleet's traffic.
@@ -37,7 +37,7 @@
     pub fn new(settings: &Settings, objective_ms: f64) -> Self {
         Fleet {
             endpoints: EndpointSet::default(),
-            subset: Subset::new(settings.gateway_index, settings.gateway_count),
+            subset_selector: SubsetSelector::new(settings.gateway_index, settings.gateway_count),
             slow_start: SlowStart::new(settings),
             traffic_share: TrafficShare::new(settings.gateway_count),
             fleet_load_weight: if settings.weights_reflect_load { KNOWN_FLEET_LOAD_WEIGHT } else { 0.0 },
@@ -69,17 +69,17 @@
 
     /// How many endpoints this gateway is to use on each side.
     pub fn subset_target_count(&self) -> usize {
-        Subset::target_count(&self.traffic_share, self.endpoints.eligible_count())
+        SubsetSelector::target_count(&self.traffic_share, self.endpoints.eligible_count())
     }
 
     /// Keeps enough usable endpoints in the subset.
     pub fn replenish_subset(&mut self, now_ms: f64) {
-        self.subset.replenish(now_ms, &mut self.endpoints, &self.traffic_share, &self.slow_start);
+        self.subset_selector.replenish(now_ms, &mut self.endpoints, &self.traffic_share, &self.slow_start);
     }
 
     /// Follows a changed list of endpoints.
     pub fn rebuild_subset(&mut self, now_ms: f64, rng: &mut Rand64) {
-        self.subset.apply_update(
+        self.subset_selector.apply_update(
             now_ms,
             self.own_zone,
             &mut self.endpoints,
@@ -91,7 +91,7 @@
 
     /// The time between this gateway's sends to an endpoint in slow start, in ms; 0 for a warm one.
     pub fn slow_start_interval_ms(&self, now_ms: f64, endpoint: &Endpoint) -> f64 {
-        let endpoint_share_ratio = self.subset.endpoint_share_ratio();
+        let endpoint_share_ratio = self.subset_selector.endpoint_share_ratio();
         self.slow_start.send_interval_ms(now_ms, endpoint, &self.endpoints, endpoint_share_ratio)
     }
 
--- a/balancer/src/lib.rs
+++ b/balancer/src/lib.rs
@@ -8,7 +8,7 @@
 
 mod action;
 mod admission;
-mod attempt_outcome;
+mod attempt_assessment;
 mod balancer;
 mod capacity;
 mod class_errors;
@@ -27,23 +27,23 @@
 mod ids;
 mod latency_estimates;
 mod load;
-mod locality;
 mod outlier_ejection;
 mod pending_queue;
 mod pick;
 mod rate_limiter;
 mod rejection_log;
 mod request;
+mod request_pacing;
 mod retry;
 mod retry_after;
 mod saturation;
 mod settings;
 mod slow_start;
+mod spillover;
 mod start_history;
 mod subset;
 mod token_budget;
 mod traffic_share;
-mod turn_taking;
 mod wakeup;
 mod zone;
 
--- a/balancer/src/pick.rs
+++ b/balancer/src/pick.rs
@@ -13,12 +13,12 @@
 use crate::fleet::Fleet;
 use crate::ids::EndpointId;
 use crate::load::FULL_IN_FLIGHT_PER_CORE_COUNT;
-use crate::locality::LOCAL_SATURATION_LIMIT_RATIO;
 use crate::outlier_ejection::{Ejection, OutlierEjection};
 use crate::request::Request;
 use crate::retry;
 use crate::settings::RequestClass;
-use crate::zone::{BySide, ZoneSide};
+use crate::spillover::LOCAL_SATURATION_LIMIT_RATIO;
+use crate::zone::{PerZoneSide, ZoneSide};
 use oorandom::Rand64;
 
 /// An endpoint with attempts in flight is unresponsive after this many typical latencies of the slowest
@@ -88,7 +88,8 @@
             failure_ratio: self.fleet.endpoints.mean_failure_ratio(),
             least_error_ratio: self.fleet.endpoints.least_error_ratio(self.request.class),
         };
-        let mut usable: BySide<Vec<WeightedEndpoint>> = BySide { local: Vec::new(), remote: Vec::new() };
+        let mut usable: PerZoneSide<Vec<WeightedEndpoint>> =
+            PerZoneSide { local: Vec::new(), remote: Vec::new() };
         let mut local_has_capacity = false;
         for &id in self.candidates().iter() {
             let Some(endpoint) = self.fleet.endpoints.get(id) else { continue };
@@ -111,7 +112,7 @@
     }
 
     /// The endpoints in use; all eligible ones where a retry has to stay within its deduplication scope.
-    fn candidates(&self) -> &BySide<Vec<EndpointId>> {
+    fn candidates(&self) -> &PerZoneSide<Vec<EndpointId>> {
         if retry::is_bound_to_scope(self.class, self.request) {
             self.fleet.endpoints.eligible()
         } else {
@@ -169,7 +170,7 @@
 
     /// Whether an endpoint is responsive, below its limit, and not paused or left to other gateways.
     fn can_take_more(&self, endpoint: &Endpoint, limit_count: f64, saturation_ratio: f64) -> bool {
-        let silence_ms = self.now_ms - endpoint.unresponsive_since_ms;
+        let silence_ms = self.now_ms - endpoint.last_activity_at_ms;
         let is_unresponsive =
             endpoint.in_flight_count > 0 && silence_ms > UNRESPONSIVE_LATENCIES * self.slowest_class_ms;
         // Each of many gateways would round a fraction of a request up to a whole one.
--- a/balancer/src/subset.rs
+++ b/balancer/src/subset.rs
@@ -22,18 +22,23 @@
 /// Step of the sequence from one draw to the next: the fraction of the square root of 2.
 const DRAW_STEP_RATIO: f64 = 0.414_213_562_37;
 
-/// The state of the draws, and what an endpoint in the subset gets from this gateway.
+/// Chooses the endpoints of the subset, which itself is kept in [`EndpointSet`]: the state of the draws,
+/// and which fraction of the requests of an endpoint in the subset comes from this gateway.
 #[derive(Debug)]
-pub(crate) struct Subset {
+pub(crate) struct SubsetSelector {
     gateway_index: u32,
     draw_count: f64,
     endpoint_share_ratio: f64,
 }
 
-impl Subset {
+impl SubsetSelector {
     /// No endpoint is in use yet.
     pub fn new(gateway_index: u32, gateway_count: u32) -> Self {
-        Subset { gateway_index, draw_count: 0.0, endpoint_share_ratio: 1.0 / f64::from(gateway_count) }
+        SubsetSelector {
+            gateway_index,
+            draw_count: 0.0,
+            endpoint_share_ratio: 1.0 / f64::from(gateway_count),
+        }
     }
 
     /// The fraction of an endpoint's requests that one of its gateways sends it.
@@ -71,7 +76,7 @@
     }
 
     /// Keeps enough endpoints in use that are neither ejected nor left to others, and those in slow start
-    /// that this gateway shares.
+    /// that this gateway shares; then updates [`Self::endpoint_share_ratio`] to the target count.
     pub fn replenish(
         &mut self, now_ms: f64, endpoints: &mut EndpointSet, traffic_share: &TrafficShare,
         slow_start: &SlowStart,
@@ -88,8 +93,15 @@
                 usable_count += 1;
             }
         }
+        self.update_endpoint_share(traffic_share, endpoints.eligible_count(), target_count);
+    }
+
+    /// An endpoint's requests come in equal shares from the gateways that use it.
+    fn update_endpoint_share(
+        &mut self, traffic_share: &TrafficShare, eligible_count: usize, target_count: usize,
+    ) {
         let even_share_ratio = traffic_share.even_share_ratio();
-        let endpoint_share_ratio = endpoints.eligible_count() as f64 * even_share_ratio / target_count as f64;
+        let endpoint_share_ratio = eligible_count as f64 * even_share_ratio / target_count as f64;
         self.endpoint_share_ratio = endpoint_share_ratio.clamp(even_share_ratio, 1.0);
     }
 
--- a/balancer/src/zone.rs
+++ b/balancer/src/zone.rs
@@ -34,14 +34,14 @@
 
 /// A value for each side of the zone boundary.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct BySide<T> {
+pub(crate) struct PerZoneSide<T> {
     /// Of this gateway's own zone.
     pub local: T,
     /// Of all other zones.
     pub remote: T,
 }
 
-impl<T> BySide<T> {
+impl<T> PerZoneSide<T> {
     /// The value of a side.
     pub fn get(&self, side: ZoneSide) -> &T {
         match side {
@@ -59,7 +59,7 @@
     }
 }
 
-impl<T> BySide<Vec<T>> {
+impl<T> PerZoneSide<Vec<T>> {
     /// All entries, the local ones first.
     pub fn iter(&self) -> impl Iterator<Item = &T> {
         self.local.iter().chain(&self.remote)
--- a/balancer/tests/turn_taking.rs
+++ b/balancer/tests/request_pacing.rs
@@ -1,4 +1,4 @@
-//! Turn taking: pauses at an endpoint that is slow or full.
+//! Request pacing: pauses at an endpoint that is slow or full.
 
 mod common;
 
--- a/balancer/tests/locality.rs
+++ b/balancer/tests/spillover.rs
@@ -1,4 +1,4 @@
-//! Locality: the own zone first, and spillover to others.
+//! Spillover: the own zone first, and the excess to others.
 
 mod common;
 
