--- a/balancer/src/action.rs
+++ b/balancer/src/action.rs
@@ -54,7 +54,8 @@
     Timer {
         /// When, in ms.
         at_ms: f64,
-        /// Comes back as given.
+        /// Comes back as given. Always 0, since the balancer has one timer: the simulator's protocol has
+        /// it.
         token: u64,
     },
     /// Send a health check to an endpoint.
--- a/balancer/src/balancer/requests.rs
+++ b/balancer/src/balancer/requests.rs
@@ -15,7 +15,8 @@
 use crate::retry_after::RetryAfter;
 use crate::wakeup::WAKE_INTERVAL_MS;
 
-/// A request becomes pending only if it stays useful for at least this many wake-ups.
+/// A request becomes pending only if it stays useful for at least this many times [`WAKE_INTERVAL_MS`]. The
+/// real interval is longer where the tick is: `max(WAKE_INTERVAL_MS, tick_ms)`.
 const MIN_PENDING_WAKE_UPS: f64 = 2.0;
 
 /// Why a request is rejected, and when its client should retry.
@@ -62,6 +63,10 @@
     }
 
     /// Whether a request is shed on arrival, and why.
+    ///
+    /// The order of the random draws is part of the behaviour, since the same seed and events lead to the
+    /// same actions: first the draw of [`admission::arrives_too_late`], which is made even where another
+    /// reason then rejects the request, then those of the rate limit, then the one of shedding.
     fn check_admission(
         &mut self, now_ms: f64, arrival: &Arrival, saturation_ratio: f64, misses_objective: bool,
     ) -> Option<Rejection> {
--- a/balancer/src/endpoint_updates.rs
+++ b/balancer/src/endpoint_updates.rs
@@ -10,7 +10,7 @@
 use crate::health_checks::HEALTH_CHECK_INTERVAL_MS;
 use oorandom::Rand64;
 
-/// An endpoint that the list no longer has is forgotten after so long without a response.
+/// An endpoint that is no longer listed is forgotten after this time without a response.
 const UNLISTED_TIMEOUT_MS: f64 = 60_000.0;
 
 /// An update that is being applied.
--- a/balancer/src/event.rs
+++ b/balancer/src/event.rs
@@ -54,15 +54,17 @@
 pub enum Outcome {
     /// Served.
     Served,
-    /// The endpoint responded with an error.
+    /// The endpoint responded with any status but 200, other than a rejection; or its response was
+    /// malformed or stopped arriving before it was complete.
     ServerError,
     /// The endpoint rejected it without running it.
     Rejected,
     /// No response in time.
     ResponseTimeout,
-    /// No connection in time.
+    /// No connection in time, or the connection broke before the request was sent completely, so that it
+    /// never ran.
     ConnectFailed,
-    /// The connection broke.
+    /// The connection broke after the request had been sent completely.
     ConnectionLost,
     /// The gateway cancelled it.
     Cancelled,
@@ -132,7 +134,8 @@
     },
     /// A request has arrived.
     Request(Arrival),
-    /// The response of a streamed class has begun: the attempt now belongs to the client.
+    /// The response of a streamed class has begun: the attempt now belongs to the client. No rule needs it:
+    /// it is there because the simulator's protocol has it.
     ResponseStarted {
         /// The request.
         request: RequestId,
@@ -155,7 +158,8 @@
     },
     /// A timer is due.
     Timer {
-        /// As given with [`Action::Timer`](crate::Action::Timer).
+        /// As given with [`Action::Timer`](crate::Action::Timer); not read, since the balancer has one
+        /// timer.
         token: u64,
     },
 }
--- a/balancer/src/health_checks.rs
+++ b/balancer/src/health_checks.rs
@@ -1,6 +1,7 @@
 //! Active health checks, which bring load reports where responses carry none.
 //!
-//! Rule: each endpoint in use is checked at a fixed interval, within a budget that requests fill.
+//! Rule: each endpoint in use is checked at a fixed interval, within a budget that requests fill. Only the
+//! load report of a health check counts: its outcome neither ejects nor readmits an endpoint.
 
 use crate::endpoint_set::EndpointSet;
 use crate::ids::EndpointId;
--- a/balancer/src/outlier_ejection.rs
+++ b/balancer/src/outlier_ejection.rs
@@ -80,7 +80,7 @@
         self.failures.ratio -= FAILURE_GAIN_RATIO * self.failures.ratio;
     }
 
-    /// Counts a failure, by the part that is the endpoint's fault.
+    /// Counts a failure, by the fraction that is the endpoint's fault.
     pub fn record_failure(&mut self, excuse_ratio: f64) {
         self.failures.ratio += FAILURE_GAIN_RATIO * (1.0 - excuse_ratio - self.failures.ratio);
     }
--- a/balancer/src/pick.rs
+++ b/balancer/src/pick.rs
@@ -25,15 +25,15 @@
 /// class without a response.
 const UNRESPONSIVE_LATENCIES: f64 = 3.0;
 
-/// The weight of an endpoint whose idle connections have closed counts this part: each request there would
-/// need a handshake.
+/// The weight of an endpoint whose idle connections have closed is multiplied by this: each request there
+/// would need a handshake.
 const CLOSED_CONNECTIONS_RATIO: f64 = 0.25;
 
 /// The weight of an endpoint that fails another class is multiplied by this for the classes that it serves,
 /// so that the endpoints that serve all classes keep capacity for that one.
 const FAILS_OTHER_CLASS_FACTOR: f64 = 4.0;
 
-/// Weights fall with this power of the part that does not fail.
+/// Weights fall with this power of the fraction that does not fail.
 const HEALTH_EXPONENT: i32 = 4;
 
 /// What the pick needs to know of a request and the fleet.
--- a/balancer/src/retry.rs
+++ b/balancer/src/retry.rs
@@ -1,8 +1,12 @@
 //! Which requests may be attempted again, where, and how many of them.
 //!
 //! Rule: a request of which an attempt may have run is retried only if its class is idempotent, or if it
-//! has an idempotency key and the retry goes, within the deduplication window, to an endpoint that drops
-//! the repeat. Attempts that provably never ran don't count. All retries together stay within a budget.
+//! has an idempotency key and the retry goes, within the deduplication window, to an endpoint that
+//! deduplicates it. Attempts that provably never ran don't count. All retries together stay within a
+//! budget.
+//!
+//! The gateway checks each attempt again, independently of the balancer, before it sends it: `permit.rs` in
+//! `gateway/src/`.
 
 use crate::request::Request;
 use crate::settings::{DeduplicationScope, Idempotency, RequestClass};
@@ -39,7 +43,7 @@
     }
 }
 
-/// Whether an endpoint there drops a repeat of the request, should it need to.
+/// Whether an endpoint there deduplicates a retry of the request, where that is needed.
 pub(crate) fn is_in_scope(class: &RequestClass, request: &Request, locality: Locality) -> bool {
     if class.idempotency != Idempotency::IdempotentWithKey {
         return true;
--- a/balancer/src/settings.rs
+++ b/balancer/src/settings.rs
@@ -7,13 +7,14 @@
 pub enum Idempotency {
     /// May run any number of times.
     Idempotent,
-    /// Carries an idempotency key: the endpoints of one [`DeduplicationScope`] drop repeats for a while.
+    /// Carries an idempotency key: the endpoints of one [`DeduplicationScope`] deduplicate retries for a
+    /// while.
     IdempotentWithKey,
     /// Must never run twice.
     NonIdempotent,
 }
 
-/// Which endpoints drop repeats of a request with an idempotency key.
+/// Which endpoints deduplicate retries of a request with an idempotency key.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DeduplicationScope {
     /// All of them.
@@ -37,10 +38,10 @@
     pub late_value_ratio: f64,
     /// Whether it may be retried.
     pub idempotency: Idempotency,
-    /// With an idempotency key: which endpoints drop repeats.
+    /// With an idempotency key: which endpoints deduplicate retries.
     pub deduplication_scope: DeduplicationScope,
-    /// With an idempotency key: how long repeats are dropped, in ms from sending the first attempt that may
-    /// have run.
+    /// With an idempotency key: how long retries are deduplicated, in ms from sending the first attempt
+    /// that may have run.
     pub deduplication_window_ms: f64,
 }
 
@@ -118,9 +119,11 @@
     /// Only a drain that the endpoint list has shown binds: an endpoint that is removed without one may
     /// still be sent to.
     pub removal_is_advisory: bool,
-    /// Weight of availability in the deployment's result, counted in nines of the served part.
+    /// Weight of availability in the deployment's result, counted in nines of the served fraction. No rule
+    /// reads it: the deployment's settings have it, and it is checked with them.
     pub availability_weight: f64,
-    /// The nines that earn that weight in full, where the deployment gives them.
+    /// The nines that earn that weight in full, where the deployment gives them. Checked and not read, like
+    /// the weight.
     pub availability_target_nines: Option<f64>,
 }
 
--- a/balancer/src/subset.rs
+++ b/balancer/src/subset.rs
@@ -1,8 +1,8 @@
 //! The subset: which of the eligible endpoints this gateway uses.
 //!
-//! Rule: a gateway uses so many endpoints, by its share of the traffic, that each endpoint has about
-//! [`GATEWAYS_PER_ENDPOINT_COUNT`] gateways, and up to three times as many in a small fleet. New ones come
-//! from a low-discrepancy sequence over all gateways, which uses endpoints evenly; surplus ones go at
+//! Rule: a gateway uses a number of endpoints, by its share of the traffic, with which each endpoint has
+//! about [`GATEWAYS_PER_ENDPOINT_COUNT`] gateways, and up to three times as many in a small fleet. New ones
+//! come from a low-discrepancy sequence over all gateways, which uses endpoints evenly; surplus ones go at
 //! random.
 
 use crate::endpoint_set::EndpointSet;
--- a/balancer/src/wakeup.rs
+++ b/balancer/src/wakeup.rs
@@ -4,7 +4,7 @@
 //! less often; and when discovery is due. An earlier wake-up than the one already asked for is asked for in
 //! addition.
 
-/// Pending requests are tried this often.
+/// Pending requests are tried this often, or every tick where that is longer.
 pub(crate) const WAKE_INTERVAL_MS: f64 = 10.0;
 
 /// Without pending requests, health checks are sent once in this many intervals.
--- a/gateway/src/permit.rs
+++ b/gateway/src/permit.rs
@@ -1,5 +1,8 @@
 //! The rule that decides whether an attempt may begin: checked when the balancer asks for it, and again before its first
 //! byte is written, since the first answer may no longer hold. No I/O and no clock.
+//!
+//! Which requests are retried is the balancer's decision (`retry.rs` in `balancer/src/`). This check is independent of it: an
+//! attempt that it denies is not sent, whatever the balancer has asked for.
 use crate::invariants::Invariant;
 use ternstack_balancer::{DeduplicationScope, Idempotency, RequestClass};
 use tokio::time::Instant;
