--- a/balancer/src/balancer/endpoints.rs
+++ b/balancer/src/balancer/endpoints.rs
@@ -59,7 +59,7 @@
         let assessment = AttemptAssessment::of(
             end,
             class.map(|class| self.settings.classes[class].latency_objective_ms),
-            self.fleet.objective_ms(),
+            self.fleet.objective_ms,
             self.latencies.slowest_class_ms(),
         );
         let excuse_ratio = self.count_failure(tenant, class, assessment);
@@ -102,7 +102,7 @@
     /// Counts a success or a failure for the endpoint.
     fn record_endpoint_outcome(&mut self, now_ms: f64, attempt: &EndedAttempt) {
         let AttemptAssessment { stalled, served_as_stall, .. } = attempt.assessment;
-        let objective_ms = self.fleet.objective_ms();
+        let objective_ms = self.fleet.objective_ms;
         let Some(endpoint) = self.fleet.endpoints.get_mut(attempt.end.endpoint) else { return };
         match attempt.end.outcome {
             Outcome::Served if !served_as_stall => endpoint.record_success(now_ms),
@@ -141,7 +141,8 @@
             endpoint.mark_responsive(now_ms);
         }
         endpoint.health.record_failure(attempt.excuse_ratio);
-        // Without the list's word, or a response ever, the first failed connection is enough.
+        // Where neither the list nor a response has confirmed the endpoint, one failed connection is
+        // enough.
         let is_confirmed = endpoint.proven && endpoint.unlisted_since_ms.is_none();
         let is_dead = !is_confirmed && attempt.end.outcome == Outcome::ConnectFailed;
         if !is_dead && !self.outlier_ejection.must_eject(&endpoint.health, attempt.mean_failure_ratio) {
--- a/balancer/src/balancer/requests.rs
+++ b/balancer/src/balancer/requests.rs
@@ -9,7 +9,7 @@
 use crate::ids::{EndpointId, RequestId};
 use crate::pending_queue::MAX_MISSES_COUNT;
 use crate::pick::EndpointPick;
-use crate::rate_limiter::RateLimit;
+use crate::rate_limiter::{LimitedRequest, RateLimit};
 use crate::request::{Attempt, Request};
 use crate::retry;
 use crate::retry_after::RetryAfter;
@@ -28,7 +28,7 @@
 impl Balancer {
     /// A request has arrived: rejects it, sends it, or enqueues it.
     pub(super) fn on_request(&mut self, now_ms: f64, arrival: &Arrival, actions: &mut Vec<Action>) {
-        if !self.fleet.weights_reflect_load() {
+        if !self.fleet.weights_reflect_load {
             self.spillover.learn(now_ms, &self.fleet);
         }
         let saturation_ratio = self.saturation_ratio(now_ms);
@@ -102,8 +102,13 @@
         let Some(tenant) = tenant.filter(|tenant| self.rate_limiter.knows(*tenant)) else {
             return RateLimit::Within;
         };
-        let traffic_share_ratio = self.fleet.traffic_share.traffic_share_ratio();
-        let limit = self.rate_limiter.check(now_ms, tenant, traffic_share_ratio, is_full, &mut self.rng);
+        let request = LimitedRequest {
+            now_ms,
+            tenant,
+            traffic_share_ratio: self.fleet.traffic_share.traffic_share_ratio(),
+            fleet_is_full: is_full,
+        };
+        let limit = self.rate_limiter.check(&request, &mut self.rng);
         if !is_full {
             self.fleet.learn_traffic_share(now_ms);
         }
@@ -223,7 +228,7 @@
     }
 
     /// Sends another attempt of a request that has none in flight, or ends it. What fails for its tenant or
-    /// class everywhere is retried the less.
+    /// class everywhere is retried with a lower probability.
     fn retry_or_end(&mut self, now_ms: f64, id: RequestId, blame_ratio: f64, actions: &mut Vec<Action>) {
         let Some(request) = self.requests.get(&id) else { return };
         let attempts_left = (request.attempts.len() as u32) < self.settings.max_attempts;
--- a/balancer/src/concurrency_limit.rs
+++ b/balancer/src/concurrency_limit.rs
@@ -41,7 +41,7 @@
         }
         let own_capacity_per_s = capacity_per_s * self.limit_share_ratio(endpoint);
         let usable_per_s = own_capacity_per_s * endpoint.concurrency.factor();
-        drainable_count(usable_per_s, self.fleet.objective_ms())
+        drainable_count(usable_per_s, self.fleet.objective_ms)
     }
 
     /// This gateway's share of the endpoint's requests: its send rate over the reported throughput, and at
--- a/balancer/src/endpoint.rs
+++ b/balancer/src/endpoint.rs
@@ -6,7 +6,7 @@
 use crate::event::{EndpointRecord, Readiness};
 use crate::load::EndpointLoad;
 use crate::outlier_ejection::EndpointHealth;
-use crate::start_history::StartHistory;
+use crate::start_history::{is_known_start, StartHistory};
 use crate::zone::Locality;
 
 /// An endpoint silent for longer than this has probably restarted once it is back.
@@ -27,8 +27,8 @@
     pub concurrency: ConcurrencyFactor,
     /// Process starts as reported by discovery.
     pub starts: StartHistory,
-    /// Since when it is in slow start; it may be over by now.
-    pub slow_start_since_ms: Option<f64>,
+    /// When its last slow start began; see [`Endpoint::slow_start_since_ms`].
+    slow_start_at_ms: Option<f64>,
     /// This gateway's attempts in flight there.
     pub in_flight_count: u32,
     /// The rate at which this gateway sends it attempts.
@@ -59,6 +59,17 @@
         }
     }
 
+    /// Since when it is in slow start, which may be over by now; `None` if it never was, or since long ago
+    /// ([`is_known_start`]).
+    pub fn slow_start_since_ms(&self) -> Option<f64> {
+        self.slow_start_at_ms.filter(|at_ms| is_known_start(*at_ms))
+    }
+
+    /// It is in slow start since a time.
+    pub fn set_slow_start(&mut self, at_ms: f64) {
+        self.slow_start_at_ms = Some(at_ms);
+    }
+
     /// Whether the list lets it have requests.
     pub fn is_active(&self) -> bool {
         self.record.readiness == Readiness::Active
@@ -98,7 +109,7 @@
         self.health.record_success();
         let was_ejected = self.health.readmit();
         if was_ejected && now_ms - self.last_response_at_ms > RESTART_SILENCE_MS {
-            self.slow_start_since_ms = Some(now_ms);
+            self.set_slow_start(now_ms);
             self.load.reset_capacity();
         }
         self.mark_responsive(now_ms);
--- a/balancer/src/endpoint_updates.rs
+++ b/balancer/src/endpoint_updates.rs
@@ -67,7 +67,7 @@
         let mut endpoint = known.unwrap_or_else(|| self.new_endpoint());
         endpoint.unlisted_since_ms = None;
         endpoint.proven |= self.kind == UpdateKind::Cached;
-        if self.fleet.weights_reflect_load() {
+        if self.fleet.weights_reflect_load {
             endpoint.load.apply_listed_weight(record.weight);
         }
         endpoint.record = record;
@@ -87,12 +87,10 @@
         let started_at_ms = endpoint.record.started_at_ms;
         let slow_start_since_ms = self.new_start_ms(endpoint, started_at_ms, is_first_list);
         endpoint.record.started_at_ms = endpoint.starts.last_ms();
-        let was_warming_up = endpoint.slow_start_since_ms.is_some_and(|since_ms| since_ms > 0.0)
+        let was_warming_up = endpoint.slow_start_since_ms().is_some()
             && self.fleet.slow_start.is_warming_up(self.now_ms, endpoint);
-        if slow_start_since_ms.is_none() {
-            return false;
-        }
-        endpoint.slow_start_since_ms = slow_start_since_ms;
+        let Some(slow_start_since_ms) = slow_start_since_ms else { return false };
+        endpoint.set_slow_start(slow_start_since_ms);
         if !was_warming_up {
             self.begin_slow_start(endpoint);
         }
--- a/balancer/src/event.rs
+++ b/balancer/src/event.rs
@@ -32,7 +32,7 @@
     pub weight: f64,
     /// Whether it takes requests.
     pub readiness: Readiness,
-    /// When its process last started, in ms; 0 for long ago.
+    /// When its process last started, in ms; 0 (or less) for long ago.
     pub started_at_ms: f64,
 }
 
--- a/balancer/src/fleet.rs
+++ b/balancer/src/fleet.rs
@@ -25,11 +25,14 @@
     pub slow_start: SlowStart,
     /// This gateway's share of the fleet's traffic.
     pub traffic_share: TrafficShare,
-    /// How much the fleet load of endpoints counts: 0 until it is known.
-    fleet_load_weight: f64,
-    weights_reflect_load: bool,
-    own_zone: u32,
-    objective_ms: f64,
+    /// How much the fleet load of endpoints counts, from 0 to 1: 0 until it is known.
+    pub fleet_load_weight: f64,
+    /// The list's weights tell the fleet load of endpoints.
+    pub weights_reflect_load: bool,
+    /// This gateway's zone.
+    pub own_zone: u32,
+    /// The shortest latency objective of all classes, in ms.
+    pub objective_ms: f64,
 }
 
 impl Fleet {
@@ -47,21 +50,6 @@
         }
     }
 
-    /// The shortest latency objective of all classes, in ms.
-    pub fn objective_ms(&self) -> f64 {
-        self.objective_ms
-    }
-
-    /// How much the fleet load of endpoints counts, from 0 to 1.
-    pub fn fleet_load_weight(&self) -> f64 {
-        self.fleet_load_weight
-    }
-
-    /// Whether the list's weights tell the fleet load of endpoints.
-    pub fn weights_reflect_load(&self) -> bool {
-        self.weights_reflect_load
-    }
-
     /// On which side of the zone boundary an endpoint is.
     pub fn side_of(&self, endpoint: &Endpoint) -> ZoneSide {
         ZoneSide::of(endpoint.record.zone, self.own_zone)
--- a/balancer/src/health_checks.rs
+++ b/balancer/src/health_checks.rs
@@ -6,7 +6,7 @@
 use crate::endpoint_set::EndpointSet;
 use crate::ids::EndpointId;
 use crate::settings::{LoadReportDelivery, Settings};
-use crate::token_budget::TokenBudget;
+use crate::token_budget::{TokenBudget, TokenRate};
 
 /// Interval of health checks to an endpoint.
 pub(crate) const HEALTH_CHECK_INTERVAL_MS: f64 = 1500.0;
@@ -30,7 +30,10 @@
         let needed = settings.load_report_delivery == LoadReportDelivery::OnHealthCheck;
         HealthChecks {
             enabled: settings.health_checks_allowed && needed,
-            budget: TokenBudget::new(HEALTH_CHECK_RATIO, HEALTH_CHECK_BURST_COUNT),
+            budget: TokenBudget::new(TokenRate {
+                tokens_per_request: HEALTH_CHECK_RATIO,
+                burst_count: HEALTH_CHECK_BURST_COUNT,
+            }),
         }
     }
 
--- a/balancer/src/load.rs
+++ b/balancer/src/load.rs
@@ -90,7 +90,7 @@
         self.weight_per_s = Some(self.weight_per_s.map_or(sample, smoothed));
     }
 
-    /// An endpoint that is hardly used looks far larger than it is: the less utilization, the less gain.
+    /// An endpoint that is hardly used looks far larger than it is: the gain falls with the utilization.
     fn learn_capacity(&mut self, utilization: f64, throughput_per_s: f64, mean_capacity_per_s: Option<f64>) {
         let sample = throughput_per_s / utilization.clamp(MIN_CAPACITY_UTILIZATION_RATIO, 1.0);
         let reliability = (utilization / RELIABLE_UTILIZATION_RATIO).min(1.0);
--- a/balancer/src/pick.rs
+++ b/balancer/src/pick.rs
@@ -139,7 +139,7 @@
             self.now_ms,
             self.request.class,
             means.least_error_ratio,
-            self.fleet.objective_ms(),
+            self.fleet.objective_ms,
         );
         match exclusion {
             ClassExclusion::Included => {
--- a/balancer/src/rate_limiter.rs
+++ b/balancer/src/rate_limiter.rs
@@ -26,6 +26,19 @@
     by_tenant: Vec<TenantRate>,
 }
 
+/// A request that is checked against its tenant's limit.
+#[derive(Clone, Copy, Debug)]
+pub(crate) struct LimitedRequest {
+    /// When it arrived.
+    pub now_ms: f64,
+    /// Index of its tenant in the settings.
+    pub tenant: usize,
+    /// This gateway's share of the fleet's traffic, from 0 to 1.
+    pub traffic_share_ratio: f64,
+    /// The fleet is full: only then do limits bind.
+    pub fleet_is_full: bool,
+}
+
 /// What the limiter says of a request.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) enum RateLimit {
@@ -53,18 +66,16 @@
         tenant < self.by_tenant.len()
     }
 
-    /// Counts a request for its tenant. `traffic_share_ratio` is this gateway's share of the fleet's
-    /// traffic, and limits bind only where the fleet `is_full`.
-    pub fn check(
-        &mut self, now_ms: f64, tenant: usize, traffic_share_ratio: f64, is_full: bool, rng: &mut Rand64,
-    ) -> RateLimit {
+    /// Counts a request for its tenant, and says whether the tenant's limit rejects it.
+    pub fn check(&mut self, request: &LimitedRequest, rng: &mut Rand64) -> RateLimit {
+        let LimitedRequest { now_ms, tenant, traffic_share_ratio, fleet_is_full } = *request;
         let Some(TenantRate { quota_per_s, rate }) = self.by_tenant.get_mut(tenant) else {
             return RateLimit::Within;
         };
         rate.record(now_ms);
         let rate_per_s = rate.per_s(now_ms);
         let limit_per_s = *quota_per_s * traffic_share_ratio;
-        if *quota_per_s <= 0.0 || rate_per_s <= limit_per_s || !is_full {
+        if *quota_per_s <= 0.0 || rate_per_s <= limit_per_s || !fleet_is_full {
             return RateLimit::Within;
         }
         if rng.rand_float() < limit_per_s / rate_per_s {
--- a/balancer/src/retry.rs
+++ b/balancer/src/retry.rs
@@ -10,7 +10,7 @@
 
 use crate::request::Request;
 use crate::settings::{DeduplicationScope, Idempotency, RequestClass};
-use crate::token_budget::TokenBudget;
+use crate::token_budget::{TokenBudget, TokenRate};
 use crate::zone::Locality;
 
 /// Retries may be this fraction of the requests, plus a burst.
@@ -25,7 +25,7 @@
 
 /// The budget of retries.
 pub(crate) fn retry_budget() -> TokenBudget {
-    TokenBudget::new(RETRY_RATIO, RETRY_BURST_COUNT)
+    TokenBudget::new(TokenRate { tokens_per_request: RETRY_RATIO, burst_count: RETRY_BURST_COUNT })
 }
 
 /// Whether a retry sent now could be in time.
--- a/balancer/src/saturation.rs
+++ b/balancer/src/saturation.rs
@@ -15,7 +15,7 @@
     let endpoints = &fleet.endpoints;
     let subset = endpoints.subset();
     let side = if subset.local.is_empty() { ZoneSide::Remote } else { ZoneSide::Local };
-    let fleet_load_weight = fleet.fleet_load_weight();
+    let fleet_load_weight = fleet.fleet_load_weight;
     let in_flight_count: f64 = endpoints
         .of(subset.get(side).iter())
         .map(|endpoint| f64::from(endpoint.in_flight_count) + fleet_load_weight * endpoint.load.fleet_load)
--- a/balancer/src/slow_start.rs
+++ b/balancer/src/slow_start.rs
@@ -70,8 +70,8 @@
 
     /// The fraction of its capacity that an endpoint can be trusted with, by its age.
     pub fn warm_up_ratio(&self, now_ms: f64, endpoint: &Endpoint) -> f64 {
-        let since_ms = endpoint.slow_start_since_ms.filter(|since_ms| *since_ms > 0.0);
-        let age_ms = since_ms.map_or(f64::INFINITY, |since_ms| (now_ms - since_ms).max(0.0));
+        let age_ms =
+            endpoint.slow_start_since_ms().map_or(f64::INFINITY, |since_ms| (now_ms - since_ms).max(0.0));
         let elapsed_ratio = (age_ms / self.duration_ms.max(1.0)).min(1.0);
         self.min_ratio + (1.0 - self.min_ratio) * elapsed_ratio
     }
--- a/balancer/src/spillover.rs
+++ b/balancer/src/spillover.rs
@@ -47,7 +47,7 @@
         self.ratio
     }
 
-    /// Learns from how busy the zones are, the longer since the last update the more.
+    /// Learns from how busy the zones are, with a gain that grows with the time since the last update.
     pub fn learn(&mut self, now_ms: f64, fleet: &Fleet) {
         let Some(local_ratio) = busy_ratio(fleet, ZoneSide::Local) else { return };
         let remote_ratio = busy_ratio(fleet, ZoneSide::Remote).unwrap_or(LOCAL_SATURATION_LIMIT_RATIO);
@@ -62,7 +62,7 @@
 /// How busy the endpoints of a side are, by listed weights where these reflect load, else by reports.
 fn busy_ratio(fleet: &Fleet, side: ZoneSide) -> Option<f64> {
     let endpoints: &EndpointSet = &fleet.endpoints;
-    if fleet.weights_reflect_load() {
+    if fleet.weights_reflect_load {
         let eligible = endpoints.eligible().get(side);
         endpoints.mean_of(eligible.iter(), |endpoint| Some(endpoint.load.busy_ratio()))
     } else {
--- a/balancer/src/start_history.rs
+++ b/balancer/src/start_history.rs
@@ -3,7 +3,13 @@
 //! Rule: a start is new if it is neither of the last two. Clocks that are stepped may give a later start an
 //! earlier time, and discovery servers that disagree may alternate in their responses.
 
-/// The last two reported starts, in ms; 0 for long ago.
+/// Whether a time of a process start is known. 0, or any time before it, means that the process started
+/// long ago, at a time that nobody has recorded.
+pub(crate) fn is_known_start(started_at_ms: f64) -> bool {
+    started_at_ms > 0.0
+}
+
+/// The last two reported starts, in ms; see [`is_known_start`] for 0.
 #[derive(Debug, Default)]
 pub(crate) struct StartHistory {
     last_ms: f64,
@@ -18,8 +24,9 @@
 
     /// Records a reported start; true if it is new.
     pub fn learn(&mut self, started_at_ms: f64) -> bool {
-        let is_new =
-            started_at_ms > 0.0 && started_at_ms != self.last_ms && started_at_ms != self.previous_ms;
+        let is_new = is_known_start(started_at_ms)
+            && started_at_ms != self.last_ms
+            && started_at_ms != self.previous_ms;
         if is_new {
             self.previous_ms = self.last_ms;
             self.last_ms = started_at_ms;
--- a/balancer/src/token_budget.rs
+++ b/balancer/src/token_budget.rs
@@ -1,22 +1,30 @@
 //! A budget of tokens that requests deposit and extra work withdraws.
 
+/// How fast a budget fills, and how far.
+#[derive(Clone, Copy, Debug)]
+pub(crate) struct TokenRate {
+    /// Tokens that each request deposits.
+    pub tokens_per_request: f64,
+    /// The most tokens that the budget holds.
+    pub burst_count: f64,
+}
+
 /// A budget: each request deposits a fraction of a token, each piece of extra work withdraws one.
 #[derive(Debug)]
 pub(crate) struct TokenBudget {
     tokens_count: f64,
-    deposit_count: f64,
-    burst_count: f64,
+    rate: TokenRate,
 }
 
 impl TokenBudget {
-    /// A full budget of `burst_count` tokens, to which each request adds `deposit_count`.
-    pub fn new(deposit_count: f64, burst_count: f64) -> Self {
-        TokenBudget { tokens_count: burst_count, deposit_count, burst_count }
+    /// A full budget.
+    pub fn new(rate: TokenRate) -> Self {
+        TokenBudget { tokens_count: rate.burst_count, rate }
     }
 
     /// A request has arrived.
     pub fn deposit(&mut self) {
-        self.tokens_count = (self.tokens_count + self.deposit_count).min(self.burst_count);
+        self.tokens_count = (self.tokens_count + self.rate.tokens_per_request).min(self.rate.burst_count);
     }
 
     /// Whether a token is left.
--- a/balancer/src/traffic_share.rs
+++ b/balancer/src/traffic_share.rs
@@ -41,8 +41,8 @@
         self.traffic_share_ratio
     }
 
-    /// 1 where the gateways are so few that each sees enough of every endpoint, and less the more there
-    /// are.
+    /// 1 in a fleet with few gateways, each of which sees enough of every endpoint; falls as gateways are
+    /// added.
     pub fn visibility_ratio(&self) -> f64 {
         (GATEWAYS_PER_ENDPOINT_COUNT * self.even_share_ratio).min(1.0)
     }
