--- a/balancer/src/balancer.rs
+++ b/balancer/src/balancer.rs
@@ -15,7 +15,6 @@
 use crate::health_checks::HealthChecks;
 use crate::ids::{EndpointId, RequestId};
 use crate::latency_estimates::LatencyEstimates;
-use crate::locality::Spillover;
 use crate::outlier_ejection::OutlierEjection;
 use crate::pending_queue::PendingQueue;
 use crate::rate_limiter::RateLimiter;
@@ -24,6 +23,7 @@
 use crate::retry;
 use crate::saturation::saturation_ratio;
 use crate::settings::{Idempotency, Settings, SettingsError};
+use crate::spillover::Spillover;
 use crate::token_budget::TokenBudget;
 use crate::wakeup::{WakeReasons, WakeUp};
 use oorandom::Rand64;
@@ -137,7 +137,7 @@
         let in_use = self.fleet.endpoints.in_use();
         let context = RejectionContext {
             saturation_ratio: self.saturation_ratio(now_ms),
-            traffic_share_ratio: self.fleet.traffic_share.ratio(),
+            traffic_share_ratio: self.fleet.traffic_share.traffic_share_ratio(),
             spillover_ratio: self.spillover.ratio(),
             pending_count: self.pending.len(),
             ejected_count: in_use.filter(|endpoint| endpoint.health.is_ejected()).count(),
--- a/balancer/src/settings.rs
+++ b/balancer/src/settings.rs
@@ -7,13 +7,14 @@
 pub enum Idempotency {
     /// May run any number of times.
     Idempotent,
-    /// Carries an idempotency key: the endpoints of one [`DeduplicationScope`] drop repeats for a while.
+    /// Carries an idempotency key: the endpoints of one [`DeduplicationScope`] deduplicate retries for a
+    /// while.
     IdempotentWithKey,
     /// Must never run twice.
     NonIdempotent,
 }
 
-/// Which endpoints drop repeats of a request with an idempotency key.
+/// Which endpoints deduplicate retries of a request with an idempotency key.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DeduplicationScope {
     /// All of them.
@@ -37,15 +38,16 @@
     pub late_value_ratio: f64,
     /// Whether it may be retried.
     pub idempotency: Idempotency,
-    /// With an idempotency key: which endpoints drop repeats.
+    /// With an idempotency key: which endpoints deduplicate retries.
     pub deduplication_scope: DeduplicationScope,
-    /// With an idempotency key: how long repeats are dropped, in ms from sending the first attempt that may
-    /// have run.
+    /// With an idempotency key: how long retries are deduplicated, in ms from sending the first attempt
+    /// that may have run.
     pub deduplication_window_ms: f64,
 }
 
 impl RequestClass {
-    /// Whether a client may be told that a retry of its own is harmless, given that an attempt may have run.
+    /// Whether a client may be told that a retry of its own is harmless, given that an attempt may have
+    /// run.
     pub fn may_reject(&self, may_have_run: bool) -> bool {
         let deduplicated_everywhere = self.idempotency == Idempotency::IdempotentWithKey
             && self.deduplication_scope == DeduplicationScope::All;
@@ -90,7 +92,7 @@
     pub tick_ms: f64,
     /// The endpoint list's weights are sizes divided by 1 + requests in flight a core.
     pub weights_reflect_load: bool,
-    /// Cost of an attempt that crosses zones, as a part of the value of a request.
+    /// Cost of an attempt that crosses zones, as a fraction of the value of a request.
     pub cross_zone_cost_ratio: f64,
     /// Endpoints close an idle connection after this time, in ms.
     pub connection_idle_timeout_ms: f64,
@@ -108,18 +110,20 @@
     pub max_retry_after_ms: f64,
     /// A watch, or a poll, of discovery must be at most this old, in ms.
     pub max_discovery_age_ms: f64,
-    /// An endpoint starts with this part of its capacity or more, from 0 to 1.
+    /// An endpoint starts with this fraction of its capacity or more, from 0 to 1.
     pub slow_start_min_ratio: f64,
     /// An endpoint has its full capacity after this time, in ms.
     pub slow_start_ms: f64,
     /// An endpoint in slow start fails when sent more than this multiple of its capacity at that moment.
     pub slow_start_overload_multiple: f64,
-    /// Only a drain that the endpoint list has shown binds: an endpoint that is removed without one may still
-    /// be sent to.
+    /// Only a drain that the endpoint list has shown binds: an endpoint that is removed without one may
+    /// still be sent to.
     pub removal_is_advisory: bool,
-    /// Weight of availability in the deployment's result, counted in nines of the served part.
+    /// Weight of availability in the deployment's result, counted in nines of the served fraction. No rule
+    /// reads it: the deployment's settings have it, and it is checked with them.
     pub availability_weight: f64,
-    /// The nines that earn that weight in full, where the deployment gives them.
+    /// The nines that earn that weight in full, where the deployment gives them. Checked and not read, like
+    /// the weight.
     pub availability_target_nines: Option<f64>,
 }
 
