--- a/gateway/src/endpoint_list.rs
+++ b/gateway/src/endpoint_list.rs
@@ -4,7 +4,7 @@
 use std::net::SocketAddr;
 use thiserror::Error;
 
-/// Whether a server takes work.
+/// Whether an endpoint takes work.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "UPPERCASE")]
 pub enum EndpointState {
@@ -16,23 +16,23 @@
     Deleted,
 }
 
-/// One server of the list. Unknown JSON keys are ignored.
+/// One endpoint of the list. Unknown JSON keys are ignored.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 pub struct Endpoint {
     /// Its name, the same at every gateway and after a restart.
     pub uid: String,
-    /// Its address for this gateway; a deleted server may have none.
+    /// Its address for this gateway; a deleted endpoint may have none.
     #[serde(rename = "endpoint")]
     pub address: Option<SocketAddr>,
     /// Its zone's name.
     #[serde(rename = "az", default)]
     pub zone: String,
-    /// Its cell: servers that share deduplication of idempotency keys.
+    /// Its cell: endpoints that share deduplication of idempotency keys.
     #[serde(rename = "pod_group", default)]
     pub cell: u32,
     /// Whether it takes work.
     pub state: EndpointState,
-    /// Its capacity in relation to the other servers'.
+    /// Its capacity in relation to the other endpoints'.
     #[serde(rename = "capacity_hint", default = "default_capacity_weight")]
     pub capacity_weight: f64,
     /// Its last start in milliseconds of Unix time; 0 for long ago.
@@ -53,7 +53,7 @@
     /// True for a complete list, false for a delta.
     #[serde(rename = "all")]
     pub is_complete: bool,
-    /// The entries.
+    /// The endpoints listed.
     #[serde(rename = "targets")]
     pub endpoints: Vec<Endpoint>,
 }
@@ -64,10 +64,10 @@
     /// The text is not JSON, or a key is missing or of the wrong type.
     #[error(transparent)]
     Json(#[from] serde_json::Error),
-    /// A server that is not deleted has no address.
+    /// An endpoint that is not deleted has no address.
     #[error("targets: {uid}: endpoint is missing")]
     MissingAddress {
-        /// The server's name.
+        /// The endpoint's name.
         uid: String,
     },
 }
@@ -91,9 +91,9 @@
 
     fn validated(self) -> Result<Self, EndpointListError> {
         let has_no_address =
-            |entry: &&Endpoint| entry.state != EndpointState::Deleted && entry.address.is_none();
+            |endpoint: &&Endpoint| endpoint.state != EndpointState::Deleted && endpoint.address.is_none();
         match self.endpoints.iter().find(has_no_address) {
-            Some(entry) => Err(EndpointListError::MissingAddress { uid: entry.uid.clone() }),
+            Some(endpoint) => Err(EndpointListError::MissingAddress { uid: endpoint.uid.clone() }),
             None => Ok(self),
         }
     }
--- a/gateway/src/event_loop/attempts.rs
+++ b/gateway/src/event_loop/attempts.rs
@@ -1,5 +1,5 @@
 //! Attempts and health checks: sending, cancelling, and what follows from their ends.
-use super::endpoints::Target;
+use super::endpoints::ReachableEndpoint;
 use super::open_requests::SentAttempt;
 use super::EventLoop;
 use crate::events::{AttemptResult, RawRequest, Response};
@@ -15,36 +15,36 @@
 
 impl EventLoop {
     /// Sends a request's next attempt. One that is not permitted ends at once as never sent.
-    pub(super) fn send_attempt(&mut self, id: RequestId, server: EndpointId, give_up_at_ms: f64) {
+    pub(super) fn send_attempt(&mut self, id: RequestId, endpoint: EndpointId, give_up_at_ms: f64) {
         let Some(request) = self.requests.get_mut(id) else {
             let detail = format_args!("an attempt of a request that is not open");
             return self.violations.record(Invariant::NoAttemptAfterResponse, id.0, detail);
         };
         let Some(class) = self.classes.get(request.class) else { return };
-        let target = self.endpoints.target(server);
-        let locality = target.as_ref().map(|target| target.locality);
+        let reachable = self.endpoints.reachable(endpoint);
+        let locality = reachable.as_ref().map(|reachable| reachable.locality);
         let give_up_at = self.clock.instant(give_up_at_ms).min(request.deadline);
         let permit = request.permit(class, self.max_attempts, give_up_at, locality);
         let send_by = request.deduplicated_until();
-        let is_keyed = class.idempotency == Idempotency::IdempotentWithKey;
+        let has_idempotency_key = class.idempotency == Idempotency::IdempotentWithKey;
         let prior = PriorAttempt {
             locality: locality.unwrap_or_default(),
-            deduplicated_until: is_keyed
+            deduplicated_until: has_idempotency_key
                 .then(|| self.clock.instant(self.now_ms + class.deduplication_window_ms)),
             may_have_run: true,
             in_flight: true,
         };
         let (cancel, cancelled) = oneshot::channel();
-        let attempt = SentAttempt { server, sent_at_ms: self.now_ms, prior, cancel: Some(cancel) };
+        let attempt = SentAttempt { endpoint, sent_at_ms: self.now_ms, prior, cancel: Some(cancel) };
         let number = request.push_attempt(attempt);
-        match (permit, target) {
-            (Ok(()), Some(Target { address, incarnation, .. })) => {
-                debug!(request_id = id.0, attempt = number, server_id = server.0, "sending attempt");
+        match (permit, reachable) {
+            (Ok(()), Some(ReachableEndpoint { address, incarnation, .. })) => {
+                debug!(request_id = id.0, attempt = number, endpoint_id = endpoint.0, "sending attempt");
                 let purpose = Purpose::Request { id, attempt: number };
                 let raw = request.raw.clone();
                 self.upstream.start(Attempt {
                     purpose,
-                    server,
+                    endpoint,
                     incarnation,
                     address,
                     raw,
@@ -54,16 +54,16 @@
                 });
             }
             (permit, _) => {
-                let denial = permit.err().unwrap_or(Denial::ServerUnavailable);
-                self.deny_attempt(id, number, server, denial);
+                let denial = permit.err().unwrap_or(Denial::EndpointUnavailable);
+                self.deny_attempt(id, number, endpoint, denial);
             }
         }
     }
 
-    fn deny_attempt(&mut self, id: RequestId, number: u32, server: EndpointId, denial: Denial) {
-        debug!(request_id = id.0, attempt = number, server_id = server.0, ?denial, "attempt not sent");
+    fn deny_attempt(&mut self, id: RequestId, number: u32, endpoint: EndpointId, denial: Denial) {
+        debug!(request_id = id.0, attempt = number, endpoint_id = endpoint.0, ?denial, "attempt not sent");
         if let Some(invariant) = denial.violates() {
-            let detail = format_args!("attempt {number} at server {}: {denial:?}", server.0);
+            let detail = format_args!("attempt {number} at endpoint {}: {denial:?}", endpoint.0);
             self.violations.record(invariant, id.0, detail);
         }
         self.end_attempt(id, number, Outcome::NotSent, 0.0, LoadReport::default());
@@ -84,13 +84,13 @@
             return self.violations.record(Invariant::AttemptKnown, id.0, detail);
         };
         let latency_ms = (self.clock.at(ended_at) - attempt.sent_at_ms).max(0.0);
-        if let Some(server) = self.endpoints.describe(attempt.server) {
-            let has_started = server.started_at_ms > 0.0;
-            let uptime_ms = has_started.then_some(self.now_ms - server.started_at_ms);
+        if let Some(endpoint) = self.endpoints.describe(attempt.endpoint) {
+            let has_started = endpoint.started_at_ms > 0.0;
+            let uptime_ms = has_started.then_some(self.now_ms - endpoint.started_at_ms);
             debug!(
                 request_id = id.0,
                 attempt = number,
-                server = server.uid,
+                endpoint = endpoint.uid,
                 uptime_ms,
                 ?outcome,
                 latency_ms,
@@ -115,7 +115,7 @@
         self.pending_events.push_back(Event::AttemptEnd(AttemptEnd {
             request: id,
             attempt: number,
-            endpoint: ended.server,
+            endpoint: ended.endpoint,
             outcome,
             latency_ms,
             request_complete: ended.is_answered,
@@ -123,15 +123,16 @@
         }));
     }
 
-    /// Asks a server for its load report, unless an earlier check of it is in flight.
-    pub(super) fn start_health_check(&mut self, server: EndpointId) {
-        let target = self.endpoints.target(server).filter(|_| !self.health_checks.contains_key(&server));
-        let Some(Target { address, incarnation, .. }) = target else { return };
+    /// Asks an endpoint for its load report, unless an earlier check of it is in flight.
+    pub(super) fn start_health_check(&mut self, endpoint: EndpointId) {
+        let reachable =
+            self.endpoints.reachable(endpoint).filter(|_| !self.health_checks.contains_key(&endpoint));
+        let Some(ReachableEndpoint { address, incarnation, .. }) = reachable else { return };
         let (cancel, cancelled) = oneshot::channel();
-        self.health_checks.insert(server, cancel);
+        self.health_checks.insert(endpoint, cancel);
         self.upstream.start(Attempt {
             purpose: Purpose::HealthCheck,
-            server,
+            endpoint,
             incarnation,
             address,
             raw: RawRequest {
--- a/gateway/src/event_loop/endpoints.rs
+++ b/gateway/src/event_loop/endpoints.rs
@@ -1,6 +1,6 @@
-//! The servers of the endpoint list, as the event loop needs them to send attempts.
+//! The endpoints of the endpoint list, as the event loop needs them to send attempts.
 use crate::endpoint_list::{EndpointList, EndpointState};
-use crate::permit::Locality;
+use crate::permit::EndpointLocality;
 use crate::upstream::Upstream;
 use std::collections::{BTreeMap, HashMap, HashSet};
 use std::net::SocketAddr;
@@ -8,40 +8,40 @@
 use ternstack_balancer::{EndpointId, EndpointRecord, Readiness, UpdateKind};
 use ternstack_settings::{stable_hash, NameTable};
 
-/// A server as last listed.
-struct ListedServer {
+/// An endpoint as last listed.
+struct ListedEndpoint {
     uid: String,
     address: Option<SocketAddr>,
-    locality: Locality,
+    locality: EndpointLocality,
     started_at_ms: f64,
-    /// Replaced when the server moves, restarts or stops serving: connections and attempts of an earlier incarnation
+    /// Replaced when the endpoint moves, restarts or stops serving: connections and attempts of an earlier incarnation
     /// hold a weak reference, and end.
     incarnation: Arc<()>,
 }
 
 /// Where an attempt goes.
-pub(super) struct Target {
-    /// The server's address.
+pub(super) struct ReachableEndpoint {
+    /// The endpoint's address.
     pub(super) address: SocketAddr,
-    /// The server's locality.
-    pub(super) locality: Locality,
-    /// The server's present incarnation.
+    /// The endpoint's locality.
+    pub(super) locality: EndpointLocality,
+    /// The endpoint's present incarnation.
     pub(super) incarnation: Weak<()>,
 }
 
-/// What the log says of a server.
-pub(super) struct ServerDescription<'a> {
-    /// The server's name.
+/// What the log says of an endpoint.
+pub(super) struct EndpointDescription<'a> {
+    /// The endpoint's name.
     pub(super) uid: &'a str,
     /// Its last start in milliseconds of Unix time; 0 for long ago.
     pub(super) started_at_ms: f64,
 }
 
-/// All servers that the balancer knows.
+/// All endpoints that the balancer knows.
 pub(super) struct Endpoints {
     names: NameTable,
     ids: HashMap<String, EndpointId>,
-    by_id: BTreeMap<EndpointId, ListedServer>,
+    by_id: BTreeMap<EndpointId, ListedEndpoint>,
     next_id: u32,
 }
 
@@ -50,74 +50,76 @@
         Endpoints { names, ids: HashMap::new(), by_id: BTreeMap::new(), next_id: 0 }
     }
 
-    /// Where an attempt to a server goes; `None` if the server has no address.
-    pub(super) fn target(&self, server: EndpointId) -> Option<Target> {
-        let listed = self.by_id.get(&server)?;
+    /// Where an attempt to an endpoint goes; `None` if the endpoint has no address.
+    pub(super) fn reachable(&self, endpoint: EndpointId) -> Option<ReachableEndpoint> {
+        let listed = self.by_id.get(&endpoint)?;
         let incarnation = Arc::downgrade(&listed.incarnation);
-        Some(Target { address: listed.address?, locality: listed.locality, incarnation })
+        Some(ReachableEndpoint { address: listed.address?, locality: listed.locality, incarnation })
     }
 
-    /// What the log says of a server.
-    pub(super) fn describe(&self, server: EndpointId) -> Option<ServerDescription<'_>> {
-        let listed = self.by_id.get(&server)?;
-        Some(ServerDescription { uid: &listed.uid, started_at_ms: listed.started_at_ms })
+    /// What the log says of an endpoint.
+    pub(super) fn describe(&self, endpoint: EndpointId) -> Option<EndpointDescription<'_>> {
+        let listed = self.by_id.get(&endpoint)?;
+        Some(EndpointDescription { uid: &listed.uid, started_at_ms: listed.started_at_ms })
     }
 
-    /// Applies a list; its entries as the balancer takes them. Connections to servers that have moved, restarted or
+    /// Applies a list; returns the balancer's records of its endpoints. Connections to endpoints that have moved, restarted or
     /// stopped serving are closed.
     pub(super) fn apply(
         &mut self, kind: UpdateKind, list: EndpointList, upstream: &Upstream,
     ) -> Vec<EndpointRecord> {
-        let mut members = Vec::with_capacity(list.endpoints.len());
-        for entry in list.endpoints {
-            let server = self.id(&entry.uid);
-            let Some(listed) = self.by_id.get_mut(&server) else { continue };
-            let has_changed = listed.address != entry.address || listed.started_at_ms != entry.started_at_ms;
-            if has_changed || entry.state != EndpointState::Serving {
+        let mut records = Vec::with_capacity(list.endpoints.len());
+        for update in list.endpoints {
+            let endpoint = self.id(&update.uid);
+            let Some(listed) = self.by_id.get_mut(&endpoint) else { continue };
+            let has_changed =
+                listed.address != update.address || listed.started_at_ms != update.started_at_ms;
+            if has_changed || update.state != EndpointState::Serving {
                 listed.end_incarnation();
-                upstream.close_idle(server);
+                upstream.close_idle(endpoint);
             }
-            listed.address = entry.address.or(listed.address);
-            listed.started_at_ms = entry.started_at_ms;
-            listed.locality = Locality { zone: self.names.zone_number(&entry.zone), cell: entry.cell };
-            members.push(EndpointRecord {
-                endpoint: server,
+            listed.address = update.address.or(listed.address);
+            listed.started_at_ms = update.started_at_ms;
+            listed.locality =
+                EndpointLocality { zone: self.names.zone_number(&update.zone), cell: update.cell };
+            records.push(EndpointRecord {
+                endpoint,
                 zone: listed.locality.zone,
                 cell: listed.locality.cell,
-                hash: stable_hash(&entry.uid),
-                weight: entry.capacity_weight,
-                readiness: match entry.state {
+                hash: stable_hash(&update.uid),
+                weight: update.capacity_weight,
+                readiness: match update.state {
                     EndpointState::Serving => Readiness::Active,
                     EndpointState::Draining => Readiness::Draining,
                     EndpointState::Deleted => Readiness::Removed,
                 },
-                started_at_ms: entry.started_at_ms,
+                started_at_ms: update.started_at_ms,
             });
         }
         if kind == UpdateKind::Complete {
-            self.end_unlisted(&members, upstream);
+            self.end_unlisted(&records, upstream);
         }
-        members
+        records
     }
 
-    /// Ends the incarnations of the servers that a complete list does not name.
-    fn end_unlisted(&mut self, members: &[EndpointRecord], upstream: &Upstream) {
-        let named: HashSet<EndpointId> = members.iter().map(|member| member.endpoint).collect();
-        for (server, listed) in &mut self.by_id {
-            if !named.contains(server) {
+    /// Ends the incarnations of the endpoints that a complete list does not name.
+    fn end_unlisted(&mut self, records: &[EndpointRecord], upstream: &Upstream) {
+        let named: HashSet<EndpointId> = records.iter().map(|record| record.endpoint).collect();
+        for (endpoint, listed) in &mut self.by_id {
+            if !named.contains(endpoint) {
                 listed.end_incarnation();
-                upstream.close_idle(*server);
+                upstream.close_idle(*endpoint);
             }
         }
     }
 
-    /// Removes the servers that the balancer has removed, which bounds the table's size.
+    /// Removes the endpoints that the balancer has removed, which bounds the table's size.
     pub(super) fn retain(&mut self, is_known: impl Fn(EndpointId) -> bool) {
-        self.by_id.retain(|server, _| is_known(*server));
-        self.ids.retain(|_, server| is_known(*server));
+        self.by_id.retain(|endpoint, _| is_known(*endpoint));
+        self.ids.retain(|_, endpoint| is_known(*endpoint));
     }
 
-    /// A server's id, a new one for a name that is not known.
+    /// An endpoint's id, a new one for a name that is not known.
     fn id(&mut self, uid: &str) -> EndpointId {
         if let Some(id) = self.ids.get(uid) {
             return *id;
@@ -125,10 +127,10 @@
         let id = EndpointId(self.next_id);
         self.next_id += 1;
         self.ids.insert(uid.to_string(), id);
-        let listed = ListedServer {
+        let listed = ListedEndpoint {
             uid: uid.to_string(),
             address: None,
-            locality: Locality::default(),
+            locality: EndpointLocality::default(),
             started_at_ms: 0.0,
             incarnation: Arc::new(()),
         };
@@ -137,7 +139,7 @@
     }
 }
 
-impl ListedServer {
+impl ListedEndpoint {
     fn end_incarnation(&mut self) {
         self.incarnation = Arc::new(());
     }
--- a/gateway/src/event_loop/mod.rs
+++ b/gateway/src/event_loop/mod.rs
@@ -36,7 +36,7 @@
 /// The tasks and counters that an [`EventLoop`] works with.
 #[derive(Debug)]
 pub struct Dependencies {
-    /// Sends attempts and health checks to servers.
+    /// Sends attempts and health checks to endpoints.
     pub upstream: Upstream,
     /// Asks for a watch of the endpoint list.
     pub watch_requests: mpsc::Sender<()>,
@@ -133,10 +133,10 @@
             GatewayEvent::Request(request) => self.on_request(request),
             GatewayEvent::ClientDisconnected(id) => self.on_client_disconnected(id),
             GatewayEvent::AttemptEnded(result) => self.on_attempt_ended(result),
-            GatewayEvent::HealthCheckEnded { server, outcome, report } => {
-                debug!(server_id = server.0, ?outcome, ?report, "health check ended");
-                self.health_checks.remove(&server);
-                self.feed(Event::HealthCheckEnd { endpoint: server, outcome, report });
+            GatewayEvent::HealthCheckEnded { endpoint, outcome, report } => {
+                debug!(endpoint_id = endpoint.0, ?outcome, ?report, "health check ended");
+                self.health_checks.remove(&endpoint);
+                self.feed(Event::HealthCheckEnd { endpoint, outcome, report });
             }
             GatewayEvent::Discovery(DiscoveryEvent::WatchLost) => {
                 self.feed(Event::EndpointUpdate { kind: UpdateKind::WatchLost, endpoints: Vec::new() });
@@ -256,12 +256,12 @@
     }
 
     fn apply_list(&mut self, kind: UpdateKind, list: EndpointList) {
-        let members = self.endpoints.apply(kind, list, &self.upstream);
-        if members.is_empty() && kind != UpdateKind::Delta {
+        let endpoints = self.endpoints.apply(kind, list, &self.upstream);
+        if endpoints.is_empty() && kind != UpdateKind::Delta {
             warn!("the endpoint list is empty");
         }
-        self.feed(Event::EndpointUpdate { kind, endpoints: members });
+        self.feed(Event::EndpointUpdate { kind, endpoints });
         let balancer = &self.balancer;
-        self.endpoints.retain(|server| balancer.knows(server));
+        self.endpoints.retain(|endpoint| balancer.knows(endpoint));
     }
 }
--- a/gateway/src/event_loop/open_requests.rs
+++ b/gateway/src/event_loop/open_requests.rs
@@ -1,6 +1,6 @@
 //! Requests that have no response yet or still have attempts in flight.
 use crate::events::{RawRequest, Response};
-use crate::permit::{Denial, Locality, NextAttempt, PriorAttempt};
+use crate::permit::{Denial, EndpointLocality, NextAttempt, PriorAttempt};
 use crate::upstream::Cancellation;
 use std::collections::BTreeMap;
 use ternstack_balancer::{EndpointId, Outcome, RequestClass, RequestId};
@@ -24,8 +24,8 @@
 
 /// An attempt that the balancer has asked for.
 pub(super) struct SentAttempt {
-    /// The server that it went to.
-    pub(super) server: EndpointId,
+    /// The endpoint that it went to.
+    pub(super) endpoint: EndpointId,
     /// When it was sent, by the gateway's clock.
     pub(super) sent_at_ms: f64,
     /// What the request's next attempts have to know of it.
@@ -36,8 +36,8 @@
 
 /// What the balancer has to know of an attempt's end, besides its outcome.
 pub(super) struct EndedAttempt {
-    /// The server that it went to.
-    pub(super) server: EndpointId,
+    /// The endpoint that it went to.
+    pub(super) endpoint: EndpointId,
     /// Its request has its response.
     pub(super) is_answered: bool,
 }
@@ -54,20 +54,21 @@
         self.respond_to.is_none()
     }
 
-    /// Whether any attempt may have run at a server.
+    /// Whether any attempt may have run at an endpoint.
     pub(super) fn may_have_run(&self) -> bool {
         self.attempts.iter().any(|attempt| attempt.prior.may_have_run)
     }
 
-    /// Until when servers drop a retry, if an attempt may have run and its class is keyed.
+    /// Until when endpoints drop a retry, if an attempt may have run and its class is idempotent with a key.
     pub(super) fn deduplicated_until(&self) -> Option<Instant> {
         let first = self.attempts.iter().find(|attempt| attempt.prior.may_have_run);
         first.and_then(|first| first.prior.deduplicated_until)
     }
 
-    /// Whether the next attempt may begin now, at a server in `locality`.
+    /// Whether the next attempt may begin now, at an endpoint in `locality`.
     pub(super) fn permit(
-        &self, class: &RequestClass, max_attempts: usize, give_up_at: Instant, locality: Option<Locality>,
+        &self, class: &RequestClass, max_attempts: usize, give_up_at: Instant,
+        locality: Option<EndpointLocality>,
     ) -> Result<(), Denial> {
         let prior_attempts: Vec<PriorAttempt> = self.attempts.iter().map(|sent| sent.prior).collect();
         let next = NextAttempt {
@@ -149,11 +150,11 @@
         let attempt = request.attempts.get_mut(number as usize)?;
         attempt.prior.may_have_run = !outcome.never_ran();
         attempt.prior.in_flight = false;
-        let server = attempt.server;
+        let endpoint = attempt.endpoint;
         request.in_flight_count -= 1;
         let is_answered = request.is_answered();
         self.remove_if_finished(id);
-        Some(EndedAttempt { server, is_answered })
+        Some(EndedAttempt { endpoint, is_answered })
     }
 
     fn remove_if_finished(&mut self, id: RequestId) {
--- a/gateway/src/events.rs
+++ b/gateway/src/events.rs
@@ -26,11 +26,11 @@
     AttemptEnded(AttemptResult),
     /// A health check has ended.
     HealthCheckEnded {
-        /// The server that was checked.
-        server: EndpointId,
+        /// The endpoint that was checked.
+        endpoint: EndpointId,
         /// How the check ended.
         outcome: Outcome,
-        /// The load report in the server's response.
+        /// The load report in the endpoint's response.
         report: LoadReport,
     },
     /// Discovery has been heard, or lost.
@@ -77,7 +77,7 @@
 /// The one final response to a request.
 #[derive(Debug)]
 pub enum Response {
-    /// A server has served the request.
+    /// An endpoint has served the request.
     Served(CompleteMessage<StatusLine>),
     /// Rejected: the client may safely retry.
     Rejected {
@@ -101,9 +101,9 @@
     pub outcome: Outcome,
     /// When it ended.
     pub ended_at: Instant,
-    /// The load report in the server's response.
+    /// The load report in the endpoint's response.
     pub report: LoadReport,
-    /// The server's response, if it is the one that the client gets.
+    /// The endpoint's response, if it is the one that the client gets.
     pub response: Option<CompleteMessage<StatusLine>>,
 }
 
--- a/gateway/src/invariants.rs
+++ b/gateway/src/invariants.rs
@@ -14,11 +14,11 @@
     OneAttemptInFlight,
     /// A request has at most the number of attempts that the settings allow.
     AttemptLimit,
-    /// A request of an unsafe class is not retried once it may have run.
-    UnsafeRunsOnce,
-    /// A keyed request that may have run is retried only where servers drop duplicates of it.
+    /// A non-idempotent request is not retried once it may have run.
+    NonIdempotentRunsOnce,
+    /// A request that is idempotent with a key and may have run is retried only where endpoints drop duplicates of it.
     DeduplicationScope,
-    /// The time left that a server is sent exceeds what is left to the client by the allowed slack at most.
+    /// The time left that an endpoint is sent exceeds what is left to the client by the allowed slack at most.
     TimeLeftForwarded,
     /// Every request has its response by its deadline.
     DecidedInTime,
@@ -32,7 +32,7 @@
         Invariant::NoAttemptAfterResponse,
         Invariant::OneAttemptInFlight,
         Invariant::AttemptLimit,
-        Invariant::UnsafeRunsOnce,
+        Invariant::NonIdempotentRunsOnce,
         Invariant::DeduplicationScope,
         Invariant::TimeLeftForwarded,
         Invariant::DecidedInTime,
--- a/gateway/src/permit.rs
+++ b/gateway/src/permit.rs
@@ -1,15 +1,18 @@
 //! The rule that decides whether an attempt may begin: checked when the balancer asks for it, and again before its first
 //! byte is written, since the first answer may no longer hold. No I/O and no clock.
 //!
-//! Which requests are retried is the balancer's decision (`retry.rs` in `balancer/src/`). This check is independent of it: an
-//! attempt that it denies is not sent, whatever the balancer has asked for.
+//! Which requests are retried is the balancer's decision (`balancer/src/retry.rs`). This module is an independent second
+//! check of it: it shares only the settings' types with the balancer and works on the event loop's own record of the attempts.
+//! An attempt that it denies is not sent, whatever the balancer has asked for. A fault in the balancer's bookkeeping could
+//! otherwise run a request twice, which nothing undoes. A denial that the balancer should have foreseen counts as a violated
+//! [`Invariant`].
 use crate::invariants::Invariant;
 use ternstack_balancer::{DeduplicationScope, Idempotency, RequestClass};
 use tokio::time::Instant;
 
-/// The parts of a server's place that bound the deduplication of keyed requests.
+/// The parts of an endpoint's place that bound the deduplication of requests with an idempotency key.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Locality {
+pub struct EndpointLocality {
     /// The zone, in the gateway's own numbering.
     pub zone: u32,
     /// The cell.
@@ -19,11 +22,11 @@
 /// An attempt of the request that was sent before.
 #[derive(Clone, Copy, Debug)]
 pub struct PriorAttempt {
-    /// The locality of its server.
-    pub locality: Locality,
-    /// For a keyed class: until when servers drop a retry of it as a duplicate.
+    /// The locality of its endpoint.
+    pub locality: EndpointLocality,
+    /// For a class that is idempotent with a key: until when endpoints drop a retry of it as a duplicate.
     pub deduplicated_until: Option<Instant>,
-    /// It may have run at its server.
+    /// It may have run at its endpoint.
     pub may_have_run: bool,
     /// It has not ended yet.
     pub in_flight: bool,
@@ -36,17 +39,17 @@
     Answered,
     /// The time at which it would be given up has passed.
     DeadlinePassed,
-    /// The server has no address, or is not in service.
-    ServerUnavailable,
+    /// The endpoint has no address, or is not in service.
+    EndpointUnavailable,
     /// The request has had its maximum number of attempts.
     NoAttemptsLeft,
     /// Another attempt of the request is in flight.
     AttemptInFlight,
-    /// The request may have run, and its class is unsafe.
+    /// The request may have run, and its class is not idempotent.
     MayHaveRun,
-    /// The request may have run, and servers no longer drop a retry as a duplicate.
+    /// The request may have run, and endpoints no longer drop a retry as a duplicate.
     DeduplicationOver,
-    /// The request may have run at a server that shares no deduplication with this one.
+    /// The request may have run at an endpoint that shares no deduplication with this one.
     OutsideDeduplicationScope,
 }
 
@@ -56,11 +59,11 @@
         match self {
             Denial::Answered
             | Denial::DeadlinePassed
-            | Denial::ServerUnavailable
+            | Denial::EndpointUnavailable
             | Denial::DeduplicationOver => None,
             Denial::NoAttemptsLeft => Some(Invariant::AttemptLimit),
             Denial::AttemptInFlight => Some(Invariant::OneAttemptInFlight),
-            Denial::MayHaveRun => Some(Invariant::UnsafeRunsOnce),
+            Denial::MayHaveRun => Some(Invariant::NonIdempotentRunsOnce),
             Denial::OutsideDeduplicationScope => Some(Invariant::DeduplicationScope),
         }
     }
@@ -79,8 +82,8 @@
     pub client_waits: bool,
     /// When the attempt will be given up.
     pub give_up_at: Instant,
-    /// The locality of its server; `None` if the server has no address.
-    pub locality: Option<Locality>,
+    /// The locality of its endpoint; `None` if the endpoint has no address.
+    pub locality: Option<EndpointLocality>,
 }
 
 impl NextAttempt<'_> {
@@ -92,7 +95,7 @@
         if !self.client_waits {
             return Err(Denial::Answered);
         }
-        let locality = self.locality.ok_or(Denial::ServerUnavailable)?;
+        let locality = self.locality.ok_or(Denial::EndpointUnavailable)?;
         if self.give_up_at <= now {
             return Err(Denial::DeadlinePassed);
         }
@@ -109,7 +112,9 @@
         }
     }
 
-    fn check_retry(&self, first: &PriorAttempt, locality: Locality, now: Instant) -> Result<(), Denial> {
+    fn check_retry(
+        &self, first: &PriorAttempt, locality: EndpointLocality, now: Instant,
+    ) -> Result<(), Denial> {
         let is_in_scope = match self.class.deduplication_scope {
             DeduplicationScope::All => true,
             DeduplicationScope::Zone => first.locality.zone == locality.zone,
@@ -130,10 +135,10 @@
 pub struct FirstByte {
     /// When the attempt will be given up.
     pub give_up_at: Instant,
-    /// For a retry of a keyed request: when it must have been sent completely.
+    /// For a retry of a request with an idempotency key: when it must have been sent completely.
     pub send_by: Option<Instant>,
-    /// Its server is in service, in the incarnation that was picked.
-    pub server_in_service: bool,
+    /// Its endpoint is in service, in the incarnation that was picked.
+    pub endpoint_in_service: bool,
     /// The attempt has not been cancelled.
     pub client_waits: bool,
 }
@@ -147,8 +152,8 @@
         if !self.client_waits {
             return Err(Denial::Answered);
         }
-        if !self.server_in_service {
-            return Err(Denial::ServerUnavailable);
+        if !self.endpoint_in_service {
+            return Err(Denial::EndpointUnavailable);
         }
         if self.give_up_at <= now {
             return Err(Denial::DeadlinePassed);
--- a/gateway/src/upstream/attempt.rs
+++ b/gateway/src/upstream/attempt.rs
@@ -16,35 +16,35 @@
         /// The attempt's number among the request's, from 0.
         attempt: u32,
     },
-    /// To get the server's load report.
+    /// To get the endpoint's load report.
     HealthCheck,
 }
 
 /// How far an attempt is cancelled.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Cancellation {
-    /// Only if it has not been sent completely: what a server may have begun on runs to its end.
+    /// Only if it has not been sent completely: what an endpoint may have begun on runs to its end.
     IfUnsent,
     /// In any case.
     Always,
 }
 
-/// One attempt to have a request served, or a health check answered, by a server.
+/// One attempt to have a request served, or a health check answered, by an endpoint.
 #[derive(Debug)]
 pub struct Attempt {
     /// What it is for.
     pub purpose: Purpose,
-    /// The server it goes to.
-    pub server: EndpointId,
-    /// The server's incarnation when it was picked. It is dropped once the server moves, restarts or stops serving.
+    /// The endpoint it goes to.
+    pub endpoint: EndpointId,
+    /// The endpoint's incarnation when it was picked. It is dropped once the endpoint moves, restarts or stops serving.
     pub incarnation: Weak<()>,
-    /// Where the server listens.
+    /// Where the endpoint listens.
     pub address: SocketAddr,
     /// What is sent.
     pub raw: RawRequest,
     /// When it is given up.
     pub give_up_at: Instant,
-    /// For a retry that servers drop as a duplicate only until then: when it must have been sent completely.
+    /// For a retry that endpoints drop as a duplicate only until then: when it must have been sent completely.
     pub send_by: Option<Instant>,
     /// Receives its cancellation; a sender that is dropped cancels it as [`Cancellation::Always`] does.
     pub cancelled: oneshot::Receiver<Cancellation>,
@@ -60,13 +60,13 @@
         }
     }
 
-    /// Whether servers may no longer drop it as a duplicate.
+    /// Whether endpoints may no longer drop it as a duplicate.
     pub(super) fn is_past_send_by(&self) -> bool {
         self.send_by.is_some_and(|send_by| send_by <= Instant::now())
     }
 
-    /// Whether the server is still in service in the incarnation that was picked.
-    pub(super) fn is_server_in_service(&self) -> bool {
+    /// Whether the endpoint is still in service in the incarnation that was picked.
+    pub(super) fn is_endpoint_in_service(&self) -> bool {
         self.incarnation.strong_count() > 0
     }
 }
--- a/gateway/src/upstream/connection.rs
+++ b/gateway/src/upstream/connection.rs
@@ -15,7 +15,7 @@
 
 /// A connection carries no attempt for so long after a response. Excess bytes that follow a response within that time
 /// close the connection; once the next request was sent they would be taken for its response. An attempt waits for the
-/// rest of it, as a new connection would cost the server more.
+/// rest of it, as a new connection would cost the endpoint more.
 const REST_AFTER_RESPONSE: Duration = Duration::from_millis(10);
 
 /// Dials for a first attempt, and carries attempts until one leaves the connection unfit for more.
@@ -28,18 +28,18 @@
     loop {
         let mut reader = Reader::new(MAX_BODY_BYTES);
         let end = exchange(&upstream.violations, &stream, &mut reader, &mut attempt, decided_at).await;
-        // A server that has moved or restarted gets new connections only.
-        let is_same_incarnation = attempt.is_server_in_service();
+        // An endpoint that has moved or restarted gets new connections only.
+        let is_same_incarnation = attempt.is_endpoint_in_service();
         let keep_alive = end.response.as_ref().is_some_and(|response| response.keep_alive);
         if !(is_same_incarnation && keep_alive && reader.is_idle()) {
-            let (server_id, outcome) = (attempt.server.0, end.outcome);
-            debug!(server_id, ?outcome, is_same_incarnation, "closing connection to server");
+            let (endpoint_id, outcome) = (attempt.endpoint.0, end.outcome);
+            debug!(endpoint_id, ?outcome, is_same_incarnation, "closing connection to endpoint");
             // Closed before the end is reported: the balancer may retry at once, and no two attempts may be in flight.
             drop(stream);
             return upstream.report_end(&attempt, end).await;
         }
         let rested_at = Instant::now() + REST_AFTER_RESPONSE;
-        let offer = upstream.pool.offer(attempt.server);
+        let offer = upstream.pool.offer(attempt.endpoint);
         upstream.report_end(&attempt, end).await;
         attempt.raw = RawRequest::default(); // An idle connection keeps no request in memory.
         drop(reader);
@@ -52,7 +52,7 @@
                 drop(stream);
                 return upstream.report_end(&attempt, Outcome::NotSent.into()).await;
             }
-            // The server has closed the connection or sent excess bytes. Nothing has been sent yet, so the attempt
+            // The endpoint has closed the connection or sent excess bytes. Nothing has been sent yet, so the attempt
             // takes another connection.
             () = closed_or_excess_bytes(&stream) => return upstream.start(attempt),
             () = sleep_until(rested_at) => {}
@@ -72,11 +72,11 @@
         () = closed_or_excess_bytes(stream) => {}
         () = sleep_until(idle_until) => {}
     }
-    upstream.pool.withdraw(last.server, offer.number);
+    upstream.pool.withdraw(last.endpoint, offer.number);
     None
 }
 
-/// Waits until an idle connection is closed by the server or receives bytes that no request asked for.
+/// Waits until an idle connection is closed by the endpoint or receives bytes that no request asked for.
 async fn closed_or_excess_bytes(stream: &TcpStream) {
     // The socket may still be marked readable from the last response; only a read tells.
     while stream.readable().await.is_ok() && has_nothing_to_read(stream) {}
@@ -99,7 +99,7 @@
     };
     match dialled.map(with_nodelay) {
         Ok(Ok(stream)) => Ok(stream),
-        // This machine's lack of descriptors or ports is not the server's fault.
+        // This machine's lack of descriptors or ports is not the endpoint's fault.
         Ok(Err(e)) if is_local(&e) => Err(Outcome::NotSent),
         Err(_) if attempt.is_past_send_by() => Err(Outcome::NotSent),
         _ => Err(Outcome::ConnectFailed),
--- a/gateway/src/upstream/exchange.rs
+++ b/gateway/src/upstream/exchange.rs
@@ -20,7 +20,7 @@
 
 /// The longest pause within a response. A response that stops in its middle is malformed: its length does not fit.
 const MAX_RESPONSE_GAP: Duration = Duration::from_millis(250);
-/// The time left that a server is sent may exceed what is left to the client by so much: an attempt that takes longer
+/// The time left that an endpoint is sent may exceed what is left to the client by so much: an attempt that takes longer
 /// to send is given up.
 const TIME_LEFT_SLACK: Duration = Duration::from_millis(150);
 /// The process may be preempted for so long between reading its clock and writing.
@@ -53,13 +53,13 @@
     FirstByte {
         give_up_at: attempt.give_up_at,
         send_by: attempt.send_by,
-        server_in_service: attempt.is_server_in_service(),
+        endpoint_in_service: attempt.is_endpoint_in_service(),
         client_waits: matches!(attempt.cancelled.try_recv(), Err(TryRecvError::Empty)),
     }
     .check(Instant::now())
 }
 
-/// Sends an attempt completely; the outcome where that fails. Without its last byte the server cannot have run it.
+/// Sends an attempt completely; the outcome where that fails. Without its last byte the endpoint cannot have run it.
 async fn send(violations: &Violations, stream: &TcpStream, attempt: &mut Attempt) -> Result<(), Outcome> {
     let stamped_at = Instant::now();
     let send_by = attempt.send_by.map_or(attempt.give_up_at, |by| by.min(attempt.give_up_at));
--- a/gateway/src/upstream/load_report.rs
+++ b/gateway/src/upstream/load_report.rs
@@ -1,4 +1,4 @@
-//! Parsing of servers' load reports.
+//! Parsing of endpoints' load reports.
 use serde_json::{Map, Value};
 use ternstack_balancer::LoadReport;
 
--- a/gateway/src/upstream/mod.rs
+++ b/gateway/src/upstream/mod.rs
@@ -1,4 +1,4 @@
-//! Connections to servers, the attempts sent over them, and how each attempt ends.
+//! Connections to endpoints, the attempts sent over them, and how each attempt ends.
 //!
 //! Each connection is a task that carries one attempt at a time and is pooled in between.
 mod attempt;
@@ -21,12 +21,12 @@
 use ternstack_balancer::{EndpointId, Outcome};
 use tokio::time::Instant;
 
-/// A connection is closed after this part of the time after which the server would close it.
+/// A connection is closed after this part of the time after which the endpoint would close it.
 const IDLE_TIMEOUT_RATIO: f64 = 0.9;
 /// The longest idle timeout: a day.
 const MAX_IDLE_TIMEOUT_S: f64 = 86_400.0;
 
-/// How an attempt ended, with the server's response if one was received.
+/// How an attempt ended, with the endpoint's response if one was received.
 #[derive(Debug)]
 struct ExchangeEnd {
     outcome: Outcome,
@@ -39,7 +39,7 @@
     }
 }
 
-/// The connections to all servers.
+/// The connections to all endpoints.
 #[derive(Clone, Debug)]
 pub struct Upstream {
     pool: Arc<Pool>,
@@ -51,13 +51,13 @@
 }
 
 impl Upstream {
-    /// Connections within the budget of `descriptors`. Servers close idle connections after `server_idle_timeout_ms`
+    /// Connections within the budget of `descriptors`. Endpoints close idle connections after `endpoint_idle_timeout_ms`
     /// milliseconds; these are closed a little earlier.
     pub fn new(
-        events: EventSender, descriptors: Arc<Descriptors>, server_idle_timeout_ms: f64,
+        events: EventSender, descriptors: Arc<Descriptors>, endpoint_idle_timeout_ms: f64,
         connect_timeout: Duration,
     ) -> Self {
-        let idle_timeout_s = (server_idle_timeout_ms * IDLE_TIMEOUT_RATIO / 1000.0).min(MAX_IDLE_TIMEOUT_S);
+        let idle_timeout_s = (endpoint_idle_timeout_ms * IDLE_TIMEOUT_RATIO / 1000.0).min(MAX_IDLE_TIMEOUT_S);
         let idle_timeout = Duration::from_secs_f64(idle_timeout_s);
         let violations = Violations::default();
         Upstream { pool: Arc::default(), events, descriptors, violations, idle_timeout, connect_timeout }
@@ -82,9 +82,9 @@
         });
     }
 
-    /// Closes the idle connections to a server.
-    pub fn close_idle(&self, server: EndpointId) {
-        self.pool.close(server);
+    /// Closes the idle connections to an endpoint.
+    pub fn close_idle(&self, endpoint: EndpointId) {
+        self.pool.close(endpoint);
     }
 
     /// A descriptor for a new connection. Past the budget, the connection that has been idle for longest is closed for
@@ -114,7 +114,7 @@
                 GatewayEvent::AttemptEnded(result)
             }
             Purpose::HealthCheck => {
-                GatewayEvent::HealthCheckEnded { server: attempt.server, outcome, report }
+                GatewayEvent::HealthCheckEnded { endpoint: attempt.endpoint, outcome, report }
             }
         };
         // The event queue closes only when the gateway stops.
--- a/gateway/tests/attempts.rs
+++ b/gateway/tests/attempts.rs
@@ -37,12 +37,12 @@
             after_time_left: Bytes::from(format!("\r\nContent-Length: {body}\r\n\r\n")),
             body: Bytes::from(vec![b'x'; body]),
         };
-        let (server, incarnation) =
+        let (endpoint, incarnation) =
             (EndpointId(u32::from(address.port())), Arc::downgrade(&self.incarnation));
         let purpose = Purpose::Request { id: RequestId(7), attempt: 0 };
         self.upstream.start(Attempt {
             purpose,
-            server,
+            endpoint,
             incarnation,
             address,
             raw,
--- a/gateway/tests/upstream.rs
+++ b/gateway/tests/upstream.rs
@@ -45,12 +45,12 @@
         let purpose = Purpose::Request { id: RequestId(7), attempt: self.number };
         let give_up_at = Instant::now() + patience;
         self.number += 1;
-        let (server, incarnation) =
+        let (endpoint, incarnation) =
             (EndpointId(u32::from(address.port())), std::sync::Arc::downgrade(&self.incarnation));
         let send_by = self.send_by;
         self.side.start(Attempt {
             purpose,
-            server,
+            endpoint,
             incarnation,
             address,
             raw,
