--- a/gateway/src/budget.rs
+++ b/gateway/src/budget.rs
@@ -1,12 +1,12 @@
 //! The descriptor budget: how many connections of clients and servers may be open, and which client's connection is evicted
 //! where descriptors are short.
 //!
-//! No I/O, clock or threads: [`listener`](crate::listener) and [`upstream`](crate::upstream) say what happens and when, and
+//! No I/O, clock or threads: `listener` and [`upstream`](crate::upstream) say what happens and when, and
 //! are told which connection to end. A shortage must not shut out usual clients in favour of those that send nothing,
 //! send slowly, or keep connections that they do not use.
 use std::collections::{BTreeSet, HashMap};
 
-/// A client's connection, as numbered by [`Budget::admit`].
+/// A client's connection, as numbered by [`DescriptorBudget::admit`].
 pub type ClientId = u64;
 
 /// Clients and servers may each have at least this part of the budget.
@@ -40,7 +40,7 @@
 
 /// What becomes of a new connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Admission {
+pub enum DescriptorGrant {
     /// It has a free descriptor.
     Admitted(ClientId),
     /// It has the descriptor of a connection that is to be ended.
@@ -64,7 +64,7 @@
 
 /// The descriptor budget. Times are milliseconds on any clock that only moves forward.
 #[derive(Debug)]
-pub struct Budget {
+pub struct DescriptorBudget {
     descriptor_count: usize,
     server_count: usize,
     last_id: ClientId,
@@ -77,10 +77,10 @@
     (time_ms.max(0.0) * 1000.0) as u64
 }
 
-impl Budget {
+impl DescriptorBudget {
     /// A budget of `descriptor_count` connections of clients and servers together.
     pub fn new(descriptor_count: usize) -> Self {
-        Budget {
+        DescriptorBudget {
             descriptor_count,
             server_count: 0,
             last_id: 0,
@@ -140,16 +140,16 @@
     }
 
     /// Admits a client that has connected at `now_ms`, if possible.
-    pub fn admit(&mut self, now_ms: f64) -> Admission {
+    pub fn admit(&mut self, now_ms: f64) -> DescriptorGrant {
         if self.clients() < self.max_clients() {
-            return Admission::Admitted(self.add(now_ms));
+            return DescriptorGrant::Admitted(self.add(now_ms));
         }
         match self.eviction_candidate(now_ms) {
             Some(evicted) => {
                 self.leave(evicted);
-                Admission::Evicting { admitted: self.add(now_ms), evicted }
+                DescriptorGrant::Evicting { admitted: self.add(now_ms), evicted }
             }
-            None => Admission::Full,
+            None => DescriptorGrant::Full,
         }
     }
 
--- a/gateway/src/descriptors.rs
+++ b/gateway/src/descriptors.rs
@@ -1,5 +1,5 @@
-//! The descriptor [`Budget`] as the gateway's tasks share it: evicted connections are told to end.
-use crate::budget::{Admission, Budget, ClientId, ConnectionState};
+//! The descriptor [`DescriptorBudget`] as the gateway's tasks share it: evicted connections are told to end.
+use crate::budget::{ClientId, ConnectionState, DescriptorBudget, DescriptorGrant};
 use std::collections::HashMap;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use tokio::sync::oneshot;
@@ -7,7 +7,7 @@
 
 #[derive(Debug)]
 struct Inner {
-    budget: Budget,
+    budget: DescriptorBudget,
     /// Tell clients' connections that they are evicted.
     evictions: HashMap<ClientId, oneshot::Sender<()>>,
 }
@@ -65,7 +65,7 @@
 impl Descriptors {
     /// A budget of `descriptor_count` connections of clients and servers together.
     pub fn new(descriptor_count: usize) -> Arc<Self> {
-        let inner = Inner { budget: Budget::new(descriptor_count), evictions: HashMap::new() };
+        let inner = Inner { budget: DescriptorBudget::new(descriptor_count), evictions: HashMap::new() };
         Arc::new(Descriptors { start: Instant::now(), inner: Mutex::new(inner) })
     }
 
@@ -82,9 +82,9 @@
         let now_ms = self.now_ms();
         let mut inner = self.lock();
         let (id, evicted) = match inner.budget.admit(now_ms) {
-            Admission::Admitted(id) => (id, None),
-            Admission::Evicting { admitted, evicted } => (admitted, Some(evicted)),
-            Admission::Full => return None,
+            DescriptorGrant::Admitted(id) => (id, None),
+            DescriptorGrant::Evicting { admitted, evicted } => (admitted, Some(evicted)),
+            DescriptorGrant::Full => return None,
         };
         evicted.into_iter().for_each(|evicted| inner.evict(evicted));
         let has_evicted = evicted.is_some();
--- a/gateway/src/discovery/mod.rs
+++ b/gateway/src/discovery/mod.rs
@@ -5,7 +5,7 @@
 pub use timing::renewal_delay;
 
 use crate::endpoint_list::{EndpointList, EndpointListError};
-use crate::events::{DiscoveryAddress, DiscoveryEvent, EventSender, GatewayEvent};
+use crate::events::{DiscoveryAddressReceiver, DiscoveryEvent, EventSender, GatewayEvent};
 use crate::http1::{ParseError, Reader, StatusLine};
 use crate::protocol::endpoints_target;
 use connection::DiscoveryConnection;
@@ -26,7 +26,7 @@
 /// Why a watch has ended.
 #[derive(Debug, Error)]
 enum WatchError {
-    /// A poll was not answered in time, over a connection that is up.
+    /// A poll had no response in time, over a connection that is up.
     #[error("no answer in time")]
     Silent,
     #[error("cannot connect: {0}")]
@@ -59,7 +59,8 @@
 /// Watches discovery from `config.revision` on each time that a watch is requested, until a poll fails; and at once when
 /// discovery's address changes. A silent watch is renewed once. Returns when the event loop has ended.
 pub async fn follow(
-    discovery: DiscoveryAddress, config: FollowConfig, requests: mpsc::Receiver<()>, events: EventSender,
+    discovery: DiscoveryAddressReceiver, config: FollowConfig, requests: mpsc::Receiver<()>,
+    events: EventSender,
 ) {
     let mut connection = DiscoveryConnection::new(config.connect_timeout);
     connection.reserve(*discovery.borrow());
@@ -70,7 +71,7 @@
         renewal_delay: config.renewal_delay,
         requests,
         events,
-        has_been_answered: true,
+        has_had_response: true,
     };
     watcher.run().await;
 }
@@ -89,15 +90,15 @@
 }
 
 struct Watcher {
-    discovery: DiscoveryAddress,
+    discovery: DiscoveryAddressReceiver,
     connection: DiscoveryConnection,
     revision: Option<u64>,
     renewal_delay: Duration,
     requests: mpsc::Receiver<()>,
     events: EventSender,
-    /// The latest watch has had an answer. One that is silent from its start on is not renewed, but left to the
+    /// The latest watch has had a response. One that is silent from its start on is not renewed, but left to the
     /// balancer's backoff.
-    has_been_answered: bool,
+    has_had_response: bool,
 }
 
 impl Watcher {
@@ -110,7 +111,7 @@
                 },
                 Ok(()) = self.discovery.changed() => true,
             };
-            self.has_been_answered = true;
+            self.has_had_response = true;
             let Some(error) = self.watch_until_lost(has_moved).await else { return };
             warn!("discovery: {error}");
             self.discard_requests();
@@ -123,7 +124,7 @@
     /// Watches until a watch is lost for good; `None` if nobody listens any more.
     async fn watch_until_lost(&mut self, mut has_moved: bool) -> Option<WatchError> {
         loop {
-            // The watch that begins now answers them.
+            // The watch that begins now serves them.
             self.discard_requests();
             let address = *self.discovery.borrow_and_update();
             if has_moved {
@@ -140,9 +141,9 @@
 
     /// One watch, until it ends or discovery's address changes.
     async fn watch_once(&mut self, address: SocketAddr) -> Next {
-        let delay = if self.has_been_answered { Duration::ZERO } else { self.renewal_delay };
-        let Watcher { discovery, connection, revision, events, has_been_answered, .. } = self;
-        let mut watch = Watch { connection, revision, has_been_answered, events };
+        let delay = if self.has_had_response { Duration::ZERO } else { self.renewal_delay };
+        let Watcher { discovery, connection, revision, events, has_had_response, .. } = self;
+        let mut watch = Watch { connection, revision, has_had_response, events };
         let ended = tokio::select! {
             biased;
             Ok(()) = discovery.changed() => None,
@@ -155,7 +156,7 @@
         match ended {
             None => Next::Watch { has_moved: true },
             Some(Ok(())) => Next::Stop,
-            Some(Err(WatchError::Silent)) if std::mem::take(&mut self.has_been_answered) => {
+            Some(Err(WatchError::Silent)) if std::mem::take(&mut self.has_had_response) => {
                 info!("discovery: watch is silent; renewing it");
                 Next::Watch { has_moved: false }
             }
@@ -168,11 +169,18 @@
     }
 }
 
+/// What a poll has received.
+struct PollResponse {
+    list: EndpointList,
+    /// The connection can carry another poll.
+    keep_alive: bool,
+}
+
 /// A watch: one poll after another.
 struct Watch<'a> {
     connection: &'a mut DiscoveryConnection,
     revision: &'a mut Option<u64>,
-    has_been_answered: &'a mut bool,
+    has_had_response: &'a mut bool,
     events: &'a EventSender,
 }
 
@@ -187,11 +195,12 @@
         let mut timing = FIRST_POLL;
         loop {
             let polled_at = Instant::now();
-            let (list, keep_alive) = self.poll(address, &timing, deadline, &mut reader).await?;
-            // A discovery that answers without waiting is not polled in a busy loop.
+            let PollResponse { list, keep_alive } =
+                self.poll(address, &timing, deadline, &mut reader).await?;
+            // A discovery that responds without waiting is not polled in a busy loop.
             let is_idle = list.endpoints.is_empty() && polled_at.elapsed() < EMPTY_POLL_DELAY;
             *self.revision = Some(list.revision);
-            (*self.has_been_answered, timing) = (true, NEXT_POLL);
+            (*self.has_had_response, timing) = (true, NEXT_POLL);
             if self.events.send(GatewayEvent::Discovery(DiscoveryEvent::Update(list))).await.is_err() {
                 return Ok(());
             }
@@ -206,11 +215,11 @@
         }
     }
 
-    /// One poll: the list, and whether the connection can carry another poll.
+    /// One poll.
     async fn poll(
         &mut self, address: SocketAddr, timing: &PollTiming, deadline: Instant,
         reader: &mut Reader<StatusLine>,
-    ) -> Result<(EndpointList, bool), WatchError> {
+    ) -> Result<PollResponse, WatchError> {
         let target = endpoints_target(*self.revision, timing.wait_ms);
         let request = format!("GET {target} HTTP/1.1\r\nHost: {address}\r\n\r\n");
         let call = self.connection.call(reader, &request);
@@ -225,6 +234,6 @@
             endpoints = list.endpoints.len(),
             "endpoint list received"
         );
-        Ok((list, response.keep_alive))
+        Ok(PollResponse { list, keep_alive: response.keep_alive })
     }
 }
--- a/gateway/src/event_loop/attempts.rs
+++ b/gateway/src/event_loop/attempts.rs
@@ -118,7 +118,7 @@
             endpoint: ended.endpoint,
             outcome,
             latency_ms,
-            request_complete: ended.is_answered,
+            request_complete: ended.has_response,
             report,
         }));
     }
--- a/gateway/src/event_loop/mod.rs
+++ b/gateway/src/event_loop/mod.rs
@@ -202,7 +202,7 @@
 
     fn on_request(&mut self, request: Request) {
         let Request { id, class, tenant, deadline, raw, respond_to } = request;
-        if self.requests.unanswered_count() >= self.max_open_requests {
+        if self.requests.without_response_count() >= self.max_open_requests {
             // The receiver is gone if the client's connection has just ended.
             let _ = respond_to.send(Response::Rejected { retry_after_ms: self.max_retry_after_ms });
             return;
@@ -217,7 +217,7 @@
 
     /// Responds at once, since a client that has only ended its sending side still reads.
     fn on_client_disconnected(&mut self, id: RequestId) {
-        let Some(request) = self.requests.unanswered(id) else { return };
+        let Some(request) = self.requests.without_response(id) else { return };
         let response = match self.classes.get(request.class) {
             Some(class) if class.may_reject(request.may_have_run()) => {
                 Response::Rejected { retry_after_ms: self.max_retry_after_ms }
@@ -231,10 +231,10 @@
     /// Responds to a request that the balancer has left without a response. That is a fault unless the event loop
     /// stalled over the deadline, when nothing could be decided.
     fn on_deadline(&mut self, id: RequestId) {
-        if self.requests.unanswered(id).is_none() {
+        if self.requests.without_response(id).is_none() {
             return;
         }
-        let lag_ms = self.lag.behind(Instant::now()).as_millis() as u64;
+        let lag_ms = self.lag.at(Instant::now()).as_millis() as u64;
         info!(request_id = id.0, lag_ms, "no response by the deadline");
         if lag_ms == 0 {
             let detail = format_args!("no response by the deadline");
--- a/gateway/src/event_loop/open_requests.rs
+++ b/gateway/src/event_loop/open_requests.rs
@@ -39,7 +39,7 @@
     /// The endpoint that it went to.
     pub(super) endpoint: EndpointId,
     /// Its request has its response.
-    pub(super) is_answered: bool,
+    pub(super) has_response: bool,
 }
 
 impl OpenRequest {
@@ -50,7 +50,7 @@
         OpenRequest { class, deadline, raw, respond_to, attempts: Vec::new(), in_flight_count: 0 }
     }
 
-    pub(super) fn is_answered(&self) -> bool {
+    pub(super) fn has_response(&self) -> bool {
         self.respond_to.is_none()
     }
 
@@ -75,7 +75,7 @@
             class,
             prior_attempts: &prior_attempts,
             max_attempts,
-            client_waits: !self.is_answered(),
+            client_waits: !self.has_response(),
             give_up_at,
             locality,
         };
@@ -95,18 +95,18 @@
 #[derive(Default)]
 pub(super) struct OpenRequests {
     by_id: BTreeMap<RequestId, OpenRequest>,
-    unanswered_count: usize,
+    without_response_count: usize,
 }
 
 impl OpenRequests {
     /// How many requests have no response yet.
-    pub(super) fn unanswered_count(&self) -> usize {
-        self.unanswered_count
+    pub(super) fn without_response_count(&self) -> usize {
+        self.without_response_count
     }
 
     /// Adds a request that has no response yet.
     pub(super) fn insert(&mut self, id: RequestId, request: OpenRequest) {
-        self.unanswered_count += 1;
+        self.without_response_count += 1;
         self.by_id.insert(id, request);
     }
 
@@ -119,8 +119,8 @@
     }
 
     /// A request without a response.
-    pub(super) fn unanswered(&self, id: RequestId) -> Option<&OpenRequest> {
-        self.get(id).filter(|request| !request.is_answered())
+    pub(super) fn without_response(&self, id: RequestId) -> Option<&OpenRequest> {
+        self.get(id).filter(|request| !request.has_response())
     }
 
     /// An attempt by its request and number.
@@ -136,7 +136,7 @@
     /// Gives a request's response, unless it has one.
     pub(super) fn respond(&mut self, id: RequestId, response: Response) {
         let Some(respond_to) = self.get_mut(id).and_then(|request| request.respond_to.take()) else { return };
-        self.unanswered_count -= 1;
+        self.without_response_count -= 1;
         // The receiver is gone if the client's connection has just ended.
         let _ = respond_to.send(response);
         self.remove_if_finished(id);
@@ -152,13 +152,13 @@
         attempt.prior.in_flight = false;
         let endpoint = attempt.endpoint;
         request.in_flight_count -= 1;
-        let is_answered = request.is_answered();
+        let has_response = request.has_response();
         self.remove_if_finished(id);
-        Some(EndedAttempt { endpoint, is_answered })
+        Some(EndedAttempt { endpoint, has_response })
     }
 
     fn remove_if_finished(&mut self, id: RequestId) {
-        if self.get(id).is_some_and(|request| request.is_answered() && request.in_flight_count == 0) {
+        if self.get(id).is_some_and(|request| request.has_response() && request.in_flight_count == 0) {
             self.by_id.remove(&id);
         }
     }
--- a/gateway/src/events.rs
+++ b/gateway/src/events.rs
@@ -107,5 +107,5 @@
     pub response: Option<CompleteMessage<StatusLine>>,
 }
 
-/// Where discovery answers; it changes when the configuration is reread.
-pub type DiscoveryAddress = tokio::sync::watch::Receiver<SocketAddr>;
+/// Receives discovery's address, which changes when the configuration is reread.
+pub type DiscoveryAddressReceiver = tokio::sync::watch::Receiver<SocketAddr>;
--- a/gateway/src/http1/reader.rs
+++ b/gateway/src/http1/reader.rs
@@ -50,7 +50,7 @@
     partial: Option<PartialMessage<S>>,
     /// An incomplete head is parsed again once the buffer has grown to this.
     parse_at_bytes: usize,
-    /// So much of the buffer has been searched for the end of a head.
+    /// The length of the part of the buffer that has been searched for the end of a head.
     scanned_bytes: usize,
     interim_count: usize,
     max_body_bytes: usize,
--- a/gateway/src/lib.rs
+++ b/gateway/src/lib.rs
@@ -1,10 +1,12 @@
 //! The gateway on sockets: it accepts clients' requests, has the balancer decide, and forwards them to servers.
 //!
-//! A request passes from [`listener`] as an event ([`events`]) to [`event_loop`], the one task that owns the
+//! A request passes from `listener` as an event ([`events`]) to `event_loop`, the one task that owns the
 //! [`Balancer`](ternstack_balancer::Balancer); from there as attempts to [`upstream`]; and back as a response ([`response`]).
-//! [`discovery`] or [`control`] supplies the endpoint list ([`endpoint_list`]), [`permit`] decides whether an attempt may
-//! begin, and [`budget`] which connections may be open. [`protocol`] holds the platform's words on the wire, [`http1`] the
+//! [`discovery`] or [`control`] supplies the endpoint list ([`endpoint_list`]), `permit` decides whether an attempt may
+//! begin, and [`budget`] which connections may be open. `protocol` holds the platform's words on the wire, [`http1`] the
 //! parsing and framing of messages. [`program`] runs it all as a process.
+//!
+//! Only modules that tests or other packages use are public.
 #![forbid(unsafe_code)]
 #![deny(missing_docs, clippy::too_many_lines, clippy::cognitive_complexity)]
 
@@ -15,15 +17,15 @@
 pub mod descriptors;
 pub mod discovery;
 pub mod endpoint_list;
-pub mod event_loop;
+mod event_loop;
 pub mod events;
 pub mod http1;
-pub mod invariants;
-pub mod listener;
-pub mod loop_lag;
-pub mod permit;
+mod invariants;
+mod listener;
+mod loop_lag;
+mod permit;
 pub mod program;
-pub mod protocol;
+mod protocol;
 pub mod response;
 mod serve;
 pub mod sockets;
--- a/gateway/src/listener/accept.rs
+++ b/gateway/src/listener/accept.rs
@@ -1,6 +1,6 @@
 //! The accept loop, and the last accepts of a graceful shutdown.
 use super::connection::ClientConnection;
-use super::{Admission, ConnectionGuard, Frontend, ShutdownPhase};
+use super::{ClientSlot, ConnectionGuard, Frontend, ShutdownPhase};
 use crate::descriptors::AdmittedClient;
 use crate::sockets::{concerns_one_connection, lacks_descriptors, with_nodelay};
 use std::io;
@@ -50,7 +50,7 @@
                     listener.accept().await
                 }
             };
-            let arrived_at = *waiting_since.get_or_insert_with(|| self.lag.arrival());
+            let arrived_at = *waiting_since.get_or_insert_with(|| self.lag.earliest_arrival());
             match with_nodelay(accepted.map(|(stream, _)| stream)) {
                 Ok(stream) => {
                     if self.admit(stream, spare, arrived_at) {
@@ -101,16 +101,16 @@
     /// Serves a connection that arrived at `arrived_at` or later. True if another connection was evicted for it and has
     /// yet to end.
     fn admit(self: &Arc<Self>, stream: TcpStream, spare: OwnedSemaphorePermit, arrived_at: Instant) -> bool {
-        let (admission, has_evicted) = match self.descriptors.admit() {
+        let (slot, has_evicted) = match self.descriptors.admit() {
             Some(AdmittedClient { descriptor, evicted, has_evicted }) => {
-                (Admission::Admitted(descriptor, evicted), has_evicted)
+                (ClientSlot::Admitted { descriptor, evicted }, has_evicted)
             }
-            None => (Admission::Spare(spare), false),
+            None => (ClientSlot::Spare { _permit: spare }, false),
         };
         // Counted before its task first runs, so that a shutdown waits for it.
         let guard = ConnectionGuard::new(self.clone());
         tokio::spawn(async move {
-            let connection = ClientConnection::new(&guard.0, stream, admission, arrived_at);
+            let connection = ClientConnection::new(&guard.0, stream, slot, arrived_at);
             if let Err(e) = connection.serve().await {
                 debug!("client connection failed: {e}");
             }
--- a/gateway/src/listener/client.rs
+++ b/gateway/src/listener/client.rs
@@ -53,7 +53,7 @@
         let mut arrived_at = self.waiting_since.take();
         loop {
             if let Some(message) = self.reader.next(false)? {
-                let arrived_at = arrived_at.unwrap_or_else(|| self.lag.arrival());
+                let arrived_at = arrived_at.unwrap_or_else(|| self.lag.earliest_arrival());
                 *self.waiting_since = (!self.reader.is_idle()).then_some(arrived_at);
                 return Ok(Some(ArrivedRequest { message, arrived_at }));
             }
@@ -74,7 +74,7 @@
             match sockets::read(self.stream, self.reader.buffer()).await {
                 Ok(0) | Err(_) => return,
                 Ok(_) => {
-                    self.waiting_since.get_or_insert_with(|| self.lag.arrival());
+                    self.waiting_since.get_or_insert_with(|| self.lag.earliest_arrival());
                 }
             }
         }
--- a/gateway/src/listener/connection.rs
+++ b/gateway/src/listener/connection.rs
@@ -1,10 +1,9 @@
-//! One client's connection: waits for requests, has each answered, and ends.
+//! One client's connection: waits for requests, responds to each, and ends.
 use super::client::{ArrivedRequest, ClientReader, ReadError, MAX_READ_AHEAD_BYTES};
 use super::close::linger;
 use super::request::InvalidRequest;
-use super::{Admission, Frontend, ShutdownPhase};
+use super::{ClientSlot, Frontend, ShutdownPhase};
 use crate::budget::ConnectionState;
-use crate::descriptors::Descriptor;
 use crate::events::{GatewayEvent, Response};
 use crate::http1::{CompleteMessage, Reader, RequestLine, MAX_BODY_BYTES};
 use crate::protocol::{API_PATH, CORRELATION_ID, READINESS_PATH};
@@ -14,12 +13,12 @@
 use std::io;
 use std::time::Duration;
 use tokio::net::TcpStream;
-use tokio::sync::{oneshot, watch, OwnedSemaphorePermit};
+use tokio::sync::{oneshot, watch};
 use tokio::time::{sleep, sleep_until, timeout, timeout_at, Instant};
 use tracing::debug;
 
-/// A request must be complete so long after its first byte, and the first one so long after the accept. The platform
-/// expects an error within 3 s otherwise.
+/// The time from a request's first byte until it must be complete; for a connection's first request, from the accept. The
+/// requirement is that the client of an incomplete request has an error response within 3 s.
 const REQUEST_READ_TIMEOUT: Duration = Duration::from_millis(2500);
 /// A response must be written within this.
 const RESPONSE_WRITE_TIMEOUT: Duration = Duration::from_secs(5);
@@ -32,7 +31,7 @@
 const ARRIVED_WITH_CONNECTION: Duration = Duration::from_millis(20);
 
 /// What ends the wait for a request's first byte.
-enum Wakeup {
+enum IdleEnd {
     /// Bytes have arrived.
     Bytes,
     /// The client has closed the connection.
@@ -50,30 +49,36 @@
     Evicted,
 }
 
-/// What a request's client gets.
-struct Answer {
+/// The response to a request before it is encoded.
+struct RequestResult {
     response: Result<Response, LocalResponse>,
     client_disconnected: bool,
 }
 
-impl From<Result<Response, LocalResponse>> for Answer {
+impl From<Result<Response, LocalResponse>> for RequestResult {
     fn from(response: Result<Response, LocalResponse>) -> Self {
-        Answer { response, client_disconnected: false }
+        RequestResult { response, client_disconnected: false }
     }
 }
 
-impl From<InvalidRequest> for Answer {
+impl From<InvalidRequest> for RequestResult {
     fn from(invalid: InvalidRequest) -> Self {
         Err(LocalResponse::BadRequest(invalid.reason())).into()
     }
 }
 
+/// A response ready to be written.
+struct FinalResponse {
+    response: EncodedResponse,
+    /// The connection stays open after it.
+    keep_alive: bool,
+}
+
 /// A client's connection while it is served.
 pub(super) struct ClientConnection<'a> {
     frontend: &'a Frontend,
     stream: TcpStream,
-    slot: Result<Descriptor, OwnedSemaphorePermit>,
-    evicted: Option<oneshot::Receiver<()>>,
+    slot: ClientSlot,
     reader: Reader<RequestLine>,
     /// A request that was read behind another one before the connection was to end.
     pipelined: Option<CompleteMessage<RequestLine>>,
@@ -87,17 +92,12 @@
 impl<'a> ClientConnection<'a> {
     /// A connection whose first bytes may have been waiting since `arrived_at`.
     pub(super) fn new(
-        frontend: &'a Frontend, stream: TcpStream, admission: Admission, arrived_at: Instant,
+        frontend: &'a Frontend, stream: TcpStream, slot: ClientSlot, arrived_at: Instant,
     ) -> Self {
-        let (slot, evicted) = match admission {
-            Admission::Admitted(descriptor, evicted) => (Ok(descriptor), Some(evicted)),
-            Admission::Spare(permit) => (Err(permit), None),
-        };
         ClientConnection {
             frontend,
             stream,
             slot,
-            evicted,
             reader: Reader::new(MAX_BODY_BYTES),
             pipelined: None,
             waiting_since: Some(arrived_at),
@@ -112,16 +112,18 @@
         loop {
             if self.reader.is_idle() && self.pipelined.is_none() {
                 match self.first_byte().await? {
-                    Wakeup::Bytes => {}
-                    Wakeup::ClientClosed => return Ok(()),
-                    Wakeup::Expired => return self.close_idle().await,
+                    IdleEnd::Bytes => {}
+                    IdleEnd::ClientClosed => return Ok(()),
+                    IdleEnd::Expired => return self.close_idle().await,
                 }
             }
             self.set_state(ConnectionState::Reading);
-            let (response, keep_alive) = match self.read_request().await {
+            let FinalResponse { response, keep_alive } = match self.read_request().await {
                 ReadOutcome::Request(request) => self.respond(request).await,
                 ReadOutcome::ClientClosed => return Ok(()),
-                ReadOutcome::Invalid(response) => (response.encode(false), false),
+                ReadOutcome::Invalid(response) => {
+                    FinalResponse { response: response.encode(false), keep_alive: false }
+                }
                 ReadOutcome::Failed(e) => return Err(e),
                 ReadOutcome::Evicted => return self.close_evicted().await,
             };
@@ -134,13 +136,13 @@
     }
 
     fn set_state(&self, state: ConnectionState) {
-        if let Ok(descriptor) = &self.slot {
+        if let ClientSlot::Admitted { descriptor, .. } = &self.slot {
             descriptor.set_state(state);
         }
     }
 
     /// Waits for the next request's first byte.
-    async fn first_byte(&mut self) -> io::Result<Wakeup> {
+    async fn first_byte(&mut self) -> io::Result<IdleEnd> {
         let (phase, accepted_at) = (&mut self.phase, self.accepted_at);
         let read = tokio::select! {
             biased;
@@ -150,19 +152,19 @@
                 let _ = phase.wait_for(|phase| *phase >= ShutdownPhase::Closing).await;
                 sleep_until(accepted_at + CLOSING_FIRST_BYTE_TIMEOUT).await;
             } => None,
-            () = eviction(&mut self.evicted) => None,
+            () = self.slot.evicted() => None,
             () = sleep(IDLE_TIMEOUT) => None,
         };
         match read {
-            None => return Ok(Wakeup::Expired),
-            Some(0) => return Ok(Wakeup::ClientClosed),
+            None => return Ok(IdleEnd::Expired),
+            Some(0) => return Ok(IdleEnd::ClientClosed),
             Some(_) => {}
         }
         if self.accepted_at.elapsed() >= ARRIVED_WITH_CONNECTION {
             // The bytes have not been waiting since the connection arrived.
             self.waiting_since = None;
         }
-        Ok(Wakeup::Bytes)
+        Ok(IdleEnd::Bytes)
     }
 
     async fn read_request(&mut self) -> ReadOutcome {
@@ -181,7 +183,7 @@
         let read = tokio::select! {
             biased;
             read = timeout_at(begun_at + REQUEST_READ_TIMEOUT, client.next_request()) => read,
-            () = eviction(&mut self.evicted) => return ReadOutcome::Evicted,
+            () = self.slot.evicted() => return ReadOutcome::Evicted,
         };
         match read {
             Ok(Ok(Some(request))) => ReadOutcome::Request(request),
@@ -192,16 +194,16 @@
         }
     }
 
-    /// The response to a request, and whether the connection stays open after it.
-    async fn respond(&mut self, request: ArrivedRequest) -> (EncodedResponse, bool) {
+    /// The response to a request.
+    async fn respond(&mut self, request: ArrivedRequest) -> FinalResponse {
         self.set_state(ConnectionState::Open);
         let client_keeps_alive = request.message.keep_alive;
-        let Answer { response, client_disconnected } = self.answer(request).await;
+        let RequestResult { response, client_disconnected } = self.handle_request(request).await;
         let is_invalid =
             matches!(response, Err(LocalResponse::BadRequest(_) | LocalResponse::MethodNotAllowed));
         let accepts_more = client_keeps_alive && !is_invalid && !client_disconnected;
-        let is_spare = self.slot.is_err();
-        let is_evicted = self.slot.as_ref().is_ok_and(Descriptor::is_evicted);
+        let is_spare = self.slot.is_spare();
+        let is_evicted = self.slot.is_evicted();
         let has_flooded = self.reader.buffer().len() >= MAX_READ_AHEAD_BYTES;
         let phase = self.frontend.phase();
         let must_end = is_spare || is_evicted || has_flooded || phase != ShutdownPhase::Serving;
@@ -223,12 +225,12 @@
             Ok(response) => response.encode(keep_alive),
             Err(local) => local.encode(keep_alive),
         };
-        (response, keep_alive)
+        FinalResponse { response, keep_alive }
     }
 
-    /// What a request's client gets. A client that has disconnected still gets it, as it may have ended its sending side
+    /// Has a request handled, locally or by the event loop. A client that has disconnected still gets the response, as it may have ended its sending side
     /// only.
-    async fn answer(&mut self, request: ArrivedRequest) -> Answer {
+    async fn handle_request(&mut self, request: ArrivedRequest) -> RequestResult {
         let ArrivedRequest { message, arrived_at } = request;
         if let Err(local) = self.route(&message) {
             return Err(local).into();
@@ -239,7 +241,7 @@
             Err(invalid) => return invalid.into(),
         };
         let rejected = Response::Rejected { retry_after_ms: self.frontend.max_retry_after_ms };
-        if self.slot.is_err() || self.frontend.phase() == ShutdownPhase::Rejecting {
+        if self.slot.is_spare() || self.frontend.phase() == ShutdownPhase::Rejecting {
             return Ok(rejected).into();
         }
         let correlation_id = message.fields.bytes(CORRELATION_ID);
@@ -263,7 +265,7 @@
             },
             // The event loop has not seen the request, and never will.
             () = client.disconnected() => {
-                return Answer { response: Ok(rejected), client_disconnected: true };
+                return RequestResult { response: Ok(rejected), client_disconnected: true };
             }
         }
         tokio::select! {
@@ -272,7 +274,7 @@
             () = client.disconnected() => {}
         }
         let _ = events.send(GatewayEvent::ClientDisconnected(id)).await;
-        Answer { response: Ok(response.await.unwrap_or(Response::Failed)), client_disconnected: true }
+        RequestResult { response: Ok(response.await.unwrap_or(Response::Failed)), client_disconnected: true }
     }
 
     /// Whether a message is a request to forward; the response otherwise.
@@ -291,8 +293,9 @@
 
     /// Ends an idle connection. It lingers, since a request that crosses its end would otherwise be reset.
     async fn close_idle(mut self) -> io::Result<()> {
+        let is_evicted = self.slot.is_evicted();
         // The slot is free while the connection lingers.
-        let is_evicted = self.slot.is_ok_and(|descriptor| descriptor.is_evicted());
+        drop(self.slot);
         debug!(is_evicted, phase = ?self.frontend.phase(), "closing idle connection");
         if is_evicted {
             return linger_evicted(self.frontend, &mut self.stream).await;
@@ -318,15 +321,6 @@
     }
 }
 
-/// Waits until a connection is evicted; for ever if it holds no descriptor of the budget.
-async fn eviction(evicted: &mut Option<oneshot::Receiver<()>>) {
-    match evicted {
-        // An error comes only once the descriptor is gone too.
-        Some(evicted) => drop(evicted.await),
-        None => std::future::pending().await,
-    }
-}
-
 async fn write(stream: &TcpStream, response: EncodedResponse) -> io::Result<()> {
     let mut bytes = response.head.chain(response.body);
     timeout(RESPONSE_WRITE_TIMEOUT, sockets::write_all(stream, &mut bytes)).await?
--- a/gateway/src/listener/mod.rs
+++ b/gateway/src/listener/mod.rs
@@ -74,11 +74,37 @@
 }
 
 /// What a connection holds while it is served.
-enum Admission {
-    /// A descriptor of the budget, and a receiver that completes when it is evicted.
-    Admitted(Descriptor, oneshot::Receiver<()>),
+enum ClientSlot {
+    /// A descriptor of the budget.
+    Admitted {
+        descriptor: Descriptor,
+        /// Completes when the connection is evicted.
+        evicted: oneshot::Receiver<()>,
+    },
     /// None of the budget: its request is rejected.
-    Spare(OwnedSemaphorePermit),
+    Spare {
+        /// Counts the connection among the spare ones until it is dropped.
+        _permit: OwnedSemaphorePermit,
+    },
+}
+
+impl ClientSlot {
+    fn is_spare(&self) -> bool {
+        matches!(self, ClientSlot::Spare { .. })
+    }
+
+    fn is_evicted(&self) -> bool {
+        matches!(self, ClientSlot::Admitted { descriptor, .. } if descriptor.is_evicted())
+    }
+
+    /// Waits until the connection is evicted; for ever if it holds no descriptor of the budget.
+    async fn evicted(&mut self) {
+        match self {
+            // An error comes only once the descriptor is gone too.
+            ClientSlot::Admitted { evicted, .. } => drop(evicted.await),
+            ClientSlot::Spare { .. } => std::future::pending().await,
+        }
+    }
 }
 
 /// Reserves a correlation id while its request is open.
--- a/gateway/src/permit.rs
+++ b/gateway/src/permit.rs
@@ -1,5 +1,5 @@
 //! The rule that decides whether an attempt may begin: checked when the balancer asks for it, and again before its first
-//! byte is written, since the first answer may no longer hold. No I/O and no clock.
+//! byte is written, since the first result may no longer hold. No I/O and no clock.
 //!
 //! Which requests are retried is the balancer's decision (`balancer/src/retry.rs`). This module is an independent second
 //! check of it: it shares only the settings' types with the balancer and works on the event loop's own record of the attempts.
@@ -36,7 +36,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Denial {
     /// The request has its response, or its client has disconnected.
-    Answered,
+    RequestClosed,
     /// The time at which it would be given up has passed.
     DeadlinePassed,
     /// The endpoint has no address, or is not in service.
@@ -57,7 +57,7 @@
     /// The invariant that the balancer has violated by asking for the attempt; `None` where its events were still on their way.
     pub fn violates(self) -> Option<Invariant> {
         match self {
-            Denial::Answered
+            Denial::RequestClosed
             | Denial::DeadlinePassed
             | Denial::EndpointUnavailable
             | Denial::DeduplicationOver => None,
@@ -93,7 +93,7 @@
     /// The first reason against it.
     pub fn check(&self, now: Instant) -> Result<(), Denial> {
         if !self.client_waits {
-            return Err(Denial::Answered);
+            return Err(Denial::RequestClosed);
         }
         let locality = self.locality.ok_or(Denial::EndpointUnavailable)?;
         if self.give_up_at <= now {
@@ -150,7 +150,7 @@
     /// The first reason against it.
     pub fn check(&self, now: Instant) -> Result<(), Denial> {
         if !self.client_waits {
-            return Err(Denial::Answered);
+            return Err(Denial::RequestClosed);
         }
         if !self.endpoint_in_service {
             return Err(Denial::EndpointUnavailable);
--- a/gateway/src/response.rs
+++ b/gateway/src/response.rs
@@ -73,6 +73,7 @@
             Response::Rejected { retry_after_ms } => {
                 let retry_after = |out: &mut BytesMut| {
                     if retry_after_ms > 0.0 {
+                        // The platform's protocol allows decimal seconds, which its clients accept; RFC 9110 does not.
                         let _ = write!(out, "Retry-After: {:.3}\r\n", retry_after_ms / 1000.0);
                     }
                 };
--- a/gateway/src/serve.rs
+++ b/gateway/src/serve.rs
@@ -5,7 +5,7 @@
 use crate::discovery::{self, FollowConfig};
 use crate::endpoint_list::EndpointList;
 use crate::event_loop::{Dependencies, EventLoop};
-use crate::events::{DiscoveryAddress, EventSender, EVENT_QUEUE_COUNT};
+use crate::events::{DiscoveryAddressReceiver, EventSender, EVENT_QUEUE_COUNT};
 use crate::invariants::Violations;
 use crate::listener::{Frontend, ShutdownPhase, LINGERING_CONNECTION_COUNT, SPARE_CONNECTION_COUNT};
 use crate::loop_lag::LoopLag;
@@ -26,7 +26,8 @@
 /// Descriptors that are neither clients' nor servers': the listener, discovery, the runtime, the log, evicted connections
 /// that linger, and some spare.
 const RESERVED_DESCRIPTOR_COUNT: usize = 16 + LINGERING_CONNECTION_COUNT;
-/// How long new connections still arrive after the gateway is told to stop, with a little to spare.
+/// How long the gateway goes on as usual after SIGTERM. The platform's protocol has new connections arrive for up to 0.4 s
+/// more; the rest is a margin.
 const STOPPING_TIME: Duration = Duration::from_millis(550);
 /// How long a request that has crossed the end of an idle connection may take to be sent again.
 const CLOSING_TIME: Duration = Duration::from_millis(150);
@@ -56,7 +57,8 @@
 /// # Errors
 /// Fails if the gateway cannot start, or one of its tasks ends.
 pub async fn serve(
-    config: Config, listener: TcpListener, discovery: DiscoveryAddress, stop: impl Future<Output = ()>,
+    config: Config, listener: TcpListener, discovery: DiscoveryAddressReceiver,
+    stop: impl Future<Output = ()>,
 ) -> Result<(), ServeError> {
     serve_with_control(config, None, listener, discovery, stop).await
 }
@@ -66,8 +68,8 @@
 /// # Errors
 /// As [`serve`].
 pub async fn serve_with_control(
-    config: Config, control: Option<ControlConfig>, listener: TcpListener, discovery: DiscoveryAddress,
-    stop: impl Future<Output = ()>,
+    config: Config, control: Option<ControlConfig>, listener: TcpListener,
+    discovery: DiscoveryAddressReceiver, stop: impl Future<Output = ()>,
 ) -> Result<(), ServeError> {
     let mut gateway = Gateway::start(config, control, listener, discovery)?;
     tokio::select! {
@@ -92,29 +94,21 @@
 
 impl Gateway {
     fn start(
-        config: Config, control: Option<ControlConfig>, listener: TcpListener, discovery: DiscoveryAddress,
+        config: Config, control: Option<ControlConfig>, listener: TcpListener,
+        discovery: DiscoveryAddressReceiver,
     ) -> Result<Self, ServeError> {
         let Config { name, seed, max_sockets, cached_list, deployment, .. } = config;
         let address = listener.local_addr().map_err(ServeError::Listener)?;
         let (events, event_queue) = mpsc::channel(EVENT_QUEUE_COUNT);
-        let (watch_requests, watch_requested) = mpsc::channel(1);
+        let (watch_requests, watch_requested) = watch_request_channel(&deployment);
         let (phase, phase_now) = watch::channel(ShutdownPhase::Serving);
-        if !deployment.balancer.poll_discovery {
-            // Pushed lists arrive on a watch too, which the balancer does not request then. The channel is empty.
-            let _ = watch_requests.try_send(());
-        }
         let (violations, lag) = (Violations::default(), LoopLag::default());
-        let available = max_sockets.saturating_sub(RESERVED_DESCRIPTOR_COUNT + SPARE_CONNECTION_COUNT);
-        let descriptors = Descriptors::new(available);
-        let connect_timeout = Duration::from_secs_f64(deployment.connect_timeout_ms / 1000.0);
-        let idle_timeout_ms = deployment.balancer.connection_idle_timeout_ms;
-        let upstream = Upstream::new(events.clone(), descriptors.clone(), idle_timeout_ms, connect_timeout)
+        let descriptors = budgeted_descriptors(max_sockets);
+        let upstream = new_upstream(&deployment, events.clone(), descriptors.clone())
             .with_violations(violations.clone());
-        let deadlines_ms = deployment.balancer.classes.iter().map(|class| class.deadline_ms);
-        let longest_deadline = Duration::from_secs_f64(deadlines_ms.fold(0.0, f64::max) / 1000.0);
+        let longest_deadline = longest_deadline(&deployment);
         let list_source = ListSource::new(control, discovery, &deployment, &cached_list);
-        let cached_list =
-            if list_source.is_control() { control::with_replicated_uids(cached_list) } else { cached_list };
+        let cached_list = list_source.initial_list(cached_list);
         let (revision, endpoints) = (cached_list.revision, cached_list.endpoints.len());
         let dependencies =
             Dependencies { upstream, watch_requests, violations: violations.clone(), lag: lag.clone() };
@@ -174,6 +168,31 @@
     }
 }
 
+/// The channel of the event loop's requests for a watch.
+fn watch_request_channel(deployment: &Deployment) -> (mpsc::Sender<()>, mpsc::Receiver<()>) {
+    let (watch_requests, watch_requested) = mpsc::channel(1);
+    if !deployment.balancer.poll_discovery {
+        // Pushed lists arrive on a watch too, which the balancer does not request then. The channel is empty.
+        let _ = watch_requests.try_send(());
+    }
+    (watch_requests, watch_requested)
+}
+
+/// The descriptors that clients and endpoints share, out of `max_sockets`.
+fn budgeted_descriptors(max_sockets: usize) -> Arc<Descriptors> {
+    Descriptors::new(max_sockets.saturating_sub(RESERVED_DESCRIPTOR_COUNT + SPARE_CONNECTION_COUNT))
+}
+
+fn new_upstream(deployment: &Deployment, events: EventSender, descriptors: Arc<Descriptors>) -> Upstream {
+    let connect_timeout = Duration::from_secs_f64(deployment.connect_timeout_ms / 1000.0);
+    Upstream::new(events, descriptors, deployment.balancer.connection_idle_timeout_ms, connect_timeout)
+}
+
+fn longest_deadline(deployment: &Deployment) -> Duration {
+    let deadlines_ms = deployment.balancer.classes.iter().map(|class| class.deadline_ms);
+    Duration::from_secs_f64(deadlines_ms.fold(0.0, f64::max) / 1000.0)
+}
+
 /// Where the endpoint list comes from.
 enum ListSource {
     /// From the control servers.
@@ -183,12 +202,12 @@
         cached_list: EndpointList,
     },
     /// From discovery.
-    Discovery { address: DiscoveryAddress, config: FollowConfig },
+    Discovery { address: DiscoveryAddressReceiver, config: FollowConfig },
 }
 
 impl ListSource {
     fn new(
-        control: Option<ControlConfig>, address: DiscoveryAddress, deployment: &Deployment,
+        control: Option<ControlConfig>, address: DiscoveryAddressReceiver, deployment: &Deployment,
         cached_list: &EndpointList,
     ) -> Self {
         if let Some(control) = control {
@@ -207,8 +226,12 @@
         ListSource::Discovery { address, config }
     }
 
-    fn is_control(&self) -> bool {
-        matches!(self, ListSource::Control { .. })
+    /// The list that the event loop starts from, with endpoint names as this source has them.
+    fn initial_list(&self, cached_list: EndpointList) -> EndpointList {
+        match self {
+            ListSource::Control { .. } => control::with_replicated_uids(cached_list),
+            ListSource::Discovery { .. } => cached_list,
+        }
     }
 
     /// Starts to follow the list.
--- a/gateway/src/upstream/attempt.rs
+++ b/gateway/src/upstream/attempt.rs
@@ -51,7 +51,9 @@
 }
 
 impl Attempt {
-    /// The outcome of an attempt that was begun and not sent completely, which proves that it never ran.
+    /// The outcome of an attempt that was begun and not sent completely, which proves that it never ran. A send that broke or
+    /// took too long on an open connection counts as `ConnectFailed`, as a failed dial does, since the endpoint did not take
+    /// the request. It is `NotSent` once the attempt's own `send_by` has passed, which is not the endpoint's fault.
     pub(super) fn incomplete_send_outcome(&self) -> Outcome {
         if self.is_past_send_by() {
             Outcome::NotSent
--- a/gateway/src/upstream/exchange.rs
+++ b/gateway/src/upstream/exchange.rs
@@ -20,10 +20,10 @@
 
 /// The longest pause within a response. A response that stops in its middle is malformed: its length does not fit.
 const MAX_RESPONSE_GAP: Duration = Duration::from_millis(250);
-/// The time left that an endpoint is sent may exceed what is left to the client by so much: an attempt that takes longer
-/// to send is given up.
+/// The most by which the time left that an endpoint is sent may exceed what is left to the client: an attempt that takes
+/// longer to send is given up.
 const TIME_LEFT_SLACK: Duration = Duration::from_millis(150);
-/// The process may be preempted for so long between reading its clock and writing.
+/// The longest time for which the process may be preempted between reading its clock and writing.
 const MAX_PREEMPTION: Duration = Duration::from_millis(150);
 
 /// Sends an attempt that was decided on at `decided_at` and waits for its response, until it is given up or cancelled.
@@ -121,7 +121,9 @@
     }
 }
 
-/// What a response says of whether the request has run.
+/// What a response says of whether the request has run: 200 is `Served`; 503 and 504 that the endpoint marks as not
+/// processed are `Rejected`. Every other status is `ServerError`, an unmarked 503 or 504 too, as the request may have run; so
+/// is a malformed response and one that stops in its middle (see [`receive`]).
 fn outcome(response: &CompleteMessage<StatusLine>) -> Outcome {
     match response.start_line.code {
         200 => Outcome::Served,
--- a/gateway/tests/budget.rs
+++ b/gateway/tests/budget.rs
@@ -1,6 +1,6 @@
 //! Who gives way when budget are short: floods of silent, slow and idle connections beside usual clients.
 use std::collections::{BTreeMap, HashMap};
-use ternstack_gateway::budget::{Admission, Budget, ClientId, ConnectionState};
+use ternstack_gateway::budget::{ClientId, ConnectionState, DescriptorBudget, DescriptorGrant};
 
 /// What a connection in the play is.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -12,7 +12,7 @@
 
 /// Plays connections against budget, in whole milliseconds, and counts what became of whom.
 struct Play {
-    budget: Budget,
+    budget: DescriptorBudget,
     now: u64,
     who: HashMap<ClientId, Who>,
     next: BTreeMap<(u64, u64), (ClientId, ConnectionState)>, // Due: what a connection does next.
@@ -26,7 +26,7 @@
 impl Play {
     fn new(budget: usize) -> Self {
         Play {
-            budget: Budget::new(budget),
+            budget: DescriptorBudget::new(budget),
             now: 0,
             who: HashMap::new(),
             next: BTreeMap::new(),
@@ -45,15 +45,15 @@
 
     fn connect(&mut self, who: Who) {
         let id = match self.budget.admit(self.now as f64) {
-            Admission::Admitted(id) => id,
-            Admission::Evicting { admitted: id, evicted: other } => {
+            DescriptorGrant::Admitted(id) => id,
+            DescriptorGrant::Evicting { admitted: id, evicted: other } => {
                 let unserved = self.doing[&other] != ConnectionState::Idle;
                 assert_ne!(self.doing[&other], ConnectionState::Open, "an open request gives way to nobody");
                 *self.pushed_out.entry((self.who[&other], unserved)).or_default() += 1;
                 self.doing.remove(&other);
                 id
             }
-            Admission::Full => {
+            DescriptorGrant::Full => {
                 *self.turned_away.entry(who).or_default() += 1;
                 return;
             }
@@ -137,16 +137,16 @@
 
 #[test]
 fn each_side_has_its_minimum_and_may_use_what_the_other_leaves() {
-    let mut budget = Budget::new(100);
+    let mut budget = DescriptorBudget::new(100);
     assert_eq!(budget.max_clients(), 75);
     let clients: Vec<ClientId> = (0..75)
         .map(|_| match budget.admit(0.0) {
-            Admission::Admitted(id) => id,
+            DescriptorGrant::Admitted(id) => id,
             other => panic!("{other:?}"),
         })
         .collect();
     clients.iter().for_each(|id| budget.set_state(*id, ConnectionState::Open, 1.0));
-    assert_eq!(budget.admit(1000.0), Admission::Full, "open requests give way to nobody");
+    assert_eq!(budget.admit(1000.0), DescriptorGrant::Full, "open requests give way to nobody");
     assert_eq!((0..100).filter(|_| budget.open_server()).count(), 25);
     assert_eq!(budget.make_room(1000.0), None);
     // Hosts use what clients leave, and keep some room for their next connections.
@@ -167,11 +167,11 @@
 fn idle_clients_leave_descriptors_to_others() {
     // The clients' side holds a third of the descriptors at most. Idle ones that are kept for 2 s would fill it at
     // 60 a second, and usual clients would get no connection though every server has room: incident rfd526e.
-    let mut budget = Budget::new(336);
+    let mut budget = DescriptorBudget::new(336);
     let (mut ended, mut most) = (0, 0);
     for n in 0..600u32 {
         let now = f64::from(n) * 16.0;
-        let Admission::Admitted(id) = budget.admit(now) else { panic!("there is room") };
+        let DescriptorGrant::Admitted(id) = budget.admit(now) else { panic!("there is room") };
         budget.set_state(id, ConnectionState::Open, now + 2.0);
         budget.set_state(id, ConnectionState::Idle, now + 12.0);
         while budget.evict_surplus_idle(now + 12.0).is_some() {
@@ -183,9 +183,9 @@
     assert_eq!(ended, 600 - budget.clients());
 
     // Those that were busy a moment ago are left alone: their next request may be on its way.
-    let mut budget = Budget::new(80);
+    let mut budget = DescriptorBudget::new(80);
     for n in 0..30u32 {
-        let Admission::Admitted(id) = budget.admit(0.0) else { panic!("there is room") };
+        let DescriptorGrant::Admitted(id) = budget.admit(0.0) else { panic!("there is room") };
         budget.set_state(id, ConnectionState::Idle, f64::from(n));
     }
     assert_eq!(budget.evict_surplus_idle(60.0), None);
