--- a/gateway/src/listener/accept.rs
+++ b/gateway/src/listener/accept.rs
@@ -15,7 +15,7 @@
 const RETRY_DELAY: Duration = Duration::from_millis(10);
 /// Failed accepts are logged at most this often.
 const WARNING_INTERVAL: Duration = Duration::from_secs(5);
-/// Failed accepts of a graceful shutdown are retried for so long.
+/// The time for which failed accepts of a graceful shutdown are retried.
 const FINAL_ACCEPT_TIMEOUT: Duration = Duration::from_millis(200);
 
 impl Frontend {
--- a/gateway/src/listener/connection.rs
+++ b/gateway/src/listener/connection.rs
@@ -228,8 +228,8 @@
         FinalResponse { response, keep_alive }
     }
 
-    /// Has a request handled, locally or by the event loop. A client that has disconnected still gets the response, as it may have ended its sending side
-    /// only.
+    /// Has a request handled, by the listener itself or by the event loop. A client that has disconnected still gets the
+    /// response, as it may have ended its sending side only.
     async fn handle_request(&mut self, request: ArrivedRequest) -> RequestResult {
         let ArrivedRequest { message, arrived_at } = request;
         if let Err(local) = self.route(&message) {
--- a/gateway/src/program/mod.rs
+++ b/gateway/src/program/mod.rs
@@ -25,8 +25,8 @@
 
 /// How many log lines may be buffered. More are dropped, so that a slow reader of the log delays no request.
 const MAX_BUFFERED_LOG_LINE_COUNT: usize = 1024;
-/// How long a call that fails for a moment is retried at the start: the requirement is that nine in ten
-/// starts are ready within 10 s.
+/// How long a call that fails for a moment is retried at the start: the requirement is that nine in ten starts are
+/// ready within 10 s.
 const START_RETRY_TIMEOUT: Duration = Duration::from_secs(5);
 /// The pause before a retry.
 const RETRY_DELAY: Duration = Duration::from_millis(20);
--- a/gateway/src/upstream/connection.rs
+++ b/gateway/src/upstream/connection.rs
@@ -13,7 +13,7 @@
 use tokio::time::{sleep_until, timeout_at, Instant};
 use tracing::debug;
 
-/// A connection carries no attempt for so long after a response. Excess bytes that follow a response within that time
+/// The time after a response for which a connection carries no attempt. Excess bytes that follow a response within that time
 /// close the connection; once the next request was sent they would be taken for its response. An attempt waits for the
 /// rest of it, as a new connection would cost the endpoint more.
 const REST_AFTER_RESPONSE: Duration = Duration::from_millis(10);
