--- a/balancer/src/settings.rs
+++ b/balancer/src/settings.rs
@@ -34,7 +34,7 @@
     pub latency_objective_ms: f64,
     /// How long a client waits over all its attempts, in ms.
     pub deadline_ms: f64,
-    /// Part of the value, from 0 to 1, that a response after the latency objective still earns.
+    /// Fraction of the value, from 0 to 1, that a response after the latency objective still earns.
     pub late_value_ratio: f64,
     /// Whether it may be retried.
     pub idempotency: Idempotency,
--- a/balancer/tests/decision_digests/fleet.rs
+++ b/balancer/tests/decision_digests/fleet.rs
@@ -18,7 +18,7 @@
     FailsClass(usize),
     /// Fails all requests of one tenant.
     FailsTenant(usize),
-    /// Needs so many times longer.
+    /// Needs this multiple of the usual time.
     Slow(f64),
     /// Rejects at this rate.
     Rejects(f64),
--- a/settings/src/deployment.rs
+++ b/settings/src/deployment.rs
@@ -64,10 +64,10 @@
         name: class.text_or("name", "")?.to_string(),
         latency_objective_ms: class.number_or("aim_ms", deadline_ms)?,
         deadline_ms,
-        late_value_ratio: class.number_or("late_value", 0.0)?,
+        late_value_ratio: class.number_or("late_value", defaults::LATE_VALUE_RATIO)?,
         idempotency,
         deduplication_scope,
-        deduplication_window_ms: class.number_or("window_ms", 0.0)?,
+        deduplication_window_ms: class.number_or("window_ms", defaults::DEDUPLICATION_WINDOW_MS)?,
     })
 }
 
@@ -96,7 +96,7 @@
 fn read_tenant(tenant: &Section) -> Result<Tenant, DeploymentError> {
     Ok(Tenant {
         name: tenant.text_or("name", "")?.to_string(),
-        quota_per_s: tenant.number_or("quota_per_s", 0.0)?,
+        quota_per_s: tenant.number_or("quota_per_s", defaults::QUOTA_PER_S)?,
     })
 }
 
@@ -112,16 +112,18 @@
     Ok(Settings {
         classes,
         tenants,
-        gateway_count: root.number_or("instances", defaults::GATEWAY_COUNT)? as u32,
-        gateway_index: root.number_or("me", defaults::GATEWAY_INDEX)? as u32,
+        gateway_count: root.number_or("instances", f64::from(defaults::GATEWAY_COUNT))? as u32,
+        gateway_index: root.number_or("me", f64::from(defaults::GATEWAY_INDEX))? as u32,
         zone: names.zone_number(root.text_or("zone", "")?),
         tick_ms: root.number_or("tick_ms", defaults::TICK_MS)?,
         weights_reflect_load: root.text_or("weights", "off")? == "live",
-        cross_zone_cost_ratio: root.section("deductions", "deductions.").number_or("cross_zone", 0.0)?,
+        cross_zone_cost_ratio: root
+            .section("deductions", "deductions.")
+            .number_or("cross_zone", defaults::CROSS_ZONE_COST_RATIO)?,
         connection_idle_timeout_ms: limits.number_or("conn_idle_ms", defaults::CONNECTION_IDLE_TIMEOUT_MS)?,
         load_report_delivery,
         poll_discovery,
-        max_attempts: limits.number_or("max_attempts", defaults::MAX_ATTEMPTS_COUNT)? as u32,
+        max_attempts: limits.number_or("max_attempts", f64::from(defaults::MAX_ATTEMPTS_COUNT))? as u32,
         health_checks_allowed: limits.flag_or("may_probe", false)?,
         cancellation_allowed: limits.flag_or("cancel", false)?,
         max_retry_after_ms: if clients_heed_retry_after {
@@ -135,7 +137,7 @@
         slow_start_overload_multiple: safety
             .number_or("tip_multiple", defaults::SLOW_START_OVERLOAD_MULTIPLE)?,
         removal_is_advisory: safety.flag_or("removal_not_binding", false)?,
-        availability_weight: result_mix.number_or("nines", 0.0)?,
+        availability_weight: result_mix.number_or("nines", defaults::AVAILABILITY_WEIGHT)?,
         availability_target_nines: read_optional_number(&result_mix, "top_nines")?,
     })
 }
@@ -175,7 +177,7 @@
 }
 
 fn read_max_open_requests(limits: &Section) -> Result<usize, DeploymentError> {
-    let count = limits.number_or("max_open", defaults::MAX_OPEN_REQUEST_COUNT)?;
+    let count = limits.number_or("max_open", f64::from(defaults::MAX_OPEN_REQUEST_COUNT))?;
     if count < 1.0 {
         return Err(DeploymentError::OutOfRange { key: "limits.max_open", requirement: "1 or more" });
     }
--- a/simulator-adapter/src/lib.rs
+++ b/simulator-adapter/src/lib.rs
@@ -1,9 +1,10 @@
 //! The balancer on the simulator's line protocol: lines become events, actions become lines.
 //!
-//! One process plays all gateways of a simulated fleet. The simulator sends batches of lines, each with its
-//! own time; [`run`] answers every batch with the lines of the actions that came of it. The protocol's words
-//! become the balancer's terms in `protocol`, and its actions become words in `reply`; nowhere else. No
-//! decision is made here.
+//! One process plays all gateways of a simulated fleet. The simulator sends batches of lines, in which a
+//! time line sets the time of the lines that follow, in this batch and the next ones. [`run`] answers every
+//! batch with the lines of the actions that came of it. `protocol` holds the words of the simulator's
+//! lines and maps them to the balancer's terms, `events` reads the fields of events, and `reply` writes
+//! actions in the protocol's words. No decision is made here.
 #![forbid(unsafe_code)]
 #![deny(missing_docs, clippy::too_many_lines, clippy::cognitive_complexity)]
 
--- a/simulator-adapter/src/protocol.rs
+++ b/simulator-adapter/src/protocol.rs
@@ -47,7 +47,14 @@
     pub const END_OF_BATCH: &str = "FLUSH";
     pub const START_GATEWAY: &str = "INIT";
     pub const REMOVE_GATEWAY: &str = "RETIRE";
+    pub const ENDPOINT_UPDATE: &str = "TOPOLOGY";
     pub const ENDPOINT_RECORD: &str = "M";
+    pub const REQUEST_ARRIVAL: &str = "ACCEPT";
+    pub const RESPONSE_STARTED: &str = "BEGUN";
+    pub const ATTEMPT_END: &str = "ATTEMPT_END";
+    pub const CLIENT_DISCONNECTED: &str = "CANCELLED_BY_CLIENT";
+    pub const HEALTH_CHECK_END: &str = "HEALTH_RESULT";
+    pub const TIMER: &str = "BELL";
 }
 
 /// The names of fields in lines of the simulator.
@@ -56,7 +63,7 @@
     pub const GATEWAY: &str = "i";
     pub const SEED: &str = "prng";
     /// The settings: JSON up to the end of the line.
-    pub const SETTINGS: &str = "conf=";
+    pub const SETTINGS: &str = "conf";
     pub const UPDATE_KIND: &str = "mode";
     pub const RECORD_COUNT: &str = "hosts";
     pub const ENDPOINT: &str = "host";
@@ -85,6 +92,33 @@
     pub const QUEUE_LENGTH: &str = "backlog";
 }
 
+/// The words for kinds of endpoint updates.
+pub mod update_kind_word {
+    pub const DELTA: &str = "incr";
+    pub const COMPLETE: &str = "total";
+    pub const CACHED: &str = "warm_copy";
+    pub const WATCH_LOST: &str = "lost";
+}
+
+/// The words for readiness of endpoints.
+pub mod readiness_word {
+    pub const ACTIVE: &str = "active";
+    pub const DRAINING: &str = "leaving";
+    pub const REMOVED: &str = "left";
+}
+
+/// The words for outcomes of attempts and health checks.
+pub mod outcome_word {
+    pub const SERVED: &str = "served";
+    pub const SERVER_ERROR: &str = "server_error";
+    pub const REJECTED: &str = "turned_away";
+    pub const RESPONSE_TIMEOUT: &str = "no_answer";
+    pub const CONNECT_FAILED: &str = "no_connection";
+    pub const CONNECTION_LOST: &str = "connection_lost";
+    pub const CANCELLED: &str = "called_off";
+    pub const NOT_SENT: &str = "not_sent";
+}
+
 /// The kind of a line by its word; `None` for lines of newer protocols, which are skipped.
 pub fn line_kind(word: &str) -> Option<LineKind> {
     let event = match word {
@@ -93,14 +127,14 @@
         line::END_OF_BATCH => return Some(LineKind::EndOfBatch),
         line::START_GATEWAY => return Some(LineKind::StartGateway),
         line::REMOVE_GATEWAY => return Some(LineKind::RemoveGateway),
-        "TOPOLOGY" => EventKind::EndpointUpdate,
+        line::ENDPOINT_UPDATE => EventKind::EndpointUpdate,
         line::ENDPOINT_RECORD => EventKind::EndpointRecord,
-        "ACCEPT" => EventKind::RequestArrival,
-        "BEGUN" => EventKind::ResponseStarted,
-        "ATTEMPT_END" => EventKind::AttemptEnd,
-        "CANCELLED_BY_CLIENT" => EventKind::ClientDisconnected,
-        "HEALTH_RESULT" => EventKind::HealthCheckEnd,
-        "BELL" => EventKind::Timer,
+        line::REQUEST_ARRIVAL => EventKind::RequestArrival,
+        line::RESPONSE_STARTED => EventKind::ResponseStarted,
+        line::ATTEMPT_END => EventKind::AttemptEnd,
+        line::CLIENT_DISCONNECTED => EventKind::ClientDisconnected,
+        line::HEALTH_CHECK_END => EventKind::HealthCheckEnd,
+        line::TIMER => EventKind::Timer,
         _ => return None,
     };
     Some(LineKind::Event(event))
@@ -109,10 +143,10 @@
 /// The kind of an endpoint update by its word.
 pub fn update_kind(word: &str) -> Option<UpdateKind> {
     match word {
-        "incr" => Some(UpdateKind::Delta),
-        "total" => Some(UpdateKind::Complete),
-        "warm_copy" => Some(UpdateKind::Cached),
-        "lost" => Some(UpdateKind::WatchLost),
+        update_kind_word::DELTA => Some(UpdateKind::Delta),
+        update_kind_word::COMPLETE => Some(UpdateKind::Complete),
+        update_kind_word::CACHED => Some(UpdateKind::Cached),
+        update_kind_word::WATCH_LOST => Some(UpdateKind::WatchLost),
         _ => None,
     }
 }
@@ -120,9 +154,9 @@
 /// An endpoint's readiness by its word.
 pub fn readiness(word: &str) -> Option<Readiness> {
     match word {
-        "active" => Some(Readiness::Active),
-        "leaving" => Some(Readiness::Draining),
-        "left" => Some(Readiness::Removed),
+        readiness_word::ACTIVE => Some(Readiness::Active),
+        readiness_word::DRAINING => Some(Readiness::Draining),
+        readiness_word::REMOVED => Some(Readiness::Removed),
         _ => None,
     }
 }
@@ -130,14 +164,14 @@
 /// The outcome of an attempt or health check by its word.
 pub fn outcome(word: &str) -> Option<Outcome> {
     match word {
-        "served" => Some(Outcome::Served),
-        "server_error" => Some(Outcome::ServerError),
-        "turned_away" => Some(Outcome::Rejected),
-        "no_answer" => Some(Outcome::ResponseTimeout),
-        "no_connection" => Some(Outcome::ConnectFailed),
-        "connection_lost" => Some(Outcome::ConnectionLost),
-        "called_off" => Some(Outcome::Cancelled),
-        "not_sent" => Some(Outcome::NotSent),
+        outcome_word::SERVED => Some(Outcome::Served),
+        outcome_word::SERVER_ERROR => Some(Outcome::ServerError),
+        outcome_word::REJECTED => Some(Outcome::Rejected),
+        outcome_word::RESPONSE_TIMEOUT => Some(Outcome::ResponseTimeout),
+        outcome_word::CONNECT_FAILED => Some(Outcome::ConnectFailed),
+        outcome_word::CONNECTION_LOST => Some(Outcome::ConnectionLost),
+        outcome_word::CANCELLED => Some(Outcome::Cancelled),
+        outcome_word::NOT_SENT => Some(Outcome::NotSent),
         _ => None,
     }
 }
--- a/simulator-adapter/src/session.rs
+++ b/simulator-adapter/src/session.rs
@@ -123,11 +123,12 @@
     selected.as_deref().ok_or_else(out_of_order)
 }
 
-/// Splits a start message before its settings, which may contain anything.
+/// Splits a start message before the field of its settings, whose value may contain anything.
 fn split_settings(rest: &str) -> Option<(&str, &str)> {
-    let at = rest.find(field::SETTINGS)?;
+    let settings_field = format!("{}=", field::SETTINGS);
+    let at = rest.find(&settings_field)?;
     let begins_a_field = at == 0 || rest[..at].ends_with(' ');
-    begins_a_field.then(|| (rest[..at].trim_end(), &rest[at + field::SETTINGS.len()..]))
+    begins_a_field.then(|| (rest[..at].trim_end(), &rest[at + settings_field.len()..]))
 }
 
 /// The event of an endpoint update without records; otherwise it waits for them.
