--- a/balancer/src/admission.rs
+++ b/balancer/src/admission.rs
@@ -106,12 +106,12 @@
 ) -> f64 {
     // Of the requests in flight at overloaded endpoints a gateway may see few of its own.
     let mean_fleet_load = fleet.endpoints.mean(|endpoint| Some(endpoint.load.fleet_load));
-    let overload_ratio = mean_fleet_load.unwrap_or(0.0) - 1.0;
+    let overload = mean_fleet_load.unwrap_or(0.0) - 1.0;
     let aimd_ratio = 1.0 - aimd_kept_ratio(now_ms, fleet, is_full);
     // What stalls everywhere would take the capacity of others meanwhile.
     let stall_excuse_ratio = failure_ratios.excuse_ratio(tenant, class, FaultKind::Stall);
     let stall_ratio = STALL_SHED_SLOPE * stall_excuse_ratio - STALL_SHED_OFFSET;
-    overload_ratio.max(aimd_ratio).max(stall_ratio.min(MAX_STALL_SHED_RATIO))
+    overload.max(aimd_ratio).max(stall_ratio.min(MAX_STALL_SHED_RATIO))
 }
 
 /// The fraction of its requests that a full fleet keeps where AIMD asks for less than one request in flight
--- a/balancer/src/attempt_assessment.rs
+++ b/balancer/src/attempt_assessment.rs
@@ -2,7 +2,7 @@
 //!
 //! Rule: an attempt has stalled if it got no response in a time in which it should have had one, or one
 //! after more than twice the typical latency of the slowest class and the shortest latency objective. An
-//! attempt that was sent too late to be answered says nothing.
+//! attempt that had too little time left for a response says nothing.
 
 use crate::event::{AttemptEnd, Outcome};
 
--- a/balancer/src/balancer/endpoints.rs
+++ b/balancer/src/balancer/endpoints.rs
@@ -112,7 +112,7 @@
                 endpoint.next_send_at_ms = now_ms + pause_ms;
             }
             Outcome::Cancelled | Outcome::NotSent => {}
-            // It was sent too late to be answered.
+            // It had too little time left for a response.
             Outcome::ResponseTimeout if !stalled => {}
             // It responded, so it is not ejected; the class may be excluded there.
             Outcome::ServerError => {
--- a/balancer/src/balancer/requests.rs
+++ b/balancer/src/balancer/requests.rs
@@ -266,7 +266,7 @@
         actions.push(Action::Reject { request, reason, retry_after_ms });
     }
 
-    /// Nobody waits for the request any more: cancels its attempts in flight, where that is permitted.
+    /// The client has disconnected: cancels its attempts in flight, where that is permitted.
     pub(super) fn on_client_disconnected(&mut self, id: RequestId, actions: &mut Vec<Action>) {
         let Some(request) = self.requests.remove(&id) else { return };
         self.pending.remove(id);
--- a/balancer/src/class_errors.rs
+++ b/balancer/src/class_errors.rs
@@ -1,12 +1,13 @@
 //! Error responses of an endpoint by request class, and the exclusion of a class there.
 //!
 //! Rule: an endpoint that fails much more of a class than the best endpoint in use gets no more requests of
-//! that class but one trial from time to time. It keeps the classes that it serves: ejecting it as a whole
+//! that class except for single trials. It keeps the classes that it serves: ejecting it as a whole
 //! would move its load to other endpoints, which may then be ejected for the same class.
 
 use crate::failure_ratios::FAILURE_GAIN_RATIO;
 
-/// Part of a served response that enters the error ratio; more than of an error, as trust returns faster.
+/// Gain of the error ratio for a served response; greater than for an error, so that the ratio falls faster
+/// than it rises.
 const SERVED_GAIN_RATIO: f64 = 0.5;
 
 /// A class is excluded at an endpoint whose error ratio exceeds the best endpoint's by more than this.
--- a/balancer/src/client_timeouts.rs
+++ b/balancer/src/client_timeouts.rs
@@ -1,9 +1,10 @@
 //! How long a client has been trying, inferred from its timeout.
 //!
-//! Rule: a client waits the same time in each of its attempts, except in the last one, which waits for what
-//! is left of the deadline, more or less. A timeout that is not the typical one thus shows how long ago the
+//! Rule: a client waits the same time in each of its attempts, except in the last one, which waits for
+//! about what is left of the deadline. A timeout that is not the typical one thus shows how long ago the
 //! client's first attempt was; a typical timeout most often is a first attempt. Each tenant and class has
-//! its own typical timeout: many impatient clients of one must not make all others' attempts late.
+//! its own typical timeout: many impatient clients of one must not change the typical timeout of the
+//! others.
 
 use crate::settings::Settings;
 
--- a/balancer/src/concurrency_factor.rs
+++ b/balancer/src/concurrency_factor.rs
@@ -10,7 +10,7 @@
 /// A good response adds this to the factor.
 const INCREASE_STEP: f64 = 0.05;
 
-/// The factor never falls below this: when all endpoints are slow at once their cores must not stand idle.
+/// The factor never falls below this: when all endpoints are slow at once their cores must not be idle.
 const MIN_FACTOR: f64 = 0.4;
 
 /// A response within this fraction of its latency objective is good.
--- a/balancer/src/decaying.rs
+++ b/balancer/src/decaying.rs
@@ -1,6 +1,6 @@
 //! Estimates that decay with time: a rate of events, and a ratio of events that went wrong.
 
-/// Half-life of a [`DecayingRate`]: long enough to smooth chance clusters, short enough to show a burst.
+/// Half-life of a [`DecayingRate`]: long enough to smooth random clusters, short enough to show a burst.
 const RATE_HALF_LIFE_MS: f64 = 2000.0;
 
 /// Exponential decay of a [`DecayingRate`] a millisecond.
@@ -41,14 +41,14 @@
 /// The fraction of recent events that went wrong, from 0 to 1, and when it was last updated.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct DecayingRatio {
-    /// The part as of the last update.
+    /// The fraction as of the last update.
     pub ratio: f64,
     /// When it was last updated.
     pub updated_at_ms: f64,
 }
 
 impl DecayingRatio {
-    /// The ratio now: without events it approaches `mean_ratio`, halfway in each `half_life_ms`.
+    /// The ratio now: without events its distance to `mean_ratio` halves every `half_life_ms`.
     pub fn at(&self, now_ms: f64, mean_ratio: f64, half_life_ms: f64) -> f64 {
         let decay = 0.5f64.powf((now_ms - self.updated_at_ms) / half_life_ms);
         mean_ratio + (self.ratio - mean_ratio) * decay
--- a/balancer/src/endpoint_updates.rs
+++ b/balancer/src/endpoint_updates.rs
@@ -112,8 +112,8 @@
         is_young.then(|| started_at_ms.min(self.now_ms))
     }
 
-    /// A new process has earned neither trust nor distrust. The gateways' first requests to it are spread
-    /// over the time between sends.
+    /// Nothing is known of a new process: its health and capacity are reset. The gateways' first requests
+    /// to it are spread over the time between sends.
     fn begin_slow_start(&mut self, endpoint: &mut Endpoint) {
         endpoint.health.reset();
         endpoint.load.reset_capacity();
--- a/balancer/src/event.rs
+++ b/balancer/src/event.rs
@@ -45,7 +45,7 @@
     Complete,
     /// The complete list as this gateway cached it last, maybe stale.
     Cached,
-    /// A poll failed or the watch broke; the previous list stands.
+    /// A poll failed or the watch broke; the previous list stays in force.
     WatchLost,
 }
 
--- a/balancer/src/failure_ratios.rs
+++ b/balancer/src/failure_ratios.rs
@@ -1,15 +1,15 @@
-//! The parts of attempts that fail and that stall, by tenant, by class and over all.
+//! The fractions of attempts that fail and that stall, by tenant, by class and over all.
 //!
 //! Rule: what fails for one tenant or class much more than for all others is the tenant's or class's fault
 //! and not the endpoint's. This also excuses an endpoint that only that tenant or class uses.
 
-/// Part of a new outcome that enters a failure ratio.
+/// Gain of a failure ratio for a new outcome.
 pub(crate) const FAILURE_GAIN_RATIO: f64 = 0.2;
 
 /// The same for a tenant, of which a gateway sees few requests.
 const TENANT_GAIN_RATIO: f64 = 0.4;
 
-/// The served part counts as this at least when an excess is related to it.
+/// Lower bound of the served fraction that an excess is divided by.
 const MIN_SERVED_RATIO: f64 = 0.2;
 
 /// The kinds of faults that are counted.
@@ -21,7 +21,7 @@
     Stall,
 }
 
-/// The parts of recent attempts that failed and that stalled, from 0 to 1.
+/// The fractions of recent attempts that failed and that stalled, from 0 to 1.
 #[derive(Clone, Copy, Debug, Default)]
 struct FaultRatios {
     failed: f64,
--- a/balancer/src/latency_estimates.rs
+++ b/balancer/src/latency_estimates.rs
@@ -33,7 +33,7 @@
 
     /// Takes in a response's latency, or the length of a timeout where that is above the estimate: leaving
     /// timeouts out would learn from survivors only. `blame_ratio` is the fraction that is the endpoints'
-    /// doing.
+    /// fault.
     pub fn record(&mut self, class: usize, latency_ms: f64, is_timeout: bool, blame_ratio: f64) {
         let estimate_ms = &mut self.by_class_ms[class];
         if !is_timeout || latency_ms > *estimate_ms {
--- a/balancer/src/outlier_ejection.rs
+++ b/balancer/src/outlier_ejection.rs
@@ -2,9 +2,9 @@
 //!
 //! Rule: an endpoint whose failure ratio lies [`EJECTION_MARGIN_RATIO`] above the mean is ejected. After an
 //! interval it gets one trial request, which must be idempotent where such requests exist. A failed trial
-//! doubles the interval. A response ends the ejection, be it an error or a rejection, unless it comes far
-//! too late; so does a new start of the endpoint's process. Where everything fails or is slow at once, the
-//! mean rises too and few are ejected.
+//! doubles the interval. A response ends the ejection, be it an error or a rejection, unless its latency
+//! counts as a stall; so does a new start of the endpoint's process. Where everything fails or is slow at
+//! once, the mean rises too and few are ejected.
 
 use crate::decaying::DecayingRatio;
 use crate::failure_ratios::FAILURE_GAIN_RATIO;
@@ -13,7 +13,7 @@
 /// do.
 const EJECTION_MARGIN_RATIO: f64 = 0.45;
 
-/// The mean served part counts as this at least when an excess is related to it.
+/// Lower bound of the mean served fraction that an excess is divided by.
 const MIN_MEAN_SERVED_RATIO: f64 = 0.5;
 
 /// Interval before an ejected endpoint's first trial, in shortest latency objectives.
--- a/balancer/src/pending_queue.rs
+++ b/balancer/src/pending_queue.rs
@@ -22,7 +22,7 @@
         self.requests.push(id);
     }
 
-    /// Takes a request out, wherever it is.
+    /// Removes a request, if it is pending.
     pub fn remove(&mut self, id: RequestId) {
         self.requests.retain(|pending| *pending != id);
     }
--- a/balancer/src/pick.rs
+++ b/balancer/src/pick.rs
@@ -4,8 +4,9 @@
 //! the own zone unless the request spills over. A trial of an ejected endpoint, or of an excluded class,
 //! comes first.
 //!
-//! The weight is the endpoint's capacity, times the free part of its concurrency limit and its AIMD factor;
-//! less where it fails, where other gateways have requests in flight, and where connections have closed.
+//! The weight is the endpoint's capacity, times the free fraction of its concurrency limit and its AIMD
+//! factor; less where it fails, where other gateways have requests in flight, and where connections have
+//! closed.
 
 use crate::class_errors::ClassExclusion;
 use crate::concurrency_limit::ConcurrencyLimits;
@@ -152,7 +153,7 @@
     }
 
     /// Whether this request is the trial that shows whether an ejected endpoint works again. It must be a
-    /// first attempt, and one that may be retried, should it fail.
+    /// first attempt, and one that may be retried if it fails.
     fn is_ejection_trial(&self, endpoint: &Endpoint, ejection: Ejection) -> bool {
         let side = self.fleet.side_of(endpoint);
         let due_at_ms = self.ejection.trial_due_at_ms(
--- a/balancer/src/retry_after.rs
+++ b/balancer/src/retry_after.rs
@@ -1,20 +1,21 @@
 //! Retry-After of rejected requests.
 //!
 //! Rule: a request over its tenant's limit may be retried once the tenant's rate has decayed to the limit.
-//! Any other rejected request should be retried as late as clients can be asked to: a response to it would
-//! have no value any more, or the fleet has no capacity for it. Both are limited to what clients heed.
+//! Any other rejected request should be retried after the longest delay that clients accept: a response to
+//! it would have no value any more, or the fleet has no capacity for it. Both delays are limited to what
+//! clients accept.
 
 /// When the client of a rejected request should retry.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) enum RetryAfter {
     /// After this time, in ms.
     Delay(f64),
-    /// As late as clients heed.
+    /// After the longest delay that clients accept.
     Longest,
 }
 
 impl RetryAfter {
-    /// The Retry-After in ms, given the longest that clients heed; 0 where they take none.
+    /// The Retry-After in ms, given the longest that clients accept; 0 where they accept none.
     pub fn limited_ms(self, max_retry_after_ms: f64) -> f64 {
         match self {
             RetryAfter::Delay(delay_ms) => delay_ms.clamp(0.0, max_retry_after_ms),
--- a/balancer/src/saturation.rs
+++ b/balancer/src/saturation.rs
@@ -2,8 +2,8 @@
 //!
 //! Rule: what is in flight at the endpoints in use of the own zone, over what may be; at least 1 while
 //! requests are pending. Where the load of other gateways is unknown, the reported utilization counts too:
-//! a small fraction of the traffic doesn't show it. A busy fleet that keeps its latencies may so be taken
-//! for full.
+//! a small fraction of the traffic doesn't show it. A busy fleet that keeps its latencies may thus be
+//! taken for full.
 
 use crate::concurrency_limit::ConcurrencyLimits;
 use crate::fleet::Fleet;
--- a/balancer/src/settings.rs
+++ b/balancer/src/settings.rs
@@ -106,7 +106,7 @@
     pub health_checks_allowed: bool,
     /// Cancelling an attempt is permitted.
     pub cancellation_allowed: bool,
-    /// Longest Retry-After that clients heed, in ms; 0 where they take none.
+    /// Longest Retry-After that clients accept, in ms; 0 where they accept none.
     pub max_retry_after_ms: f64,
     /// A watch, or a poll, of discovery must be at most this old, in ms.
     pub max_discovery_age_ms: f64,
--- a/balancer/src/slow_start.rs
+++ b/balancer/src/slow_start.rs
@@ -15,7 +15,7 @@
 //! doubles what the age alone allows.
 //!
 //! Only some gateways, next to the endpoint on a ring that all know, share it; the others send it nothing
-//! until it is warm. The mean number of gateways that use an endpoint would not do as a divisor: it grows
+//! until it is warm. The mean number of gateways that use an endpoint cannot be the divisor: it grows
 //! when a whole zone restarts.
 
 use crate::endpoint::Endpoint;
--- a/balancer/src/wakeup.rs
+++ b/balancer/src/wakeup.rs
@@ -1,7 +1,7 @@
 //! The balancer's one timer.
 //!
 //! Rule: while requests are pending the balancer wakes at every interval; where it sends health checks,
-//! less often; and when discovery is due. An earlier wake-up than the one already asked for is asked for in
+//! less often; and when discovery is due. An earlier wake-up than the one already requested is requested in
 //! addition.
 
 /// Pending requests are tried this often, or every tick where that is longer.
@@ -28,7 +28,7 @@
 }
 
 impl WakeUp {
-    /// No wake-up is asked for yet; `tick_ms` is the shortest time between two batches of events.
+    /// No wake-up is requested yet; `tick_ms` is the shortest time between two batches of events.
     pub fn new(tick_ms: f64) -> Self {
         WakeUp { tick_ms, next_at_ms: f64::INFINITY }
     }
@@ -41,7 +41,7 @@
         }
     }
 
-    /// When a timer must be asked for, if none comes as early.
+    /// When a timer must be requested, if none that is due by then has been.
     pub fn schedule(&mut self, now_ms: f64, reasons: &WakeReasons) -> Option<f64> {
         let intervals_count = match (reasons.has_pending, reasons.has_health_checks) {
             (true, _) => 1.0,
--- a/settings/src/defaults.rs
+++ b/settings/src/defaults.rs
@@ -15,7 +15,7 @@
 /// `limits.max_attempts`: number of attempts of a request, the first one included.
 pub(crate) const MAX_ATTEMPTS_COUNT: u32 = 1;
 
-/// `limits.max_retry_after_ms`: longest Retry-After that clients heed, in ms.
+/// `limits.max_retry_after_ms`: longest Retry-After that clients accept, in ms.
 pub(crate) const MAX_RETRY_AFTER_MS: f64 = 1000.0;
 
 /// `safety.ask_within_ms`: greatest age of a watch, or a poll, of discovery, in ms.
--- a/settings/src/json.rs
+++ b/settings/src/json.rs
@@ -7,7 +7,7 @@
 #[derive(Clone, Copy)]
 pub(crate) struct Section<'a> {
     value: Option<&'a Value>,
-    /// What stands before a key in its path: empty, or a name with a dot.
+    /// The prefix of a key in its path: empty, or a name with a dot.
     prefix: &'static str,
 }
 
--- a/simulator-adapter/src/gateway.rs
+++ b/simulator-adapter/src/gateway.rs
@@ -4,7 +4,7 @@
 use ternstack_balancer::{Balancer, EndpointId, RequestId, SettingsError};
 use ternstack_settings::{Deployment, NameTable};
 
-/// A gateway: its balancer and the names that it has been told.
+/// A gateway: its balancer, and the protocol's names with the numbers that the balancer has for them.
 pub struct Gateway {
     pub balancer: Balancer,
     /// Classes, tenants and zones, by the settings.
--- a/simulator-adapter/src/main.rs
+++ b/simulator-adapter/src/main.rs
@@ -4,7 +4,7 @@
 use std::io::{self, BufReader, BufWriter};
 use std::process::ExitCode;
 
-/// Buffer for each direction: holds a usual batch whole.
+/// Buffer for each direction: large enough for a typical batch.
 const BUFFER_BYTES: usize = 1 << 16;
 
 fn main() -> ExitCode {
