--- a/fault-tests/build.rs
+++ b/fault-tests/build.rs
@@ -1,12 +1,12 @@
-//! Builds the library that makes system calls of a gateway fail, from `shim/faults.rs` alone.
+//! Builds the library that makes system calls of a gateway fail, from `shim/` alone.
 use std::env;
 use std::path::PathBuf;
 use std::process::Command;
 
 fn main() {
-    println!("cargo:rerun-if-changed=shim/faults.rs");
+    println!("cargo:rerun-if-changed=shim");
     let compiler = env::var_os("RUSTC").unwrap_or_else(|| "rustc".into());
-    let out = PathBuf::from(env::var_os("OUT_DIR").expect("cargo names the folder"));
+    let out = PathBuf::from(env::var_os("OUT_DIR").expect("cargo sets OUT_DIR"));
     let mut build = Command::new(compiler);
     build.args(["--edition", "2021", "--crate-type", "cdylib", "--crate-name", "ternstack_faults"]);
     build.args(["-C", "opt-level=2", "-C", "panic=abort", "-A", "dead_code"]);
--- a/fault-tests/shim/faults.rs
+++ b/fault-tests/shim/faults.rs
@@ -1,15 +1,18 @@
 //! Makes system calls of a process fail in ways that Linux documents, as another process tells it to.
 //!
-//! `fault-tests/build.rs` compiles this file alone into a library that the rig preloads into gateways; the gateway's tests include
+//! `fault-tests/build.rs` compiles this file alone into a library that the fault tests preload into gateways; the gateway's tests include
 //! it as a module. It stands between the program and the C library: each function below takes the place of the one of the
 //! same name, makes the call fail if its fault is due, and else carries it out.
 //!
 //! What is due stands in a [`Control`] that is mapped from the file at `TERNSTACK_FAULTS`, so that it can be changed from
 //! outside at any moment; what has been injected is counted there.
+mod syscall_numbers;
+
 use std::ffi::{c_char, c_int, c_long, c_void, CStr};
 use std::ptr::null_mut;
 use std::sync::atomic::Ordering::Relaxed;
 use std::sync::atomic::{AtomicI32, AtomicI64, AtomicPtr, AtomicU32, AtomicU64, AtomicU8};
+use syscall_numbers as number;
 
 /// The variable that names the control file.
 pub const CONTROL_VARIABLE: &CStr = c"TERNSTACK_FAULTS";
@@ -24,36 +27,63 @@
 #[derive(Clone, Copy)]
 #[repr(usize)]
 pub enum Kind {
+    /// `accept4` fails with ECONNABORTED.
     AcceptAborted = 0,
+    /// `accept4` fails with ENFILE.
     AcceptFileTable = 1,
+    /// `accept4` fails with ENOBUFS.
     AcceptNoBuffers = 2,
+    /// `accept4` fails with EINTR.
     AcceptInterrupted = 3,
+    /// `socket` fails with ENFILE.
     SocketFileTable = 4,
+    /// `socket` fails with ENOBUFS.
     SocketNoBuffers = 5,
+    /// `connect` fails with EADDRNOTAVAIL.
     ConnectNoAddress = 6,
+    /// `connect` fails with ENETUNREACH.
     ConnectUnreachable = 7,
+    /// `connect` fails with ENOBUFS.
     ConnectNoBuffers = 8,
+    /// `epoll_wait` fails with EINTR.
     WaitInterrupted = 9,
+    /// A read from a socket takes a part of the bytes.
     ReadShort = 10,
+    /// A read from a socket fails with EINTR.
     ReadInterrupted = 11,
+    /// A read from a server breaks the connection with ETIMEDOUT.
     ReadTimedOut = 12,
+    /// A read from a server breaks the connection with EHOSTUNREACH.
     ReadHostUnreachable = 13,
+    /// A write to a socket takes a part of the bytes.
     WriteShort = 14,
+    /// A write to a socket fails with EINTR.
     WriteInterrupted = 15,
+    /// A write to a server breaks the connection with ETIMEDOUT.
     WriteTimedOut = 16,
+    /// A write to a server breaks the connection with EHOSTUNREACH.
     WriteHostUnreachable = 17,
+    /// A write to a socket fails with ENOBUFS.
     WriteNoBuffers = 18,
+    /// Opening a file fails with ENFILE.
     FileOpen = 19,
+    /// Reading a file fails with EIO.
     FileRead = 20,
+    /// Writing a file fails with ENOSPC.
     FileWrite = 21,
+    /// Syncing a file fails with EIO.
     FileSync = 22,
+    /// A write to a socket is delayed.
     WriteHeld = 23,
+    /// A read from or write to a client breaks the connection with ETIMEDOUT.
     ClientTimedOut = 24,
+    /// A read from or write to a client breaks the connection with EHOSTUNREACH.
     ClientUnreachable = 25,
+    /// The wall clock is stepped.
     ClockStep = 26,
 }
 
-/// What is to be injected, and what has been. The rig writes and reads the same layout in the file.
+/// What is to be injected, and what has been. The fault tests read and write the same layout in the file.
 #[derive(Default)]
 #[repr(C)]
 pub struct Control {
@@ -75,12 +105,17 @@
 /// 0: not looked for yet; 1: there is none; 2: [`CONTROL`] has it.
 static LOOKED: AtomicU8 = AtomicU8::new(0);
 
-/// What a descriptor is, by how it was opened.
+/// A descriptor that is not subject to faults.
 const OTHER: u8 = 0;
+/// A connection from a client.
 const ACCEPTED: u8 = 1;
+/// A socket for a connection to a server.
 const CONNECTED: u8 = 2;
+/// A file that is subject to faults.
 const FILE: u8 = 3;
+/// Descriptors from this number on are not subject to faults.
 const DESCRIPTORS: usize = 65_536;
+/// How each descriptor was opened.
 static OPENED: [AtomicU8; DESCRIPTORS] = [const { AtomicU8::new(OTHER) }; DESCRIPTORS];
 
 const EINTR: c_int = 4;
@@ -101,51 +136,7 @@
 const PROT_READ_WRITE: c_int = 3;
 const MAP_SHARED: c_int = 1;
 
-#[cfg(target_arch = "x86_64")]
-mod number {
-    use std::ffi::c_long;
-    pub const READ: c_long = 0;
-    pub const WRITE: c_long = 1;
-    pub const CLOSE: c_long = 3;
-    pub const MMAP: c_long = 9;
-    pub const WRITEV: c_long = 20;
-    pub const NANOSLEEP: c_long = 35;
-    pub const SOCKET: c_long = 41;
-    pub const CONNECT: c_long = 42;
-    pub const SENDTO: c_long = 44;
-    pub const RECVFROM: c_long = 45;
-    pub const SHUTDOWN: c_long = 48;
-    pub const FSYNC: c_long = 74;
-    pub const FDATASYNC: c_long = 75;
-    pub const GETTID: c_long = 186;
-    pub const CLOCK_GETTIME: c_long = 228;
-    pub const OPENAT: c_long = 257;
-    pub const EPOLL_PWAIT: c_long = 281;
-    pub const ACCEPT4: c_long = 288;
-}
-#[cfg(target_arch = "aarch64")]
-mod number {
-    use std::ffi::c_long;
-    pub const EPOLL_PWAIT: c_long = 22;
-    pub const OPENAT: c_long = 56;
-    pub const CLOSE: c_long = 57;
-    pub const READ: c_long = 63;
-    pub const WRITE: c_long = 64;
-    pub const WRITEV: c_long = 66;
-    pub const FSYNC: c_long = 82;
-    pub const FDATASYNC: c_long = 83;
-    pub const NANOSLEEP: c_long = 101;
-    pub const CLOCK_GETTIME: c_long = 113;
-    pub const GETTID: c_long = 178;
-    pub const SOCKET: c_long = 198;
-    pub const CONNECT: c_long = 203;
-    pub const SENDTO: c_long = 206;
-    pub const RECVFROM: c_long = 207;
-    pub const SHUTDOWN: c_long = 210;
-    pub const MMAP: c_long = 222;
-    pub const ACCEPT4: c_long = 242;
-}
-
+/// An `iovec`.
 #[repr(C)]
 #[derive(Clone, Copy)]
 pub struct Slice {
@@ -153,6 +144,7 @@
     length: usize,
 }
 
+/// A `timespec`.
 #[repr(C)]
 pub struct Time {
     seconds: i64,
--- a/fault-tests/src/demo.rs
+++ b/fault-tests/src/demo.rs
@@ -1,112 +1,158 @@
-//! A short show without any file: five gateways under load, a burst, half of the hosts lost, a gateway killed and one cut
-//! off from all hosts.
-use crate::checkers::check;
+//! A short demonstration: five gateways under load, a burst, half of the hosts lost, a gateway killed and another one
+//! partitioned from all hosts.
+use crate::client::Client;
+use crate::error::Error;
 use crate::history::{Counts, Event};
-use crate::links::Faults;
-use crate::peers::Client;
+use crate::invariants::check;
+use crate::links::LinkFaults;
 use crate::process::Launch;
-use crate::site::{Site, Size, CLASSES};
+use crate::site::{Site, SiteConfig, CLASSES};
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::Arc;
 use std::time::Duration;
+use tokio::task::JoinHandle;
 use tokio::time::{sleep, sleep_until, Instant};
 
-/// Clients of each gateway, and as many more while the burst lasts.
-const CLIENTS: usize = 4;
-/// Hosts from this one on are lost together.
-const LOST_FROM: usize = 3;
+/// How many clients each gateway has; as many again send during the burst.
+const CLIENTS_PER_GATEWAY: usize = 4;
+/// The hosts from this number on are lost together.
+const FIRST_LOST_HOST: usize = 3;
+/// The pause of a client between two requests.
+const REQUEST_PAUSE: Duration = Duration::from_millis(30);
 
-/// What is done, at which part of the time.
-const ACTS: [(f64, &str); 8] = [
-    (0.15, "a burst begins"),
-    (0.30, "the burst is over"),
-    (0.35, "half of the hosts fall silent"),
-    (0.55, "they are back"),
-    (0.60, "gateway 1 is killed"),
-    (0.70, "gateway 1 starts anew"),
-    (0.75, "gateway 2 is cut off from all hosts"),
-    (0.90, "gateway 2 reaches them again"),
+/// A moment of the demonstration.
+#[derive(Clone, Copy)]
+enum Scene {
+    BurstBegins,
+    BurstEnds,
+    HostsLost,
+    HostsBack,
+    GatewayKilled,
+    GatewayRestarted,
+    GatewayPartitioned,
+    PartitionEnds,
+}
+
+impl Scene {
+    fn description(self) -> &'static str {
+        match self {
+            Scene::BurstBegins => "a burst begins",
+            Scene::BurstEnds => "the burst is over",
+            Scene::HostsLost => "half of the hosts fall silent",
+            Scene::HostsBack => "they are back",
+            Scene::GatewayKilled => "gateway 1 is killed",
+            Scene::GatewayRestarted => "gateway 1 starts anew",
+            Scene::GatewayPartitioned => "gateway 2 is cut off from all hosts",
+            Scene::PartitionEnds => "gateway 2 reaches them again",
+        }
+    }
+}
+
+/// The scenes, and at which fraction of the time each begins.
+const SCRIPT: [(f64, Scene); 8] = [
+    (0.15, Scene::BurstBegins),
+    (0.30, Scene::BurstEnds),
+    (0.35, Scene::HostsLost),
+    (0.55, Scene::HostsBack),
+    (0.60, Scene::GatewayKilled),
+    (0.70, Scene::GatewayRestarted),
+    (0.75, Scene::GatewayPartitioned),
+    (0.90, Scene::PartitionEnds),
 ];
 
-/// Plays it for so long, and tells a line a second; whether every promise was kept.
-pub async fn play(launch: &Launch, length: Duration) -> Result<bool, String> {
-    let size = Size { gateways: 5, hosts: 6, ..Size::default() };
-    let mut site = Site::start(launch, size).await?;
-    println!("5 gateways, 6 hosts, {} clients", 5 * CLIENTS);
+/// Plays the demonstration and prints a line a second; whether no invariant was violated.
+///
+/// # Errors
+/// If the site cannot be started, or a gateway cannot be killed or restarted.
+pub async fn play(launch: &Launch, length: Duration) -> Result<bool, Error> {
+    let config = SiteConfig { gateways: 5, hosts: 6, ..SiteConfig::default() };
+    let mut site = Site::start(launch, config).await?;
+    println!("5 gateways, 6 hosts, {} clients", 5 * CLIENTS_PER_GATEWAY);
     println!(
         "{:>4} {:>8} {:>8} {:>8} {:>8} {:>11}",
         "s", "asked", "served", "refused", "failed", "unanswered"
     );
     let (start, burst) = (Instant::now(), Arc::new(AtomicBool::new(false)));
-    let talks: Vec<_> = (0..size.gateways * CLIENTS * 2)
-        .map(|n| {
-            let (gateway, extra) = (n % size.gateways, n >= size.gateways * CLIENTS);
-            let mut client = Client::new(gateway, site.from_clients[gateway].at, &site.book);
-            let letters: Vec<_> =
-                (0..length.as_millis() / 30).map(|m| site.message(CLASSES[(m as usize + n) % 3])).collect();
-            let burst = burst.clone();
-            tokio::spawn(async move {
-                for letter in &letters {
-                    if start.elapsed() >= length {
-                        return;
-                    }
-                    if !extra || burst.load(Ordering::Relaxed) {
-                        client.ask(letter).await;
-                    }
-                    sleep(Duration::from_millis(30)).await;
-                }
-            })
-        })
-        .collect();
-    let (mut history, mut acts) = (Vec::new(), ACTS.iter().peekable());
-    let seconds = length.as_secs().max(1);
-    for second in 1..=seconds {
+    let clients = start_clients(&site, start, length, &burst);
+    let (mut history, mut scenes) = (Vec::new(), SCRIPT.iter().peekable());
+    for second in 1..=length.as_secs().max(1) {
         let end = start + Duration::from_secs(second);
-        while let Some((part, words)) = acts.next_if(|(part, _)| start + length.mul_f64(*part) < end) {
-            sleep_until(start + length.mul_f64(*part)).await;
-            println!("     {words}");
-            act(&mut site, &burst, words).await?;
+        while let Some((fraction, scene)) =
+            scenes.next_if(|(fraction, _)| start + length.mul_f64(*fraction) < end)
+        {
+            sleep_until(start + length.mul_f64(*fraction)).await;
+            println!("     {}", scene.description());
+            apply(&mut site, &burst, *scene).await?;
         }
         sleep_until(end).await;
-        let news = site.take();
-        tell(second, &news);
-        history.extend(news);
+        let events = site.take_history();
+        print_second(second, &events);
+        history.extend(events);
     }
-    for talk in talks {
-        talk.await.map_err(|e| e.to_string())?;
+    for client in clients {
+        client.await?;
     }
-    history.extend(site.take());
-    let broken = check(&history, &site.terms());
-    for offence in &broken {
-        println!("{} ms: {:?}: {}", offence.at_us / 1000, offence.promise, offence.words);
+    history.extend(site.take_history());
+    let violations = check(&history, &site.guarantees());
+    for violation in &violations {
+        println!("{} ms: {:?}: {}", violation.at_us / 1000, violation.invariant, violation.description);
     }
-    println!("{} messages, {} promises broken", Counts::of(&history).asked, broken.len());
-    Ok(broken.is_empty())
+    println!("{} messages, {} promises broken", Counts::of(&history).sent, violations.len());
+    Ok(violations.is_empty())
 }
 
-fn tell(second: u64, news: &[Event]) {
-    let Counts { asked, served, refused, failed, unanswered } = Counts::of(news);
-    println!("{second:>4} {asked:>8} {served:>8} {refused:>8} {failed:>8} {unanswered:>11}");
+fn start_clients(
+    site: &Site, start: Instant, length: Duration, burst: &Arc<AtomicBool>,
+) -> Vec<JoinHandle<()>> {
+    let gateways = site.config.gateways;
+    let request_count = (length.as_millis() / REQUEST_PAUSE.as_millis()) as usize;
+    let mut clients = Vec::new();
+    for number in 0..gateways * CLIENTS_PER_GATEWAY * 2 {
+        let gateway = number % gateways;
+        let only_in_burst = number >= gateways * CLIENTS_PER_GATEWAY;
+        let mut client = Client::new(gateway, site.from_clients[gateway].address, &site.recorder);
+        let requests: Vec<_> =
+            (0..request_count).map(|n| site.request(CLASSES[(n + number) % CLASSES.len()])).collect();
+        let burst = burst.clone();
+        clients.push(tokio::spawn(async move {
+            for request in &requests {
+                if start.elapsed() >= length {
+                    return;
+                }
+                if !only_in_burst || burst.load(Ordering::Relaxed) {
+                    client.send(request).await;
+                }
+                sleep(REQUEST_PAUSE).await;
+            }
+        }));
+    }
+    clients
 }
 
-async fn act(site: &mut Site, burst: &AtomicBool, words: &str) -> Result<(), String> {
-    let lost = |site: &Site, faults| {
-        site.to_hosts.iter().flat_map(|links| &links[LOST_FROM..]).for_each(|link| link.set(faults));
-    };
-    match words {
-        "a burst begins" => burst.store(true, Ordering::Relaxed),
-        "the burst is over" => burst.store(false, Ordering::Relaxed),
-        "half of the hosts fall silent" => lost(site, Faults::cut()),
-        "they are back" => lost(site, Faults::default()),
-        "gateway 1 is killed" => {
-            site.broken(1, words);
+fn print_second(second: u64, events: &[Event]) {
+    let Counts { sent, served, rejected, failed, unanswered } = Counts::of(events);
+    println!("{second:>4} {sent:>8} {served:>8} {rejected:>8} {failed:>8} {unanswered:>11}");
+}
+
+async fn apply(site: &mut Site, burst: &AtomicBool, scene: Scene) -> Result<(), Error> {
+    match scene {
+        Scene::BurstBegins => burst.store(true, Ordering::Relaxed),
+        Scene::BurstEnds => burst.store(false, Ordering::Relaxed),
+        Scene::HostsLost => set_lost_hosts(site, LinkFaults::cut()),
+        Scene::HostsBack => set_lost_hosts(site, LinkFaults::default()),
+        Scene::GatewayKilled => {
+            site.record_fault(1, scene.description());
             site.gateways[1].kill().await?;
         }
-        "gateway 1 starts anew" => site.restart(1).await?,
-        "gateway 2 is cut off from all hosts" => {
-            site.to_hosts[2].iter().for_each(|link| link.set(Faults::cut()));
+        Scene::GatewayRestarted => site.restart(1).await?,
+        Scene::GatewayPartitioned => {
+            site.to_hosts[2].iter().for_each(|link| link.set(LinkFaults::cut()));
         }
-        _ => site.heal_links(),
+        Scene::PartitionEnds => site.clear_link_faults(),
     }
     Ok(())
 }
+
+fn set_lost_hosts(site: &Site, faults: LinkFaults) {
+    site.to_hosts.iter().flat_map(|links| &links[FIRST_LOST_HOST..]).for_each(|link| link.set(faults));
+}
--- a/fault-tests/src/history.rs
+++ b/fault-tests/src/history.rs
@@ -1,147 +1,147 @@
-//! One history of a run: what clients, hosts and discovery saw, and what the rig did, on one clock.
+//! The history of a run: what clients, hosts and discovery observed and which faults were injected, on one clock.
 use serde::Serialize;
-use std::sync::{Arc, Mutex, PoisonError};
+use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::Instant;
 
 /// Something that happened.
 #[derive(Clone, Debug, PartialEq, Serialize)]
-pub enum What {
-    /// A client has written a message's last byte.
-    Asked {
-        /// Its id.
+pub enum EventKind {
+    /// A client has written a request completely.
+    RequestSent {
+        /// The request's id.
         id: String,
-        /// Its class.
+        /// Its service class.
         class: String,
-        /// The gateway that it went to.
+        /// The gateway it was sent to.
         gateway: usize,
         /// How long the client waits, in ms.
-        patience_ms: u64,
+        client_timeout_ms: u64,
     },
-    /// A client has written a message once more, as its connection ended before a byte of the answer came.
-    Again {
-        /// The message.
+    /// A client has resent a request because its reused connection ended before any byte of the response.
+    RequestResent {
+        /// The request's id.
         id: String,
-        /// The gateway that it went to.
+        /// The gateway it was sent to.
         gateway: usize,
     },
-    /// A client has read a whole final answer.
-    Answered {
-        /// The message.
+    /// A client has read a complete response.
+    ResponseReceived {
+        /// The request's id.
         id: String,
         /// The status.
         status: u16,
         /// The body.
         body: String,
-        /// Whether it says when to come back.
-        advice: bool,
+        /// Whether it has a `Retry-After`.
+        has_retry_after: bool,
     },
-    /// A client closes its connection while its message is open.
-    Left {
-        /// The message.
+    /// A client has closed its connection without waiting for the response.
+    ClientDisconnected {
+        /// The request's id.
         id: String,
     },
-    /// A client takes its message elsewhere: its connection ended before a byte of an answer, and the gateway accepts nobody.
-    Moved {
-        /// The message.
+    /// A client would use another gateway: its connection ended before any byte of a response, and this gateway accepts no new one.
+    RequestMoved {
+        /// The request's id.
         id: String,
     },
-    /// A host was told how long its gateway waits.
-    ToldTime {
-        /// The message.
+    /// A host has read the deadline that a gateway forwarded.
+    DeadlineForwarded {
+        /// The request's id.
         id: String,
         /// When its first byte came, in µs.
-        first_us: u64,
-        /// The time that it was told, in ms.
-        left_ms: u64,
+        first_byte_at_us: u64,
+        /// The remaining time according to the gateway, in ms.
+        remaining_ms: u64,
     },
-    /// A client's connection ended, or its time was up, with no whole answer.
-    Unanswered {
-        /// The message.
+    /// A client's connection ended or its timeout expired without a complete response.
+    ResponseMissing {
+        /// The request's id.
         id: String,
-        /// How that showed.
-        how: String,
+        /// How the client noticed.
+        reason: String,
     },
-    /// A host has read a message whole.
-    Arrived {
-        /// The message.
+    /// A host has read a complete request.
+    RequestReceived {
+        /// The request's id.
         id: String,
         /// The host.
         host: usize,
         /// The gateway that it came from.
         gateway: usize,
         /// When its first byte came, in µs.
-        first_us: u64,
-        /// Whether it ran, or was turned away.
-        ran: bool,
+        first_byte_at_us: u64,
+        /// Whether the host processed it, rather than rejected it.
+        processed: bool,
     },
-    /// A host has made an answer.
-    Made {
-        /// The message.
+    /// A host has created a response.
+    ResponseCreated {
+        /// The request's id.
         id: String,
         /// The host.
         host: usize,
-        /// The answer's body.
+        /// The response's body.
         body: String,
     },
-    /// Discovery has written a host's state to a gateway.
-    Told {
+    /// Discovery has sent a host's state to a gateway.
+    EndpointStateSent {
         /// The gateway.
         gateway: usize,
         /// The host.
         host: usize,
-        /// Whether it takes new work.
+        /// Whether the host accepts new requests.
         serving: bool,
     },
-    /// A host has started, cold.
-    Started {
+    /// A host has started and is in slow start.
+    ServerStarted {
         /// The host.
         host: usize,
     },
-    /// From here on the gateway's clients cannot expect answers: its process or the way to it is broken.
-    Broken {
+    /// A fault of the gateway's process or of the link from its clients has begun: they cannot expect responses.
+    GatewayFaulted {
         /// The gateway.
         gateway: usize,
-        /// What the rig did.
-        words: String,
+        /// The fault.
+        description: String,
     },
-    /// From here on they can again.
-    Healed {
+    /// That fault has ended.
+    GatewayRecovered {
         /// The gateway.
         gateway: usize,
     },
-    /// A gateway can read nothing of discovery from here on: it stands still, or the way is broken.
-    Deaf {
+    /// A gateway cannot read from discovery any more: it is stopped, or its link is faulty.
+    DiscoveryCut {
         /// The gateway.
         gateway: usize,
     },
-    /// It hears discovery again.
-    Hears {
+    /// It can read from discovery again.
+    DiscoveryRestored {
         /// The gateway.
         gateway: usize,
     },
-    /// Any other fault, for the reader.
-    Fault {
-        /// What the rig did.
-        words: String,
+    /// Any other fault, for diagnosis.
+    FaultInjected {
+        /// The fault.
+        description: String,
     },
-    /// A gateway acts by a rule from here on; `None` where it acts by none.
-    Acts {
+    /// A gateway applies a rule from now on, or none.
+    RuleApplied {
         /// The gateway.
         gateway: usize,
-        /// What the rule is about: a tenant's quota, a host's place in the list.
-        about: String,
-        /// What it says.
+        /// What the rule governs, for instance a tenant's quota.
+        subject: String,
+        /// The rule's text.
         rule: Option<String>,
     },
-    /// Something is out of service from here on, or back.
-    Out {
-        /// What.
+    /// A member has become unavailable or available.
+    AvailabilityChanged {
+        /// The member's name.
         member: String,
-        /// Whether it is out.
-        out: bool,
+        /// Whether it is unavailable now.
+        unavailable: bool,
     },
-    /// A gateway lets a message of a tenant through.
-    Admitted {
+    /// A gateway has admitted a request of a tenant.
+    RequestAdmitted {
         /// The tenant.
         tenant: String,
     },
@@ -150,89 +150,93 @@
 /// An event and its time.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct Event {
-    /// Since the run's start, in µs.
+    /// Time since the run's start, in µs.
     pub at_us: u64,
     /// What happened.
-    pub what: What,
+    pub kind: EventKind,
 }
 
-/// What became of the messages of a history.
+/// How many requests of a history ended in which way.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Counts {
-    /// Messages sent.
-    pub asked: usize,
-    /// Answers of 200.
+    /// Requests sent.
+    pub sent: usize,
+    /// Responses of 200.
     pub served: usize,
-    /// Back-off answers.
-    pub refused: usize,
-    /// All other whole answers.
+    /// Rejections: 429 or 503.
+    pub rejected: usize,
+    /// All other complete responses.
     pub failed: usize,
-    /// Messages that ended without one.
+    /// Requests without a complete response.
     pub unanswered: usize,
 }
 
 impl Counts {
-    /// Counts a history, or a part of one.
+    /// Counts the events of a history or of a part of it.
     pub fn of(history: &[Event]) -> Self {
         let mut counts = Counts::default();
         for event in history {
-            match event.what {
-                What::Asked { .. } => counts.asked += 1,
-                What::Answered { status: 200, .. } => counts.served += 1,
-                What::Answered { status: 429 | 503, .. } => counts.refused += 1,
-                What::Answered { .. } => counts.failed += 1,
-                What::Unanswered { .. } => counts.unanswered += 1,
+            match event.kind {
+                EventKind::RequestSent { .. } => counts.sent += 1,
+                EventKind::ResponseReceived { status: 200, .. } => counts.served += 1,
+                EventKind::ResponseReceived { status: 429 | 503, .. } => counts.rejected += 1,
+                EventKind::ResponseReceived { .. } => counts.failed += 1,
+                EventKind::ResponseMissing { .. } => counts.unanswered += 1,
                 _ => {}
             }
         }
         counts
     }
 
-    /// All whole answers.
+    /// All complete responses.
     pub fn answered(&self) -> usize {
-        self.served + self.refused + self.failed
+        self.served + self.rejected + self.failed
     }
 }
 
-/// What all parts of a rig write into.
+/// Records the events of a run; clones share one history.
 #[derive(Clone, Debug)]
-pub struct Book {
+pub struct HistoryRecorder {
     start: Instant,
     events: Arc<Mutex<Vec<Event>>>,
 }
 
-impl Default for Book {
+impl Default for HistoryRecorder {
     fn default() -> Self {
-        Book { start: Instant::now(), events: Arc::default() }
+        HistoryRecorder { start: Instant::now(), events: Arc::default() }
     }
 }
 
-impl Book {
+impl HistoryRecorder {
+    fn lock(&self) -> MutexGuard<'_, Vec<Event>> {
+        self.events.lock().unwrap_or_else(PoisonError::into_inner)
+    }
+
     /// Time since the start, in µs.
     pub fn now_us(&self) -> u64 {
         u64::try_from(self.start.elapsed().as_micros()).unwrap_or(u64::MAX)
     }
 
-    /// Writes down what happens now.
-    pub fn note(&self, what: What) {
-        let mut events = self.events.lock().unwrap_or_else(PoisonError::into_inner);
-        // Under the lock, so that the times never go back.
+    /// Records an event at the current time.
+    pub fn record(&self, kind: EventKind) {
+        let mut events = self.lock();
+        // Read under the lock, so that times never decrease.
         let at_us = self.now_us();
-        events.push(Event { at_us, what });
+        events.push(Event { at_us, kind });
     }
 
-    /// All that has happened since the last call, in order.
+    /// Removes and returns all events, in order.
     pub fn take(&self) -> Vec<Event> {
-        std::mem::take(&mut self.events.lock().unwrap_or_else(PoisonError::into_inner))
+        std::mem::take(&mut self.lock())
     }
 
-    /// How many events there are since the last `take`.
-    pub fn mark(&self) -> usize {
-        self.events.lock().unwrap_or_else(PoisonError::into_inner).len()
+    /// The position after the last event, for [`HistoryRecorder::since`]; `take` resets it to 0.
+    pub fn position(&self) -> usize {
+        self.lock().len()
     }
 
-    /// What has happened since such a mark.
-    pub fn since(&self, mark: usize) -> Vec<Event> {
-        self.events.lock().unwrap_or_else(PoisonError::into_inner).iter().skip(mark).cloned().collect()
+    /// The events from a position on.
+    pub fn since(&self, position: usize) -> Vec<Event> {
+        self.lock().iter().skip(position).cloned().collect()
     }
 }
--- a/fault-tests/src/lib.rs
+++ b/fault-tests/src/lib.rs
@@ -1,19 +1,22 @@
-//! The rig: many processes of the gateway on one machine, with links between all parts that fail by script, and
-//! checkers that judge from outside.
+//! Fault tests: many gateway processes on one machine, links with injected faults between all parts, and invariants that are
+//! checked from outside.
 //!
-//! [`site`] puts a site together from [`process`] (the gateways), [`peers`] (hosts, discovery, clients) and [`links`];
-//! all write into one [`history`], which [`checkers`] look through. [`matrix`] tries one fault after another,
-//! [`nemesis`] draws schedules of many, and [`demo`] is a short show.
+//! [`site`] starts a site from gateway processes ([`process`]), stub hosts and discovery ([`stub_servers`]), clients
+//! ([`client`]) and [`links`]. All record into one [`history`], which [`invariants`] checks. [`matrix`] injects one fault
+//! after another, [`fault_schedule`] draws schedules of many, [`soak`] injects failing system calls into processes, and
+//! [`demo`] is a short demonstration.
 #![forbid(unsafe_code)]
-#![warn(missing_docs)]
+#![deny(missing_docs, clippy::too_many_lines, clippy::cognitive_complexity)]
 
-pub mod checkers;
+pub mod client;
 pub mod demo;
+pub mod error;
+pub mod fault_schedule;
 pub mod history;
+pub mod invariants;
 pub mod links;
 pub mod matrix;
-pub mod nemesis;
-pub mod peers;
 pub mod process;
 pub mod site;
 pub mod soak;
+pub mod stub_servers;
--- a/fault-tests/src/process.rs
+++ b/fault-tests/src/process.rs
@@ -1,155 +1,211 @@
-//! Processes of the gateway, started as the platform starts them, and what can befall them.
+//! Processes of the gateway: started as the platform starts them, signalled, and restarted at the same address.
+use crate::error::ProcessError;
 use rustix::process::{kill_process, Pid, Signal};
 use serde_json::Value;
 use std::ffi::OsString;
 use std::io;
 use std::net::SocketAddr;
-use std::path::PathBuf;
+use std::path::{Path, PathBuf};
 use std::process::Stdio;
-use std::sync::{Arc, Mutex, PoisonError};
+use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
 use tokio::io::{AsyncBufReadExt, BufReader};
-use tokio::process::{Child, Command};
+use tokio::process::{Child, ChildStderr, Command};
 use tokio::sync::mpsc;
 use tokio::time::timeout;
 
-/// A gateway is ready within this, or the run is void.
-const READY_WITHIN: Duration = Duration::from_secs(30);
-/// The last log lines that are kept for a reader.
-const KEPT_LINES: usize = 200;
+/// How long a gateway may take to start, and to exit.
+const READY_TIMEOUT: Duration = Duration::from_secs(30);
+/// How many log lines of a process are kept.
+const MAX_LOG_LINE_COUNT: usize = 200;
 
-/// How the program is started.
+/// How a gateway's program is started.
 #[derive(Clone, Debug)]
 pub struct Launch {
     /// The program.
     pub program: PathBuf,
     /// Its arguments.
     pub args: Vec<OsString>,
-    /// Variables of its environment; `{name}` in a value stands for the gateway's name.
+    /// Environment variables; `{name}` in a value stands for the gateway's name.
     pub variables: Vec<(String, String)>,
 }
 
 impl Launch {
-    /// This very program, told by its first argument to be a gateway.
-    pub fn myself() -> io::Result<Self> {
+    /// The running program, with the argument that makes it a gateway.
+    ///
+    /// # Errors
+    /// If the path of the program is unknown.
+    pub fn current_program() -> io::Result<Self> {
         Ok(Launch { program: std::env::current_exe()?, args: vec!["gateway".into()], variables: Vec::new() })
     }
 }
 
-/// From now on this process is killed when its parent ends, however that ends. `false` where the parent has ended already.
-pub fn end_with_parent() -> bool {
+/// Has the kernel kill this process when its parent exits, however that exits. `false` if the parent has exited already.
+pub fn exit_with_parent() -> bool {
     let parent = rustix::process::getppid();
     let bound = rustix::process::set_parent_process_death_signal(Some(Signal::KILL));
     bound.is_ok() && rustix::process::getppid() == parent && parent != Some(Pid::INIT)
 }
 
-/// The gateway's whole program, as a child of a rig: it ends with its parent.
-pub fn be_a_gateway() -> std::process::ExitCode {
-    // Guards against processes that outlive a rig which was killed.
-    if !end_with_parent() {
+/// Runs the gateway's program as a child of the fault tests. It exits with its parent, so that none is left behind.
+pub fn run_gateway() -> std::process::ExitCode {
+    if !exit_with_parent() {
         eprintln!("ternstack-fault-tests: the rig that started this gateway is gone");
         return std::process::ExitCode::FAILURE;
     }
     ternstack_gateway::program::main()
 }
 
-/// A process of the gateway.
+/// The last log lines of a process, kept across restarts.
+#[derive(Clone, Debug, Default)]
+struct Log(Arc<Mutex<Vec<String>>>);
+
+impl Log {
+    fn lines(&self) -> MutexGuard<'_, Vec<String>> {
+        self.0.lock().unwrap_or_else(PoisonError::into_inner)
+    }
+
+    fn push(&self, line: String) {
+        let mut lines = self.lines();
+        if lines.len() == MAX_LOG_LINE_COUNT {
+            lines.remove(0);
+        }
+        lines.push(line);
+    }
+}
+
+/// A process of the gateway. It is killed when it is dropped.
 #[derive(Debug)]
 pub struct Process {
     launch: Launch,
     name: String,
-    file: PathBuf,
-    /// Where it listens; the same after each start.
-    pub at: SocketAddr,
+    config_file: PathBuf,
+    /// Where it listens; the same after a restart.
+    pub address: SocketAddr,
     child: Child,
-    log: Arc<Mutex<Vec<String>>>,
+    log: Log,
 }
 
 impl Process {
-    /// Starts the program with this configuration, which is written to `folder`, and waits until it serves.
-    /// `listen` is where; port 0 lets the kernel choose.
+    /// Starts the program and waits until it serves. Its configuration is written to `folder`; it listens on `listen`,
+    /// where port 0 lets the kernel choose.
+    ///
+    /// # Errors
+    /// If it cannot be started or does not serve in time.
     pub async fn start(
-        launch: &Launch, folder: &std::path::Path, name: &str, listen: SocketAddr, config: &Value,
-    ) -> Result<Self, String> {
-        let file = folder.join(format!("{name}.json"));
-        let log = Arc::default();
-        let (child, at) = spawn(launch, &file, name, listen, config, &log).await?;
-        Ok(Process { launch: launch.clone(), name: name.into(), file, at, child, log })
-    }
-
-    /// Starts it anew, at the same address, once the last one has ended.
-    pub async fn restart(&mut self, config: &Value) -> Result<(), String> {
-        let at = self.at;
-        (self.child, self.at) = spawn(&self.launch, &self.file, &self.name, at, config, &self.log).await?;
+        launch: &Launch, folder: &Path, name: &str, listen: SocketAddr, config: &Value,
+    ) -> Result<Self, ProcessError> {
+        let config_file = folder.join(format!("{name}.json"));
+        let log = Log::default();
+        let (child, address) = spawn(launch, &config_file, name, listen, config, &log).await?;
+        Ok(Process { launch: launch.clone(), name: name.into(), config_file, address, child, log })
+    }
+
+    /// Starts the program again, at the same address, after it has exited.
+    ///
+    /// # Errors
+    /// If it cannot be started or does not serve in time.
+    pub async fn restart(&mut self, config: &Value) -> Result<(), ProcessError> {
+        (self.child, self.address) =
+            spawn(&self.launch, &self.config_file, &self.name, self.address, config, &self.log).await?;
         Ok(())
     }
 
-    fn signal(&self, signal: Signal) -> Result<(), String> {
+    fn control_error(&self, source: impl Into<io::Error>) -> ProcessError {
+        ProcessError::Control { name: self.name.clone(), source: source.into() }
+    }
+
+    fn signal(&self, signal: Signal) -> Result<(), ProcessError> {
         let pid = self.child.id().and_then(|id| Pid::from_raw(id as i32));
-        let pid = pid.ok_or_else(|| format!("{}: has ended", self.name))?;
-        kill_process(pid, signal).map_err(|e| format!("{}: {e}", self.name))
+        let pid = pid.ok_or_else(|| ProcessError::Exited { name: self.name.clone() })?;
+        kill_process(pid, signal).map_err(|errno| self.control_error(errno))
     }
 
-    /// Kills it, and waits for its end.
-    pub async fn kill(&mut self) -> Result<(), String> {
-        self.child.kill().await.map_err(|e| format!("{}: {e}", self.name))
+    /// Kills it and waits until it has exited.
+    ///
+    /// # Errors
+    /// If it cannot be signalled or awaited.
+    pub async fn kill(&mut self) -> Result<(), ProcessError> {
+        self.child.kill().await.map_err(|error| self.control_error(error))
     }
 
-    /// Lets it stand still.
-    pub fn pause(&self) -> Result<(), String> {
+    /// Stops it (SIGSTOP).
+    ///
+    /// # Errors
+    /// If it has exited or cannot be signalled.
+    pub fn pause(&self) -> Result<(), ProcessError> {
         self.signal(Signal::STOP)
     }
 
-    /// Lets it go on.
-    pub fn go_on(&self) -> Result<(), String> {
+    /// Lets it continue (SIGCONT).
+    ///
+    /// # Errors
+    /// If it has exited or cannot be signalled.
+    pub fn resume(&self) -> Result<(), ProcessError> {
         self.signal(Signal::CONT)
     }
 
-    /// Replaces its configuration, and tells it so.
-    pub fn reload(&self, config: &Value) -> Result<(), String> {
-        std::fs::write(&self.file, config.to_string())
-            .map_err(|e| format!("{}: {e}", self.file.display()))?;
+    /// Replaces its configuration and has it reloaded (SIGHUP).
+    ///
+    /// # Errors
+    /// If the configuration cannot be written, or the process has exited or cannot be signalled.
+    pub fn reload(&self, config: &Value) -> Result<(), ProcessError> {
+        write_config(&self.config_file, config)?;
         self.signal(Signal::HUP)
     }
 
-    /// Tells it to stop.
-    pub fn tell_to_stop(&self) -> Result<(), String> {
+    /// Asks it to exit (SIGTERM).
+    ///
+    /// # Errors
+    /// If it has exited or cannot be signalled.
+    pub fn send_sigterm(&self) -> Result<(), ProcessError> {
         self.signal(Signal::TERM)
     }
 
-    /// Tells it to stop, and waits for that; its exit code.
-    pub async fn terminate(&mut self) -> Result<Option<i32>, String> {
-        self.tell_to_stop()?;
-        self.end().await
+    /// Asks it to exit and waits for it; its exit code, or `None` if it was killed.
+    ///
+    /// # Errors
+    /// If it cannot be signalled or does not exit in time.
+    pub async fn terminate(&mut self) -> Result<Option<i32>, ProcessError> {
+        self.send_sigterm()?;
+        self.wait_for_exit().await
     }
 
-    /// Waits for its end; its exit code.
-    pub async fn end(&mut self) -> Result<Option<i32>, String> {
-        let ended = timeout(READY_WITHIN, self.child.wait()).await;
-        let status = ended.map_err(|_| format!("{}: does not stop", self.name))?;
-        status.map(|s| s.code()).map_err(|e| format!("{}: {e}", self.name))
+    /// Waits until it has exited; its exit code, or `None` if it was killed.
+    ///
+    /// # Errors
+    /// If it does not exit in time or cannot be awaited.
+    pub async fn wait_for_exit(&mut self) -> Result<Option<i32>, ProcessError> {
+        let exited = timeout(READY_TIMEOUT, self.child.wait()).await;
+        let status = exited.map_err(|_| ProcessError::DoesNotExit { name: self.name.clone() })?;
+        status.map(|status| status.code()).map_err(|error| self.control_error(error))
     }
 
-    /// Whether it has ended by itself.
-    pub fn has_ended(&mut self) -> bool {
+    /// Whether it has exited.
+    pub fn has_exited(&mut self) -> bool {
         !matches!(self.child.try_wait(), Ok(None))
     }
 
     /// Its last log lines.
     pub fn log(&self) -> Vec<String> {
-        self.log.lock().unwrap_or_else(PoisonError::into_inner).clone()
+        self.log.lines().clone()
     }
 }
 
+fn write_config(file: &Path, config: &Value) -> Result<(), ProcessError> {
+    std::fs::write(file, config.to_string())
+        .map_err(|source| ProcessError::File { path: file.into(), source })
+}
+
+/// Starts the program and waits until it serves; its process and the address that it listens on.
 async fn spawn(
-    launch: &Launch, file: &std::path::Path, name: &str, listen: SocketAddr, config: &Value,
-    log: &Arc<Mutex<Vec<String>>>,
-) -> Result<(Child, SocketAddr), String> {
-    std::fs::write(file, config.to_string()).map_err(|e| format!("{}: {e}", file.display()))?;
+    launch: &Launch, config_file: &Path, name: &str, listen: SocketAddr, config: &Value, log: &Log,
+) -> Result<(Child, SocketAddr), ProcessError> {
+    write_config(config_file, config)?;
     let mut command = Command::new(&launch.program);
     command
         .args(&launch.args)
-        .env("LB_CONFIG", file)
+        .env("LB_CONFIG", config_file)
         .env("LB_NAME", name)
         .env("LB_LISTEN", listen.to_string());
     for (variable, value) in &launch.variables {
@@ -157,27 +213,26 @@
     }
     command.env_remove("LB_DISCOVERY").env_remove("LB_LOG").env_remove("LB_OPERATOR");
     command.stdin(Stdio::null()).stderr(Stdio::piped()).kill_on_drop(true);
-    let mut child = command.spawn().map_err(|e| format!("{}: {e}", launch.program.display()))?;
-    let lines = child.stderr.take().ok_or_else(|| format!("{name}: no log"))?;
-    let (serving, mut at) = mpsc::channel(1);
-    let log = log.clone();
-    // The log is read to its end, so that the program never waits for its reader.
-    tokio::spawn(async move {
-        let mut lines = BufReader::new(lines).lines();
-        while let Ok(Some(line)) = lines.next_line().await {
-            let listen = line.split("listen=").nth(1).and_then(|rest| rest.split(' ').next());
-            if let Some(at) = listen.and_then(|text| text.parse::<SocketAddr>().ok()) {
-                let _ = serving.try_send(at);
-            }
-            let mut log = log.lock().unwrap_or_else(PoisonError::into_inner);
-            if log.len() == KEPT_LINES {
-                log.remove(0);
-            }
-            log.push(line);
+    let mut child =
+        command.spawn().map_err(|source| ProcessError::File { path: launch.program.clone(), source })?;
+    let stderr = child.stderr.take().ok_or_else(|| ProcessError::NoLog { name: name.into() })?;
+    let (addresses, mut address) = mpsc::channel(1);
+    tokio::spawn(read_log(stderr, log.clone(), addresses));
+    match timeout(READY_TIMEOUT, address.recv()).await {
+        Ok(Some(address)) => Ok((child, address)),
+        _ => Err(ProcessError::NotReady { name: name.into(), timeout: READY_TIMEOUT }),
+    }
+}
+
+/// Reads a log to its end, so that the process never blocks on it, and reports the address that it listens on.
+async fn read_log(stderr: ChildStderr, log: Log, addresses: mpsc::Sender<SocketAddr>) {
+    let mut lines = BufReader::new(stderr).lines();
+    while let Ok(Some(line)) = lines.next_line().await {
+        let listen = line.split("listen=").nth(1).and_then(|rest| rest.split(' ').next());
+        if let Some(address) = listen.and_then(|text| text.parse::<SocketAddr>().ok()) {
+            // Only the first address is awaited.
+            let _ = addresses.try_send(address);
         }
-    });
-    match timeout(READY_WITHIN, at.recv()).await {
-        Ok(Some(at)) => Ok((child, at)),
-        _ => Err(format!("{name}: is not ready within {READY_WITHIN:?}")),
+        log.push(line);
     }
 }
--- a/fault-tests/src/site.rs
+++ b/fault-tests/src/site.rs
@@ -1,53 +1,63 @@
-//! A site: processes of the gateway, hosts, discovery and clients, and a link on each path between two of them.
-use crate::checkers::{Effect, Terms};
-use crate::history::{Book, Event, What};
-use crate::links::{Faults, Link};
-use crate::peers::{Client, Discovery, Host, Message};
+//! A site under test: gateway processes, stub hosts, stub discovery, and a link on each path between two of them.
+use crate::client::{Client, Request};
+use crate::error::Error;
+use crate::history::{Event, EventKind, HistoryRecorder};
+use crate::invariants::{Guarantees, Idempotency};
+use crate::links::{Link, LinkFaults};
 use crate::process::{Launch, Process};
+use crate::stub_servers::{StubDiscovery, StubHost};
 use serde::{Deserialize, Serialize};
 use serde_json::{json, Value};
+use std::io;
 use std::net::{Ipv4Addr, SocketAddr};
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::Arc;
 use std::time::Duration;
 
-/// How large a site is, and its times.
+/// The most attempts of a request, the first one included.
+const MAX_ATTEMPTS: usize = 3;
+/// The most gateways of a site.
+const MAX_GATEWAY_COUNT: usize = 40;
+/// The service classes: idempotent, with an idempotency key, and not idempotent.
+pub const CLASSES: [&str; 3] = ["look", "book", "sign"];
+
+/// The size and the settings of a site.
 #[derive(Clone, Copy, Debug)]
-pub struct Size {
-    /// Processes of the gateway, 1 to 40.
+pub struct SiteConfig {
+    /// Gateway processes, 1 to 40.
     pub gateways: usize,
-    /// South side hosts.
+    /// Stub hosts.
     pub hosts: usize,
     /// How long a client waits.
-    pub patience: Duration,
-    /// How long a message takes a host.
-    pub work: Duration,
-    /// For how long hosts drop repeats of a `book`, in ms.
-    pub window_ms: u64,
-    /// Lists are pushed, and not asked for.
-    pub pushed: bool,
-    /// Gateways may call off what is out.
-    pub cancel: bool,
+    pub client_timeout: Duration,
+    /// How long a host processes a request.
+    pub service_time: Duration,
+    /// How long hosts deduplicate requests of class `book`, in ms.
+    pub deduplication_window_ms: u64,
+    /// Whether endpoint lists are pushed rather than polled.
+    pub push_discovery: bool,
+    /// Whether gateways may cancel requests in flight.
+    pub allow_cancellation: bool,
 }
 
-impl Default for Size {
+impl Default for SiteConfig {
     fn default() -> Self {
-        Size {
+        SiteConfig {
             gateways: 2,
             hosts: 3,
-            patience: Duration::from_millis(1000),
-            work: Duration::from_millis(8),
-            window_ms: 800,
-            pushed: false,
-            cancel: true,
+            client_timeout: Duration::from_millis(1000),
+            service_time: Duration::from_millis(8),
+            deduplication_window_ms: 800,
+            push_discovery: false,
+            allow_cancellation: true,
         }
     }
 }
 
-/// One side of a link.
+/// The peer at the other end of a gateway's link.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Far {
+pub enum LinkTarget {
     /// The gateway's clients.
     Clients,
     /// A host.
@@ -58,256 +68,291 @@
     Discovery,
 }
 
-/// Repeats and the first relay of a message, together.
-const MAX_ATTEMPTS: usize = 3;
-/// The classes, in turn.
-pub const CLASSES: [&str; 3] = ["look", "book", "sign"];
-
-/// Makes messages, each with an id of its own.
+/// Creates requests with unique ids; clones share the ids.
 #[derive(Clone, Debug)]
-pub struct Messages {
-    last_id: Arc<AtomicU64>,
-    patience: Duration,
+pub struct RequestFactory {
+    next_id: Arc<AtomicU64>,
+    client_timeout: Duration,
 }
 
-impl Messages {
-    /// The next message.
-    pub fn next(&self, class: &'static str) -> Message {
-        let id = self.last_id.fetch_add(1, Ordering::Relaxed);
-        Message { id: format!("{id:016x}"), class, patience: self.patience }
+impl RequestFactory {
+    /// A new request.
+    pub fn next(&self, class: &'static str) -> Request {
+        let id = self.next_id.fetch_add(1, Ordering::Relaxed);
+        Request { id: format!("{id:016x}"), class, client_timeout: self.client_timeout }
     }
 }
 
-/// All of it, running.
+/// A running site.
 #[derive(Debug)]
 pub struct Site {
-    /// Its size.
-    pub size: Size,
-    /// Where all write what they see.
-    pub book: Book,
-    /// The processes.
+    /// Its size and settings.
+    pub config: SiteConfig,
+    /// Records what clients, hosts and discovery observe.
+    pub recorder: HistoryRecorder,
+    /// The gateway processes.
     pub gateways: Vec<Process>,
     /// The hosts.
-    pub hosts: Vec<Host>,
+    pub hosts: Vec<StubHost>,
     /// Discovery.
-    pub discovery: Discovery,
+    pub discovery: StubDiscovery,
     /// From clients to each gateway.
     pub from_clients: Vec<Link>,
     /// From each gateway to each host.
     pub to_hosts: Vec<Vec<Link>>,
     /// From each gateway to discovery.
     pub to_discovery: Vec<Link>,
-    last_id: Arc<AtomicU64>,
+    next_id: Arc<AtomicU64>,
     folder: tempfile::TempDir,
 }
 
 impl Site {
-    /// Starts everything, and waits until all gateways serve.
-    pub async fn start(launch: &Launch, size: Size) -> Result<Self, String> {
-        room_for(&size)?;
-        let told = |e: std::io::Error| e.to_string();
-        let book = Book::default();
-        let folder = tempfile::tempdir().map_err(told)?;
-        let discovery = Discovery::start(size.gateways, &book).await.map_err(told)?;
-        let (mut hosts, mut to_discovery) = (Vec::new(), Vec::new());
-        let mut to_hosts: Vec<Vec<Link>> = (0..size.gateways).map(|_| Vec::new()).collect();
-        for number in 0..size.hosts {
-            let host = Host::start(number, size.gateways, size.work, &book).await.map_err(told)?;
-            for (links, at) in to_hosts.iter_mut().zip(&host.at) {
-                links.push(Link::to(*at).await.map_err(told)?);
-            }
-            discovery.list(number, to_hosts.iter().map(|links| links[number].at).collect(), 0);
-            hosts.push(host);
+    /// Starts all parts and waits until all gateways serve.
+    ///
+    /// # Errors
+    /// If the size is out of range, or a part cannot be started.
+    pub async fn start(launch: &Launch, config: SiteConfig) -> Result<Self, Error> {
+        check_size(&config)?;
+        let recorder = HistoryRecorder::default();
+        let folder = tempfile::tempdir()?;
+        let discovery = StubDiscovery::start(config.gateways, &recorder).await?;
+        let mut to_hosts: Vec<Vec<Link>> = (0..config.gateways).map(|_| Vec::new()).collect();
+        let mut hosts = Vec::new();
+        for number in 0..config.hosts {
+            hosts.push(start_host(number, &config, &recorder, &mut to_hosts).await?);
+            let addresses = to_hosts.iter().map(|links| links[number].address).collect();
+            discovery.add(number, addresses, 0);
         }
-        for at in &discovery.at {
-            to_discovery.push(Link::to(*at).await.map_err(told)?);
+        let mut to_discovery = Vec::new();
+        for address in &discovery.addresses {
+            to_discovery.push(Link::to(*address).await?);
         }
         let mut site = Site {
-            size,
-            book,
+            config,
+            recorder,
             gateways: Vec::new(),
             hosts,
             discovery,
             from_clients: Vec::new(),
             to_hosts,
             to_discovery,
-            last_id: Arc::default(),
+            next_id: Arc::default(),
             folder,
         };
-        let configs: Vec<Value> = (0..size.gateways).map(|me| site.config(me)).collect();
+        site.start_gateways(launch).await?;
+        Ok(site)
+    }
+
+    async fn start_gateways(&mut self, launch: &Launch) -> Result<(), Error> {
+        let configs: Vec<Value> =
+            (0..self.config.gateways).map(|gateway| self.gateway_config(gateway)).collect();
         let listen = SocketAddr::from((Ipv4Addr::LOCALHOST, 0));
-        for (me, config) in configs.iter().enumerate() {
-            let name = format!("g{me}");
-            let gateway = Process::start(launch, site.folder.path(), &name, listen, config).await?;
-            site.from_clients.push(Link::to(gateway.at).await.map_err(told)?);
-            site.gateways.push(gateway);
+        for (number, config) in configs.iter().enumerate() {
+            let name = format!("g{number}");
+            let gateway = Process::start(launch, self.folder.path(), &name, listen, config).await?;
+            self.from_clients.push(Link::to(gateway.address).await?);
+            self.gateways.push(gateway);
         }
-        Ok(site)
+        Ok(())
     }
 
-    /// The configuration of gateway `me`, with the list as it is now.
-    pub fn config(&self, me: usize) -> Value {
+    /// The configuration of a gateway, with the present endpoint list.
+    pub fn gateway_config(&self, gateway: usize) -> Value {
+        let config = &self.config;
         let class = |name: &str, effect: &str, window_ms: u64| {
-            json!({"name": name, "aim_ms": 300.0, "deadline_ms": self.size.patience.as_millis() as f64,
+            json!({"name": name, "aim_ms": 300.0, "deadline_ms": config.client_timeout.as_millis() as f64,
                    "effect": effect, "group": "all", "window_ms": window_ms, "late_value": 0.2})
         };
+        let classes = [
+            class("look", "safe", 0),
+            class("book", "keyed", config.deduplication_window_ms),
+            class("sign", "unsafe", 0),
+        ];
         json!({
-            "listen": "127.0.0.1:0", "discovery": self.to_discovery[me].at.to_string(), "seed": me + 1,
+            "listen": "127.0.0.1:0",
+            "discovery": self.to_discovery[gateway].address.to_string(),
+            "seed": gateway + 1,
             "limits": {"sockets": 256},
-            "known": self.discovery.whole(me),
+            "known": self.discovery.complete_list(gateway),
             "settings": {
-                "classes": [class("look", "safe", 0), class("book", "keyed", self.size.window_ms), class("sign", "unsafe", 0)],
+                "classes": classes,
                 "tenants": [{"name": "acme", "quota_per_s": 100_000.0}],
-                "limits": {"cancel": self.size.cancel, "conn_idle_ms": 5000.0, "dial_timeout_ms": 250.0,
+                "limits": {"cancel": config.allow_cancellation, "conn_idle_ms": 5000.0, "dial_timeout_ms": 250.0,
                            "max_attempts": MAX_ATTEMPTS, "max_open": 1000, "max_retry_after_ms": 1000.0,
                            "retry_after": true},
                 "report": {"how": "inline", "fields": ["utilization", "throughput"]},
-                "discovery": if self.size.pushed { "push" } else { "ask" }, "instances": self.size.gateways, "me": me, "zone": "a", "zones": ["a"],
+                "discovery": if config.push_discovery { "push" } else { "ask" },
+                "instances": config.gateways, "me": gateway, "zone": "a", "zones": ["a"],
                 "tick_ms": 5.0}
         })
     }
 
-    /// Starts a gateway that has ended anew, with the list as it is now.
-    pub async fn restart(&mut self, me: usize) -> Result<(), String> {
-        let config = self.config(me);
-        self.discovery.tell_at_start(me, &self.book);
-        self.gateways[me].restart(&config).await?;
-        self.healed(me);
+    /// Restarts a gateway that has exited, with the present endpoint list.
+    ///
+    /// # Errors
+    /// If it cannot be started or does not serve in time.
+    pub async fn restart(&mut self, gateway: usize) -> Result<(), Error> {
+        let config = self.gateway_config(gateway);
+        self.discovery.record_initial_list(gateway, &self.recorder);
+        self.gateways[gateway].restart(&config).await?;
+        self.record_recovery(gateway);
         Ok(())
     }
 
-    /// The links between a gateway and another part.
-    pub fn links(&self, gateway: usize, far: Far) -> Vec<&Link> {
-        match far {
-            Far::Clients => vec![&self.from_clients[gateway]],
-            Far::Host(host) => vec![&self.to_hosts[gateway][host]],
-            Far::Hosts => self.to_hosts[gateway].iter().collect(),
-            Far::Discovery => vec![&self.to_discovery[gateway]],
+    /// The links between a gateway and a peer.
+    pub fn links(&self, gateway: usize, target: LinkTarget) -> Vec<&Link> {
+        match target {
+            LinkTarget::Clients => vec![&self.from_clients[gateway]],
+            LinkTarget::Host(host) => vec![&self.to_hosts[gateway][host]],
+            LinkTarget::Hosts => self.to_hosts[gateway].iter().collect(),
+            LinkTarget::Discovery => vec![&self.to_discovery[gateway]],
         }
     }
 
-    /// Tells a gateway to stop, and waits for its end; it has to end well.
-    pub async fn terminate(&mut self, me: usize) -> Result<(), String> {
-        match self.gateways[me].terminate().await? {
+    /// Asks a gateway to exit and waits until it has.
+    ///
+    /// # Errors
+    /// If it does not exit with code 0 in time.
+    pub async fn terminate(&mut self, gateway: usize) -> Result<(), Error> {
+        match self.gateways[gateway].terminate().await? {
             Some(0) => Ok(()),
-            code => Err(format!("told to stop, gateway {me} ended with {code:?}")),
+            code => Err(Error::ExitCode { gateway, code }),
         }
     }
 
-    /// Lets a gateway stand still.
-    pub fn pause(&self, me: usize) -> Result<(), String> {
-        self.broken(me, "stands still");
-        self.book.note(What::Deaf { gateway: me });
-        self.gateways[me].pause()
+    /// Stops a gateway's process and records it.
+    ///
+    /// # Errors
+    /// If it has exited or cannot be signalled.
+    pub fn pause(&self, gateway: usize) -> Result<(), Error> {
+        self.record_fault(gateway, "stands still");
+        self.recorder.record(EventKind::DiscoveryCut { gateway });
+        Ok(self.gateways[gateway].pause()?)
     }
 
-    /// Lets it go on.
-    pub fn go_on(&self, me: usize) -> Result<(), String> {
-        self.gateways[me].go_on()?;
-        self.book.note(What::Hears { gateway: me });
-        self.healed(me);
+    /// Lets a gateway's process continue and records it.
+    ///
+    /// # Errors
+    /// If it has exited or cannot be signalled.
+    pub fn resume(&self, gateway: usize) -> Result<(), Error> {
+        self.gateways[gateway].resume()?;
+        self.recorder.record(EventKind::DiscoveryRestored { gateway });
+        self.record_recovery(gateway);
         Ok(())
     }
 
-    /// What this site's gateways have to keep.
-    pub fn terms(&self) -> Terms {
-        Terms {
+    /// What this site's settings guarantee.
+    pub fn guarantees(&self) -> Guarantees {
+        let window_ms = self.config.deduplication_window_ms;
+        Guarantees {
             classes: vec![
-                ("look".into(), Effect::Safe),
-                ("book".into(), Effect::Keyed(self.size.window_ms)),
-                ("sign".into(), Effect::Unsafe),
+                ("look".into(), Idempotency::Idempotent),
+                ("book".into(), Idempotency::IdempotentWithKey { window_ms }),
+                ("sign".into(), Idempotency::NonIdempotent),
             ],
             max_attempts: MAX_ATTEMPTS,
-            slack_ms: 500,
-            grace_ms: 1000,
-            leave_ms: None,
-            told_slack_ms: None,
-            cold: None,
+            response_slack_ms: 500,
+            drain_grace_ms: 1000,
+            disconnect_slack_ms: None,
+            deadline_slack_ms: None,
+            slow_start: None,
             contradiction_ms: 2000,
-            most_out: self.size.gateways,
-            limits: Vec::new(),
+            max_unavailable_count: self.config.gateways,
+            rate_limits: Vec::new(),
         }
     }
 
-    /// A message with an id of its own.
-    pub fn message(&self, class: &'static str) -> Message {
-        self.messages().next(class)
+    /// A new request.
+    pub fn request(&self, class: &'static str) -> Request {
+        self.request_factory().next(class)
     }
 
-    /// Makes messages of this site, in any task.
-    pub fn messages(&self) -> Messages {
-        Messages { last_id: self.last_id.clone(), patience: self.size.patience }
+    /// A source of this site's requests for another task.
+    pub fn request_factory(&self) -> RequestFactory {
+        RequestFactory { next_id: self.next_id.clone(), client_timeout: self.config.client_timeout }
     }
 
-    /// Clients of each of some gateways send so many messages one after another; the statuses that they got.
-    pub async fn converse(&self, gateways: &[usize], clients: usize, messages: usize) -> Vec<Option<u16>> {
-        let talks = gateways.iter().flat_map(|g| (0..clients).map(move |c| (*g, c))).map(|(gateway, c)| {
-            let mut client = Client::new(gateway, self.from_clients[gateway].at, &self.book);
-            let letters: Vec<Message> = (0..messages).map(|n| self.message(CLASSES[(n + c) % 3])).collect();
-            tokio::spawn(async move {
-                let mut got = Vec::new();
-                for letter in &letters {
-                    got.push(client.ask(letter).await);
-                }
-                got
-            })
-        });
-        let talks: Vec<_> = talks.collect();
-        let mut all = Vec::new();
-        for talk in talks {
-            all.extend(talk.await.unwrap_or_default());
+    /// Has `clients` new clients of each of these gateways send `count` requests one after another; the status of each, or
+    /// `None` if there was no complete response.
+    pub async fn send_requests(&self, gateways: &[usize], clients: usize, count: usize) -> Vec<Option<u16>> {
+        let mut tasks = Vec::new();
+        for gateway in gateways {
+            for number in 0..clients {
+                let mut client = Client::new(*gateway, self.from_clients[*gateway].address, &self.recorder);
+                let requests: Vec<Request> =
+                    (0..count).map(|n| self.request(CLASSES[(n + number) % CLASSES.len()])).collect();
+                tasks.push(tokio::spawn(async move {
+                    let mut statuses = Vec::new();
+                    for request in &requests {
+                        statuses.push(client.send(request).await);
+                    }
+                    statuses
+                }));
+            }
         }
-        all
+        let mut statuses = Vec::new();
+        for task in tasks {
+            statuses.extend(task.await.unwrap_or_default());
+        }
+        statuses
     }
 
-    /// Notes that clients of a gateway cannot expect answers from here on.
-    pub fn broken(&self, gateway: usize, words: impl Into<String>) {
-        self.book.note(What::Broken { gateway, words: words.into() });
+    /// Records that clients of a gateway cannot expect responses from now on.
+    pub fn record_fault(&self, gateway: usize, description: impl Into<String>) {
+        self.recorder.record(EventKind::GatewayFaulted { gateway, description: description.into() });
     }
 
-    /// Notes that they can again.
-    pub fn healed(&self, gateway: usize) {
-        self.book.note(What::Healed { gateway });
+    /// Records that they can again.
+    pub fn record_recovery(&self, gateway: usize) {
+        self.recorder.record(EventKind::GatewayRecovered { gateway });
     }
 
-    /// Heals all links.
-    pub fn heal_links(&self) {
+    /// Ends the faults of all links.
+    pub fn clear_link_faults(&self) {
         let links = self.from_clients.iter().chain(&self.to_discovery).chain(self.to_hosts.iter().flatten());
-        links.filter(|link| link.faults() != Faults::default()).for_each(|link| {
-            link.set(Faults::default());
-            // What was held back in old connections is no message's any more.
+        for link in links.filter(|link| link.faults() != LinkFaults::default()) {
+            link.set(LinkFaults::default());
+            // Nobody waits any more for what open connections still hold back.
             link.reset();
-        });
+        }
     }
 
-    /// What has happened since the last call.
-    pub fn take(&self) -> Vec<Event> {
-        self.book.take()
+    /// Removes and returns the history so far.
+    pub fn take_history(&self) -> Vec<Event> {
+        self.recorder.take()
     }
 
-    /// The last log lines of all gateways, for a reader of an offence.
+    /// The last log lines of all gateways.
     pub fn logs(&self) -> String {
-        let of =
-            |(n, g): (usize, &Process)| g.log().iter().map(|l| format!("g{n} {l}\n")).collect::<String>();
-        self.gateways.iter().enumerate().map(of).collect()
+        let lines_of = |(number, gateway): (usize, &Process)| {
+            gateway.log().iter().map(|line| format!("g{number} {line}\n")).collect::<String>()
+        };
+        self.gateways.iter().enumerate().map(lines_of).collect()
+    }
+}
+
+/// Starts a host, and adds the link from each gateway to it.
+async fn start_host(
+    number: usize, config: &SiteConfig, recorder: &HistoryRecorder, to_hosts: &mut [Vec<Link>],
+) -> io::Result<StubHost> {
+    let host = StubHost::start(number, config.gateways, config.service_time, recorder).await?;
+    for (links, address) in to_hosts.iter_mut().zip(&host.addresses) {
+        links.push(Link::to(*address).await?);
     }
+    Ok(host)
 }
 
-/// Guards against a rig that runs into a lack of descriptors in the middle: it says so before.
-fn room_for(size: &Size) -> Result<(), String> {
-    if !(1..=40).contains(&size.gateways) || size.hosts == 0 {
-        return Err(format!(
-            "a rig has 1 to 40 gateways and a host, not {} and {}",
-            size.gateways, size.hosts
-        ));
+/// Checks that the size is in range and that the limit of open files suffices for it.
+fn check_size(config: &SiteConfig) -> Result<(), Error> {
+    let SiteConfig { gateways, hosts, .. } = *config;
+    if !(1..=MAX_GATEWAY_COUNT).contains(&gateways) || hosts == 0 {
+        return Err(Error::SiteSize { gateways, hosts });
     }
-    // Listeners of links and peers, and for each path some connections with both ends here.
-    let needs = 64 + size.gateways * (size.hosts * 12 + 40);
+    // The listeners, and for each path some connections, both ends of which are in this process.
+    let needed = 64 + gateways * (hosts * 12 + 40);
     let limit = rustix::process::getrlimit(rustix::process::Resource::Nofile).current.unwrap_or(u64::MAX);
-    if (needs as u64) > limit {
-        return Err(format!(
-            "needs about {needs} descriptors, and may hold {limit}: raise the limit of open files"
-        ));
+    if (needed as u64) > limit {
+        return Err(Error::DescriptorLimit { needed, limit });
     }
     Ok(())
 }
--- a/fault-tests/src/soak/clients.rs
+++ b/fault-tests/src/soak/clients.rs
@@ -1,7 +1,7 @@
-//! Clients of a soak: most send one message after another; some leave, write slowly, or send several at once.
-use crate::history::{Book, What};
-use crate::peers::{next, Message};
-use crate::site::{Messages, CLASSES};
+//! Clients of a soak: most send one request after another; some disconnect, write slowly, or pipeline several.
+use crate::client::{read_message, Request};
+use crate::history::{EventKind, HistoryRecorder};
+use crate::site::{RequestFactory, CLASSES};
 use rand::{Rng, RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use std::net::SocketAddr;
@@ -13,192 +13,191 @@
 use tokio::net::TcpStream;
 use tokio::time::{sleep, timeout};
 
-/// The most messages that a client sends at once.
-pub const MOST_AT_ONCE: u64 = 12;
+/// The most requests that a client pipelines.
+pub const MAX_PIPELINED_COUNT: u64 = 12;
+/// How long a client tries to connect.
+const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
+/// A client waits this much longer than its timeout, so that a late response is recorded.
+const LATE_RESPONSE_TIME: Duration = Duration::from_secs(2);
 
-/// What clients of one gateway go by.
+/// What the clients of a gateway are told of its shutdown.
 #[derive(Debug, Default)]
-pub struct Gate {
-    /// New connections do not come any more: the front has heard of the gateway's end.
+pub struct ClientGate {
+    /// Clients open no new connections: the load balancer in front has noticed the shutdown.
     pub closed: AtomicBool,
-    /// Nothing comes any more.
+    /// Clients stop.
     pub over: AtomicBool,
 }
 
-/// How a client treats one message.
+/// How a client sends a request.
 #[derive(Clone, Copy, Debug, PartialEq)]
-enum Manner {
+enum SendMode {
     Plain,
-    Leaves(Duration),
-    Slowly(Duration),
-    Several(usize),
+    Disconnect { after: Duration },
+    Slow { pause: Duration },
+    Pipelined { count: usize },
 }
 
-impl Manner {
-    fn draw(rng: &mut impl Rng, patience: Duration) -> Self {
+impl SendMode {
+    fn draw(rng: &mut impl Rng, client_timeout: Duration) -> Self {
         match rng.random_range(0..100) {
-            0..8 => Manner::Leaves(patience.mul_f64(rng.random_range(0.0..0.5))),
-            8..12 => Manner::Slowly(Duration::from_millis(rng.random_range(5..150))),
-            12..16 => Manner::Several(rng.random_range(2..=MOST_AT_ONCE as usize)),
-            _ => Manner::Plain,
+            0..8 => SendMode::Disconnect { after: client_timeout.mul_f64(rng.random_range(0.0..0.5)) },
+            8..12 => SendMode::Slow { pause: Duration::from_millis(rng.random_range(5..150)) },
+            12..16 => SendMode::Pipelined { count: rng.random_range(2..=MAX_PIPELINED_COUNT as usize) },
+            _ => SendMode::Plain,
         }
     }
 }
 
+/// An open connection.
+struct Connection {
+    stream: TcpStream,
+    /// Whether it has carried a request before.
+    reused: bool,
+}
+
 /// One client of a gateway.
-pub struct Client {
+pub struct SoakClient {
     /// The gateway's number.
     pub gateway: usize,
-    /// Where it listens.
-    pub at: SocketAddr,
-    /// Where it writes down what it sees.
-    pub book: Book,
-    /// Makes its messages.
-    pub messages: Messages,
+    /// Where the gateway listens.
+    pub address: SocketAddr,
+    /// Records what it observes.
+    pub recorder: HistoryRecorder,
+    /// Creates its requests.
+    pub requests: RequestFactory,
     /// Tells it when to stop.
-    pub gate: Arc<Gate>,
-    /// For its draws.
+    pub gate: Arc<ClientGate>,
+    /// The seed of its draws.
     pub seed: u64,
 }
 
-impl Client {
-    /// Sends until it is told that all is over.
+impl SoakClient {
+    /// Sends requests until the gate says that all is over.
     pub async fn run(self) {
         let mut rng = ChaCha8Rng::seed_from_u64(self.seed);
-        let mut kept: Option<TcpStream> = None;
+        let mut idle: Option<TcpStream> = None;
         while !self.gate.over.load(Relaxed) {
             let class = CLASSES[rng.random_range(0..CLASSES.len())];
-            let message = self.messages.next(class);
-            let manner = Manner::draw(&mut rng, message.patience);
-            kept = match self.connected(kept.take()).await {
-                Some((stream, used)) => self.send(stream, used, &message, manner).await,
+            let request = self.requests.next(class);
+            let mode = SendMode::draw(&mut rng, request.client_timeout);
+            idle = match self.connection(idle.take()).await {
+                Some(connection) => self.send(connection, &request, mode).await,
                 None => None,
             };
             sleep(Duration::from_millis(rng.random_range(2..30))).await;
         }
     }
 
-    /// A connection, and whether it has carried a message before; `None` if there is none to be had now.
-    async fn connected(&self, kept: Option<TcpStream>) -> Option<(TcpStream, bool)> {
-        if let Some(stream) = kept {
-            return Some((stream, true));
+    /// The idle connection or a new one; `None` if the gateway cannot be reached now.
+    async fn connection(&self, idle: Option<TcpStream>) -> Option<Connection> {
+        if let Some(stream) = idle {
+            return Some(Connection { stream, reused: true });
         }
         if self.gate.closed.load(Relaxed) {
             return None;
         }
-        let dialled = timeout(Duration::from_secs(1), TcpStream::connect(self.at)).await;
-        let stream = dialled.ok()?.ok()?;
+        let connected = timeout(CONNECT_TIMEOUT, TcpStream::connect(self.address)).await;
+        let stream = connected.ok()?.ok()?;
         let _ = stream.set_nodelay(true);
-        Some((stream, false))
+        Some(Connection { stream, reused: false })
     }
 
-    /// Sends a message; the connection, if it can carry another one.
-    async fn send(
-        &self, mut stream: TcpStream, used: bool, message: &Message, manner: Manner,
-    ) -> Option<TcpStream> {
-        let text = message.text();
-        match manner {
-            Manner::Leaves(after) => {
+    /// Sends a request; the connection, if it can be reused.
+    async fn send(&self, connection: Connection, request: &Request, mode: SendMode) -> Option<TcpStream> {
+        let Connection { mut stream, reused } = connection;
+        let text = request.to_http();
+        match mode {
+            SendMode::Disconnect { after } => {
                 stream.write_all(text.as_bytes()).await.ok()?;
-                self.note_asked(message);
+                self.recorder.record(request.sent_to(self.gateway));
                 sleep(after).await;
-                self.book.note(What::Left { id: message.id.clone() });
+                self.recorder.record(EventKind::ClientDisconnected { id: request.id.clone() });
                 return None;
             }
-            Manner::Several(count) => return self.send_several(stream, used, message, count).await,
-            Manner::Slowly(pause) => {
+            SendMode::Pipelined { count } => {
+                return self.send_pipelined(Connection { stream, reused }, request, count).await;
+            }
+            SendMode::Slow { pause } => {
                 let (first, rest) = text.split_at(text.len() / 2);
                 stream.write_all(first.as_bytes()).await.ok()?;
                 sleep(pause).await;
                 stream.write_all(rest.as_bytes()).await.ok()?;
             }
-            Manner::Plain => stream.write_all(text.as_bytes()).await.ok()?,
+            SendMode::Plain => stream.write_all(text.as_bytes()).await.ok()?,
         }
-        self.note_asked(message);
+        self.recorder.record(request.sent_to(self.gateway));
         let mut reader = Reader::new(MAX_BODY_BYTES);
-        match self.answer(&mut stream, &mut reader, message).await {
-            Some(answer) => (answer.keep_alive && reader.is_idle()).then_some(stream),
-            None if used && !reader.has_begun() => {
-                // The end of a resting connection crossed the message.
-                self.send_again(message).await
-            }
-            None => self.note_unanswered(message),
+        match self.receive(&mut stream, &mut reader, request).await {
+            Some(response) => (response.keep_alive && reader.is_idle()).then_some(stream),
+            // The gateway closed the idle connection while the request was under way.
+            None if reused && !reader.has_begun() => self.resend(request).await,
+            None => self.record_missing(request),
         }
     }
 
-    /// Sends a message once more, over a new connection.
-    async fn send_again(&self, message: &Message) -> Option<TcpStream> {
-        let Some((mut stream, _)) = self.connected(None).await else {
-            self.book.note(What::Moved { id: message.id.clone() });
+    /// Sends a request again, over a new connection.
+    async fn resend(&self, request: &Request) -> Option<TcpStream> {
+        let Some(Connection { mut stream, .. }) = self.connection(None).await else {
+            self.recorder.record(EventKind::RequestMoved { id: request.id.clone() });
             return None;
         };
-        self.book.note(What::Again { id: message.id.clone(), gateway: self.gateway });
-        if stream.write_all(message.text().as_bytes()).await.is_err() {
-            return self.note_unanswered(message);
+        self.recorder.record(EventKind::RequestResent { id: request.id.clone(), gateway: self.gateway });
+        if stream.write_all(request.to_http().as_bytes()).await.is_err() {
+            return self.record_missing(request);
         }
         let mut reader = Reader::new(MAX_BODY_BYTES);
-        match self.answer(&mut stream, &mut reader, message).await {
-            Some(answer) => (answer.keep_alive && reader.is_idle()).then_some(stream),
-            None => self.note_unanswered(message),
+        match self.receive(&mut stream, &mut reader, request).await {
+            Some(response) => (response.keep_alive && reader.is_idle()).then_some(stream),
+            None => self.record_missing(request),
         }
     }
 
-    /// Sends some messages at once, and reads their answers in order. An answer that ends the connection tells that those
-    /// behind it were not taken.
-    async fn send_several(
-        &self, mut stream: TcpStream, used: bool, first: &Message, count: usize,
+    /// Pipelines some requests and reads their responses in order. After a response that closes the connection, the
+    /// remaining requests have not been accepted.
+    async fn send_pipelined(
+        &self, connection: Connection, first: &Request, count: usize,
     ) -> Option<TcpStream> {
-        let more = (1..count).map(|_| self.messages.next("look"));
-        let all: Vec<Message> = std::iter::once(first.clone()).chain(more).collect();
-        let text: String = all.iter().map(Message::text).collect();
+        let Connection { mut stream, reused } = connection;
+        let more = (1..count).map(|_| self.requests.next("look"));
+        let requests: Vec<Request> = std::iter::once(first.clone()).chain(more).collect();
+        let text: String = requests.iter().map(Request::to_http).collect();
         stream.write_all(text.as_bytes()).await.ok()?;
-        all.iter().for_each(|message| self.note_asked(message));
+        requests.iter().for_each(|request| self.recorder.record(request.sent_to(self.gateway)));
         let mut reader = Reader::new(MAX_BODY_BYTES);
         let mut answered = 0;
-        let mut goes_on = true;
-        while goes_on && answered < all.len() {
-            match self.answer(&mut stream, &mut reader, &all[answered]).await {
-                Some(answer) => (answered, goes_on) = (answered + 1, answer.keep_alive),
-                None => break,
-            }
+        let mut keep_alive = true;
+        while keep_alive && answered < requests.len() {
+            let Some(response) = self.receive(&mut stream, &mut reader, &requests[answered]).await else {
+                break;
+            };
+            answered += 1;
+            keep_alive = response.keep_alive;
         }
-        let crossed = used && answered == 0 && !reader.has_begun();
-        for message in &all[answered..] {
-            if crossed || !goes_on {
-                self.book.note(What::Moved { id: message.id.clone() });
+        let closed_while_idle = reused && answered == 0 && !reader.has_begun();
+        for request in &requests[answered..] {
+            if closed_while_idle || !keep_alive {
+                self.recorder.record(EventKind::RequestMoved { id: request.id.clone() });
             } else {
-                self.note_unanswered(message);
+                self.record_missing(request);
             }
         }
-        (answered == all.len() && goes_on).then_some(stream)
+        (answered == requests.len() && keep_alive).then_some(stream)
     }
 
-    /// Reads the next answer, and writes it down as a message's.
-    async fn answer(
-        &self, stream: &mut TcpStream, reader: &mut Reader<StatusLine>, message: &Message,
+    /// Reads the next response and records it as the request's.
+    async fn receive(
+        &self, stream: &mut TcpStream, reader: &mut Reader<StatusLine>, request: &Request,
     ) -> Option<CompleteMessage<StatusLine>> {
-        let patience = message.patience + Duration::from_secs(2);
-        let (answer, _) = timeout(patience, next(stream, reader, &self.book)).await.ok()??;
-        self.book.note(What::Answered {
-            id: message.id.clone(),
-            status: answer.start_line.code,
-            body: String::from_utf8_lossy(&answer.body).into_owned(),
-            advice: answer.fields.text("retry-after").is_some(),
-        });
-        Some(answer)
-    }
-
-    fn note_asked(&self, message: &Message) {
-        self.book.note(What::Asked {
-            id: message.id.clone(),
-            class: message.class.into(),
-            gateway: self.gateway,
-            patience_ms: message.patience.as_millis() as u64,
-        });
+        let limit = request.client_timeout + LATE_RESPONSE_TIME;
+        let (response, _) = timeout(limit, read_message(stream, reader, &self.recorder)).await.ok()??;
+        self.recorder.record(request.answered_by(&response));
+        Some(response)
     }
 
-    fn note_unanswered(&self, message: &Message) -> Option<TcpStream> {
-        self.book.note(What::Unanswered { id: message.id.clone(), how: "the connection ended".into() });
+    fn record_missing(&self, request: &Request) -> Option<TcpStream> {
+        let reason = "the connection ended".into();
+        self.recorder.record(EventKind::ResponseMissing { id: request.id.clone(), reason });
         None
     }
 }
--- a/fault-tests/src/soak/faults.rs
+++ b/fault-tests/src/soak/faults.rs
@@ -1,4 +1,4 @@
-//! What may be injected into a process, and how its shim is told.
+//! The faults of processes, and the control file that tells a process's shim which to inject.
 use serde::Serialize;
 use std::fs::File;
 use std::io;
@@ -6,29 +6,39 @@
 use std::path::{Path, PathBuf};
 use std::time::Duration;
 
-/// The library that a gateway is started with, built from `shim/faults.rs`.
+/// The library that is preloaded into gateways, built from `shim/faults.rs`.
 const SHIM: &[u8] = include_bytes!(concat!(env!("OUT_DIR"), "/faults.so"));
 
-/// The layout of the shim's `Control`.
-const KINDS: usize = 32;
-const OFFSET_AT: u64 = 8;
-const HELD_AT: u64 = 20;
-const RATES_AT: u64 = 24;
-const INJECTED_AT: u64 = RATES_AT + 4 * KINDS as u64;
-const LENGTH: u64 = INJECTED_AT + 8 * KINDS as u64;
-/// A rate of this injects at every call.
-const ALWAYS: u32 = 1 << 16;
-/// How long a held write is held up: what the operators' page allows a gateway between reading its clock and writing.
+/// How many kinds the shim's `Control` has room for.
+const MAX_KIND_COUNT: usize = 32;
+/// Where the shim's `Control` holds the offset of the wall clock, in bytes from its start.
+const CLOCK_OFFSET_AT_BYTES: u64 = 8;
+/// Where it holds the delay of a held write.
+const HELD_MS_AT_BYTES: u64 = 20;
+/// Where it holds the rate of each kind.
+const RATES_AT_BYTES: u64 = 24;
+/// Where it holds the count of each kind.
+const INJECTED_AT_BYTES: u64 = RATES_AT_BYTES + 4 * MAX_KIND_COUNT as u64;
+/// Its length.
+const CONTROL_BYTES: u64 = INJECTED_AT_BYTES + 8 * MAX_KIND_COUNT as u64;
+/// The rate that injects a fault into every call.
+const ALWAYS_RATE: u32 = 1 << 16;
+/// How long a held write is delayed: what the protocol allows a gateway between reading its clock and writing.
 const HELD_MS: u32 = 120;
 
-/// How a kind of fault comes about.
+/// How a kind of fault is injected.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Means {
-    /// The shim injects it at its place in the control, with this chance a call.
-    Call(usize, f64),
-    /// The shim's wall clock is off by so many ms.
+pub enum InjectionMethod {
+    /// The shim has a system call fail.
+    Call {
+        /// The index of the kind in the shim's control.
+        index: usize,
+        /// The probability for each call, 0 to 1.
+        probability: f64,
+    },
+    /// The shim steps the wall clock by so many ms.
     Clock(i64),
-    /// The process is stopped for so long, again and again.
+    /// The process is stopped for this time, repeatedly.
     Standstill(Duration),
 }
 
@@ -37,27 +47,28 @@
 pub struct Kind {
     /// Its name in reports.
     pub name: &'static str,
-    /// How it comes about.
-    pub means: Means,
+    /// How it is injected.
+    pub method: InjectionMethod,
 }
 
-const fn call(name: &'static str, place: usize, chance: f64) -> Kind {
-    Kind { name, means: Means::Call(place, chance) }
+const fn call(name: &'static str, index: usize, probability: f64) -> Kind {
+    Kind { name, method: InjectionMethod::Call { index, probability } }
 }
 
 const fn clock(name: &'static str, ms: i64) -> Kind {
-    Kind { name, means: Means::Clock(ms) }
+    Kind { name, method: InjectionMethod::Clock(ms) }
 }
 
 const fn standstill(name: &'static str, ms: u64) -> Kind {
-    Kind { name, means: Means::Standstill(Duration::from_millis(ms)) }
+    Kind { name, method: InjectionMethod::Standstill(Duration::from_millis(ms)) }
 }
 
+/// An hour.
 const HOUR_MS: i64 = 3_600_000;
-/// Where the shim counts what it told of a stepped clock.
-const CLOCK_STEP: usize = 26;
+/// The index at which the shim counts how often it has returned a stepped time.
+const CLOCK_STEP_INDEX: usize = 26;
 
-/// All kinds: each way in the operators' terms that a call fails, a clock steps or a process stands still.
+/// All kinds. The last one injects nothing.
 pub const ALL: [Kind; 34] = [
     call("accept_econnaborted", 0, 0.3),
     call("accept_enfile", 1, 0.3),
@@ -92,13 +103,13 @@
     standstill("standstill_120ms", 120),
     standstill("standstill_400ms", 400),
     standstill("standstill_700ms", 700),
-    Kind { name: "none", means: Means::Call(31, 0.0) },
+    Kind { name: "none", method: InjectionMethod::Call { index: 31, probability: 0.0 } },
 ];
 
-/// The kinds that break a client's connection: its request may be owed no answer any more.
-pub const BREAKS_CLIENTS: [&str; 2] = ["client_etimedout", "client_ehostunreach"];
+/// The kinds that break a client's connection, so that its request may stay unanswered.
+pub const CLIENT_CONNECTION_FAULTS: [&str; 2] = ["client_etimedout", "client_ehostunreach"];
 
-/// The kind of that name.
+/// The kind with this name.
 pub fn named(name: &str) -> Option<Kind> {
     ALL.into_iter().find(|kind| kind.name == name)
 }
@@ -107,18 +118,18 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Phase {
-    /// From its start until it serves.
+    /// From the start until it serves.
     Start,
     /// While it serves.
     Service,
-    /// From a new configuration on.
+    /// From a reload of the configuration on.
     Reload,
-    /// From SIGTERM to its end.
+    /// From SIGTERM until it exits.
     Shutdown,
 }
 
 impl Phase {
-    /// All phases, in their order.
+    /// All phases, in order.
     pub const ALL: [Phase; 4] = [Phase::Start, Phase::Service, Phase::Reload, Phase::Shutdown];
 }
 
@@ -129,43 +140,57 @@
 }
 
 impl Control {
-    /// Makes the file of a process of that name.
+    /// Creates the file for a process with this name.
+    ///
+    /// # Errors
+    /// If it cannot be written.
     pub fn create(folder: &Path, name: &str, seed: u64) -> io::Result<Self> {
         let path = folder.join(format!("{name}.faults"));
         let file = File::options().create(true).truncate(true).read(true).write(true).open(path)?;
-        file.set_len(LENGTH)?;
+        file.set_len(CONTROL_BYTES)?;
         file.write_all_at(&seed.to_ne_bytes(), 0)?;
-        file.write_all_at(&HELD_MS.to_ne_bytes(), HELD_AT)?;
+        file.write_all_at(&HELD_MS.to_ne_bytes(), HELD_MS_AT_BYTES)?;
         Ok(Control { file })
     }
 
-    /// From now on a kind is injected, or no more.
+    /// Begins or ends the injection of a kind.
+    ///
+    /// # Errors
+    /// If the file cannot be written.
     pub fn set(&self, kind: Kind, on: bool) -> io::Result<()> {
-        match kind.means {
-            Means::Call(place, chance) => {
-                let rate = if on { (chance * f64::from(ALWAYS)) as u32 } else { 0 };
-                self.file.write_all_at(&rate.to_ne_bytes(), RATES_AT + 4 * place as u64)
+        match kind.method {
+            InjectionMethod::Call { index, probability } => {
+                let rate = if on { (probability * f64::from(ALWAYS_RATE)) as u32 } else { 0 };
+                self.file.write_all_at(&rate.to_ne_bytes(), RATES_AT_BYTES + 4 * index as u64)
             }
-            // A clock that was stepped stays so.
-            Means::Clock(ms) if on => self.file.write_all_at(&(ms * 1_000_000).to_ne_bytes(), OFFSET_AT),
-            Means::Clock(_) | Means::Standstill(_) => Ok(()),
+            // A stepped clock is never set back.
+            InjectionMethod::Clock(ms) if on => {
+                self.file.write_all_at(&(ms * 1_000_000).to_ne_bytes(), CLOCK_OFFSET_AT_BYTES)
+            }
+            InjectionMethod::Clock(_) | InjectionMethod::Standstill(_) => Ok(()),
         }
     }
 
     /// How often a kind has been injected.
+    ///
+    /// # Errors
+    /// If the file cannot be read.
     pub fn injected(&self, kind: Kind) -> io::Result<u64> {
-        let place = match kind.means {
-            Means::Call(place, _) => place,
-            Means::Clock(_) => CLOCK_STEP,
-            Means::Standstill(_) => return Ok(0),
+        let index = match kind.method {
+            InjectionMethod::Call { index, .. } => index,
+            InjectionMethod::Clock(_) => CLOCK_STEP_INDEX,
+            InjectionMethod::Standstill(_) => return Ok(0),
         };
         let mut bytes = [0; 8];
-        self.file.read_exact_at(&mut bytes, INJECTED_AT + 8 * place as u64)?;
+        self.file.read_exact_at(&mut bytes, INJECTED_AT_BYTES + 8 * index as u64)?;
         Ok(u64::from_ne_bytes(bytes))
     }
 }
 
-/// Writes the shim to a folder; the variables by which a gateway of any name loads it and finds its control there.
+/// Writes the shim to a folder; the environment variables with which a gateway loads it and finds its control file there.
+///
+/// # Errors
+/// If the shim cannot be written.
 pub fn variables(folder: &Path) -> io::Result<Vec<(String, String)>> {
     let shim: PathBuf = folder.join("faults.so");
     std::fs::write(&shim, SHIM)?;
@@ -173,7 +198,7 @@
     Ok(vec![
         ("LD_PRELOAD".into(), text(&shim)),
         ("TERNSTACK_FAULTS".into(), format!("{}/{{name}}.faults", text(folder))),
-        // Configurations lie in a folder of their own there.
+        // Only files in the folder of configurations are subject to faults.
         ("TERNSTACK_FAULTS_FOLDER".into(), text(&std::env::temp_dir())),
     ])
 }
--- a/fault-tests/src/soak/mod.rs
+++ b/fault-tests/src/soak/mod.rs
@@ -1,55 +1,41 @@
-//! The soak: drawn sites of real processes whose system calls fail, whose clocks step and who stand still, alone and mixed,
-//! at each phase of a process' life, judged by the checkers.
+//! The soak: drawn sites of real processes whose system calls fail, whose clocks step and which are stopped, alone and
+//! mixed, at each phase of a process's life, judged by the invariants.
 //!
-//! [`faults`] tells a process' shim what to inject, [`clients`] send and misbehave, [`run`] plays one run, [`report`] sums up.
+//! [`faults`] tells a process's shim what to inject, [`plan`] draws the runs, [`clients`] send requests, [`run`] plays one
+//! run and [`judge`] checks it, [`report`] sums up.
 pub mod clients;
 pub mod faults;
+pub mod judge;
+pub mod plan;
 pub mod report;
 pub mod run;
 
+pub use plan::plans;
+
+use crate::error::Error;
 use crate::process::Launch;
-use faults::Phase;
-use rand::{RngExt, SeedableRng};
-use rand_chacha::ChaCha8Rng;
+use plan::Plan;
 use report::Report;
-use run::Plan;
-use std::time::Duration;
 use tokio::task::JoinSet;
 
-/// The plans of a soak: each kind alone in each phase, in order, and then mixed ones with two or three kinds and a few dozen
-/// processes at once.
-pub fn plans(seed: u64, count: usize, service: Duration) -> Vec<Plan> {
-    let alone = faults::ALL.iter().flat_map(|kind| Phase::ALL.map(|phase| (*kind, phase)));
-    let mut plans: Vec<Plan> = Vec::new();
-    for (n, (kind, phase)) in alone.take(count).enumerate() {
-        plans.push(Plan::draw(seed.wrapping_add(n as u64), vec![kind], vec![phase], service, false));
-    }
-    let mut rng = ChaCha8Rng::seed_from_u64(seed);
-    while plans.len() < count {
-        let number = plans.len() as u64;
-        let kinds =
-            (0..rng.random_range(2..=3)).map(|_| faults::ALL[rng.random_range(0..faults::ALL.len() - 1)]);
-        let mut kinds: Vec<_> = kinds.collect();
-        kinds.dedup_by_key(|kind| kind.name);
-        let phases = Phase::ALL.into_iter().filter(|_| rng.random_bool(0.6)).collect();
-        plans.push(Plan::draw(seed.wrapping_add(number), kinds, phases, service, true));
-    }
-    plans
-}
-
-/// Plays plans, so many at once.
-pub async fn play(launch: &Launch, plans: Vec<Plan>, jobs: usize) -> Result<Report, String> {
+/// Plays plans, `jobs` of them at once.
+///
+/// # Errors
+/// If a run cannot be continued; the error names its seed.
+pub async fn play(launch: &Launch, plans: Vec<Plan>, jobs: usize) -> Result<Report, Error> {
     let mut report = Report::default();
-    let mut playing = JoinSet::new();
+    let mut running = JoinSet::new();
     let mut waiting = plans.into_iter();
     loop {
-        while playing.len() < jobs.max(1) {
+        while running.len() < jobs.max(1) {
             let Some(plan) = waiting.next() else { break };
             let launch = launch.clone();
-            playing.spawn(async move { (run::play(&launch, &plan).await, plan) });
+            running.spawn(async move { (run::play(&launch, &plan).await, plan) });
         }
-        let Some(played) = playing.join_next().await else { return Ok(report) };
-        let (outcome, plan) = played.map_err(|e| e.to_string())?;
-        report.add(&plan, &outcome.map_err(|e| format!("seed {}: {e}", plan.seed))?);
+        let Some(finished) = running.join_next().await else { return Ok(report) };
+        let (outcome, plan) = finished?;
+        let outcome =
+            outcome.map_err(|source| Error::SoakRun { seed: plan.seed, source: Box::new(source) })?;
+        report.add(&plan, &outcome);
     }
 }
--- a/fault-tests/src/soak/report.rs
+++ b/fault-tests/src/soak/report.rs
@@ -1,84 +1,88 @@
-//! What a soak has shown: a table of kinds by phases, and all violations.
+//! The report of a soak: a table of kinds by phases, and all violations.
 use super::faults::{self, Phase};
-use super::run::{Outcome, Plan};
+use super::judge::Outcome;
+use super::plan::Plan;
 use serde::Serialize;
 use std::collections::BTreeMap;
 
-/// One kind in one phase.
+/// The runs of a kind in a phase.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize)]
 pub struct Cell {
     /// Runs with at least one injected event.
     pub runs: u64,
-    /// Runs in which nothing was injected: they count as not run.
+    /// Runs in which nothing was injected; they count as not run.
     pub without_event: u64,
-    /// Injected events.
+    /// How many faults were injected.
     pub injected: u64,
-    /// Requests sent in that phase.
+    /// How many requests were sent in that phase.
     pub requests: u64,
-    /// Violations in these runs.
+    /// How many violations there were.
     pub violations: u64,
 }
 
-/// A run that broke something.
+/// A run with violations.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
-pub struct Broken {
+pub struct FailedRun {
     /// Its seed.
     pub seed: u64,
     /// Its kinds.
     pub kinds: Vec<&'static str>,
     /// Its phases.
     pub phases: Vec<Phase>,
-    /// What was broken.
+    /// Its violations.
     pub violations: Vec<String>,
 }
 
-/// The whole of it.
+/// The report.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize)]
 pub struct Report {
-    /// All runs.
+    /// How many runs there were.
     pub runs: u64,
-    /// All requests.
+    /// How many requests were sent.
     pub requests: u64,
-    /// Those that got a host's answer.
+    /// How many of them were served.
     pub served: u64,
-    /// Those that were refused.
-    pub refused: u64,
-    /// Those that failed.
+    /// How many were rejected.
+    #[serde(rename = "refused")]
+    pub rejected: u64,
+    /// How many failed.
     pub failed: u64,
-    /// All violations.
+    /// How many violations there were.
     pub violations: u64,
-    /// Kinds alone, by name and phase.
+    /// Runs of a kind alone in a phase, by name and phase.
     pub alone: BTreeMap<&'static str, BTreeMap<Phase, Cell>>,
-    /// Kinds in mixed runs, by name.
+    /// Mixed runs, by name of the kind.
     pub mixed: BTreeMap<&'static str, Cell>,
-    /// The runs that broke something.
-    pub broken: Vec<Broken>,
-    /// The most that the rig itself lagged, in ms.
-    pub rig_lag_ms: u64,
+    /// The runs with violations.
+    #[serde(rename = "broken")]
+    pub failed_runs: Vec<FailedRun>,
+    /// The largest delay of this process's own timers, in ms.
+    #[serde(rename = "rig_lag_ms")]
+    pub harness_lag_ms: u64,
 }
 
 impl Report {
-    /// Takes in a run.
+    /// Adds a run.
     pub fn add(&mut self, plan: &Plan, outcome: &Outcome) {
         let violations = outcome.violations.len() as u64;
         self.runs += 1;
         self.requests += outcome.requests.values().sum::<u64>();
         self.served += outcome.counts.served as u64;
-        self.refused += outcome.counts.refused as u64;
+        self.rejected += outcome.counts.rejected as u64;
         self.failed += outcome.counts.failed as u64;
         self.violations += violations;
-        self.rig_lag_ms = self.rig_lag_ms.max(outcome.rig_lag_ms);
+        self.harness_lag_ms = self.harness_lag_ms.max(outcome.harness_lag_ms);
         let alone = plan.kinds.len() == 1 && plan.phases.len() == 1;
         for kind in &plan.kinds {
             let injected = outcome.injected.get(kind.name).copied().unwrap_or(0);
-            let asked = plan.phases.iter().filter_map(|phase| outcome.requests.get(phase)).sum::<u64>();
+            let sent = plan.phases.iter().filter_map(|phase| outcome.requests.get(phase)).sum::<u64>();
             let cell = if alone {
                 self.alone.entry(kind.name).or_default().entry(plan.phases[0]).or_default()
             } else {
                 self.mixed.entry(kind.name).or_default()
             };
             cell.injected += injected;
-            cell.requests += asked;
+            cell.requests += sent;
             cell.violations += violations;
             if injected > 0 || kind.name == "none" {
                 cell.runs += 1;
@@ -87,7 +91,7 @@
             }
         }
         if violations > 0 {
-            self.broken.push(Broken {
+            self.failed_runs.push(FailedRun {
                 seed: plan.seed,
                 kinds: plan.kinds.iter().map(|kind| kind.name).collect(),
                 phases: plan.phases.clone(),
@@ -101,7 +105,7 @@
         let mut text = String::from(
             "| kind | start | service | reload | shutdown | mixed |\n| --- | --- | --- | --- | --- | --- |\n",
         );
-        let words = |cell: Option<&Cell>| match cell {
+        let cell_text = |cell: Option<&Cell>| match cell {
             Some(cell) if cell.runs > 0 => {
                 format!("{} / {} / {} / {}", cell.runs, cell.injected, cell.requests, cell.violations)
             }
@@ -109,8 +113,8 @@
         };
         for kind in faults::ALL {
             let phases = self.alone.get(kind.name);
-            let cells = Phase::ALL.map(|phase| words(phases.and_then(|phases| phases.get(&phase))));
-            let mixed = words(self.mixed.get(kind.name));
+            let cells = Phase::ALL.map(|phase| cell_text(phases.and_then(|phases| phases.get(&phase))));
+            let mixed = cell_text(self.mixed.get(kind.name));
             text += &format!("| `{}` | {} | {mixed} |\n", kind.name, cells.join(" | "));
         }
         text
--- a/fault-tests/tests/links.rs
+++ b/fault-tests/tests/links.rs
@@ -1,7 +1,9 @@
 //! Each fault of a link does what it says, in its own direction only.
 use std::net::SocketAddr;
 use std::time::Duration;
-use ternstack_fault_tests::links::{Datagrams, Door, Faults, Link, Then, Way};
+use ternstack_fault_tests::links::{
+    ConnectionHandling, CutAction, DirectionFaults, Link, LinkFaults, UdpLinkPair,
+};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream, UdpSocket};
 use tokio::time::timeout;
@@ -28,7 +30,7 @@
 
 /// What comes back of `text` through a link, until it ends or falls silent; and whether that was a reset.
 async fn through(link: &Link, text: &str) -> (String, &'static str) {
-    let Ok(mut stream) = TcpStream::connect(link.at).await else { return (String::new(), "refused") };
+    let Ok(mut stream) = TcpStream::connect(link.address).await else { return (String::new(), "refused") };
     // A write that fails shows as a reset at the next read.
     let _ = stream.write_all(text.as_bytes()).await;
     let mut got = Vec::new();
@@ -46,52 +48,60 @@
 #[tokio::test]
 async fn every_fault_of_a_link_does_what_it_says() {
     let link = Link::to(echo().await).await.expect("a link");
-    let cut = |after, then| Way { cut_after: Some((after, then)), ..Way::default() };
-    let held = Way { held: true, ..Way::default() };
-    let there = |way| Faults { there: way, ..Faults::default() };
-    let back = |way| Faults { back: way, ..Faults::default() };
-    let door = |door| Faults { door, ..Faults::default() };
+    let cut = |after, then| DirectionFaults { cut_after: Some((after, then)), ..DirectionFaults::default() };
+    let stalled = DirectionFaults { stalled: true, ..DirectionFaults::default() };
+    let forward = |faults| LinkFaults { forward: faults, ..LinkFaults::default() };
+    let reverse = |faults| LinkFaults { reverse: faults, ..LinkFaults::default() };
+    let new = |connection_handling| LinkFaults { connection_handling, ..LinkFaults::default() };
     for (faults, got, end) in [
-        (Faults::default(), "message", "whole"),
-        (door(Door::Refused), "", "refused"),
-        (door(Door::Reset), "", "reset"),
-        (door(Door::BlackHole), "", "silent"),
-        (there(held), "", "silent"),
-        (back(held), "", "silent"),
-        (there(cut(3, Then::Silence)), "mes", "silent"),
-        (back(cut(3, Then::Silence)), "mes", "silent"),
-        (back(cut(3, Then::End)), "mes", "ended"),
-        (back(cut(3, Then::Reset)), "mes", "reset"),
-        (there(Way { delay_ms: 20, ..Way::default() }), "message", "whole"),
-        (back(Way { jitter_ms: 20, ..Way::default() }), "message", "whole"),
-        (back(Way { bytes_per_s: Some(200), ..Way::default() }), "message", "whole"),
-        (Faults::default(), "message", "whole"),
+        (LinkFaults::default(), "message", "whole"),
+        (new(ConnectionHandling::Refused), "", "refused"),
+        (new(ConnectionHandling::Reset), "", "reset"),
+        (new(ConnectionHandling::BlackHole), "", "silent"),
+        (forward(stalled), "", "silent"),
+        (reverse(stalled), "", "silent"),
+        (forward(cut(3, CutAction::Silence)), "mes", "silent"),
+        (reverse(cut(3, CutAction::Silence)), "mes", "silent"),
+        (reverse(cut(3, CutAction::End)), "mes", "ended"),
+        (reverse(cut(3, CutAction::Reset)), "mes", "reset"),
+        (forward(DirectionFaults { delay_ms: 20, ..DirectionFaults::default() }), "message", "whole"),
+        (reverse(DirectionFaults { jitter_ms: 20, ..DirectionFaults::default() }), "message", "whole"),
+        (
+            reverse(DirectionFaults { bytes_per_s: Some(200), ..DirectionFaults::default() }),
+            "message",
+            "whole",
+        ),
+        (LinkFaults::default(), "message", "whole"),
     ] {
-        link.struck();
+        link.take_hit_count();
         link.set(faults);
         // A link that listens again needs a moment for it.
         let mut seen = through(&link, "message").await;
-        while faults.door != Door::Refused && seen.1 == "refused"
-            || faults.door == Door::Refused && seen.1 != "refused"
+        while faults.connection_handling != ConnectionHandling::Refused && seen.1 == "refused"
+            || faults.connection_handling == ConnectionHandling::Refused && seen.1 != "refused"
         {
             tokio::time::sleep(Duration::from_millis(5)).await;
             seen = through(&link, "message").await;
         }
         assert_eq!((seen.0.as_str(), seen.1), (got, end), "{faults:?}");
-        let strikes = link.struck() > 0;
-        assert_eq!(strikes, faults != Faults::default() && faults.door != Door::Refused, "{faults:?}");
+        let was_hit = link.take_hit_count() > 0;
+        assert_eq!(
+            was_hit,
+            faults != LinkFaults::default() && faults.connection_handling != ConnectionHandling::Refused,
+            "{faults:?}"
+        );
     }
 }
 
 #[tokio::test]
 async fn what_was_held_goes_on_once_a_cut_heals_and_a_reset_ends_what_is_open() {
     let link = Link::to(echo().await).await.expect("a link");
-    let mut stream = TcpStream::connect(link.at).await.expect("it is up");
-    link.set(Faults::cut());
+    let mut stream = TcpStream::connect(link.address).await.expect("it is up");
+    link.set(LinkFaults::cut());
     stream.write_all(b"held").await.expect("written");
     let mut got = [0; 4];
     assert!(timeout(SHORT, stream.read_exact(&mut got)).await.is_err(), "it crossed a cut");
-    link.set(Faults::default());
+    link.set(LinkFaults::default());
     timeout(LONG, stream.read_exact(&mut got)).await.expect("in time").expect("it comes");
     assert_eq!(&got, b"held");
     link.reset();
@@ -103,16 +113,16 @@
     let bind = || UdpSocket::bind("127.0.0.1:0");
     let (first, second) = (bind().await.expect("a socket"), bind().await.expect("a socket"));
     let at = |s: &UdpSocket| s.local_addr().expect("an address");
-    let pair = Datagrams::between(at(&first), at(&second), 7).await.expect("links");
-    let way = Way::default();
-    for (there, expected) in [
-        (way, vec!["1", "2", "3"]),
-        (Way { loss: 1.0, ..way }, vec![]),
-        (Way { held: true, ..way }, vec![]),
-        (Way { repeat: 1.0, ..way }, vec!["1", "1", "2", "2", "3", "3"]),
-        (Way { reorder: 1.0, ..way }, vec!["2", "1"]),
+    let pair = UdpLinkPair::between(at(&first), at(&second), 7).await.expect("links");
+    let none = DirectionFaults::default();
+    for (forward, expected) in [
+        (none, vec!["1", "2", "3"]),
+        (DirectionFaults { loss_ratio: 1.0, ..none }, vec![]),
+        (DirectionFaults { stalled: true, ..none }, vec![]),
+        (DirectionFaults { duplicate_ratio: 1.0, ..none }, vec!["1", "1", "2", "2", "3", "3"]),
+        (DirectionFaults { reorder_ratio: 1.0, ..none }, vec!["2", "1"]),
     ] {
-        pair.set(there, Way::default());
+        pair.set(forward, DirectionFaults::default());
         for text in ["1", "2", "3"] {
             first.send_to(text.as_bytes(), pair.first_sends_to).await.expect("sent");
             tokio::time::sleep(Duration::from_millis(20)).await;
@@ -123,7 +133,7 @@
             assert_eq!(from, pair.second_sends_to, "the peer is seen at another address than was told");
             got.push(String::from_utf8_lossy(&datagram[..len]).into_owned());
         }
-        assert_eq!(got, expected, "{there:?}");
+        assert_eq!(got, expected, "{forward:?}");
         // The other direction is sound all the while.
         second.send_to(b"back", pair.second_sends_to).await.expect("sent");
         let (len, from) =
--- a/fault-tests/tests/processes.rs
+++ b/fault-tests/tests/processes.rs
@@ -2,51 +2,52 @@
 use std::path::PathBuf;
 use std::process::{Command, Stdio};
 use std::time::Duration;
+use ternstack_fault_tests::fault_schedule::{self, Schedule};
 use ternstack_fault_tests::matrix;
-use ternstack_fault_tests::nemesis::{self, Schedule};
 use ternstack_fault_tests::process::Launch;
-use ternstack_fault_tests::site::{Site, Size};
+use ternstack_fault_tests::site::{Site, SiteConfig};
 
-const RIG: &str = env!("CARGO_BIN_EXE_ternstack-fault-tests");
+const PROGRAM: &str = env!("CARGO_BIN_EXE_ternstack-fault-tests");
 
 fn launch() -> Launch {
-    Launch { program: PathBuf::from(RIG), args: vec!["gateway".into()], variables: vec![] }
+    Launch { program: PathBuf::from(PROGRAM), args: vec!["gateway".into()], variables: vec![] }
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
-async fn every_line_of_the_fault_matrix_keeps_all_promises() {
-    let rows = matrix::play_all(&launch(), false, 4).await.expect("a rig");
-    assert!(rows.len() >= 80, "{} lines", rows.len());
-    let bad: Vec<_> = rows.into_iter().filter(|row| !row.kept()).collect();
+async fn every_case_of_the_fault_matrix_passes() {
+    let results = matrix::play_all(&launch(), false, 4).await.expect("a site");
+    assert!(results.len() >= 80, "{} cases", results.len());
+    let bad: Vec<_> = results.into_iter().filter(|result| !result.passed()).collect();
     assert!(bad.is_empty(), "{}\n{bad:#?}", matrix::table(&bad));
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
-async fn drawn_schedules_break_no_promise() {
+async fn drawn_schedules_violate_no_invariant() {
     for seed in [11, 12] {
         let schedule = Schedule::draw(seed, 5, 4, 6000, 20);
         assert!(schedule.steps.len() >= 4, "{schedule:?}");
-        let size = Size { gateways: 5, hosts: 4, ..Size::default() };
-        let mut site = Site::start(&launch(), size).await.expect("a rig");
-        let played = nemesis::play(&mut site, &schedule).await.expect("played");
+        let config = SiteConfig { gateways: 5, hosts: 4, ..SiteConfig::default() };
+        let mut site = Site::start(&launch(), config).await.expect("a site");
+        let outcome = fault_schedule::play(&mut site, &schedule).await.expect("played");
         assert!(
-            played.offences.is_empty(),
+            outcome.violations.is_empty(),
             "seed {seed}: {:#?}\n{}",
-            played.offences,
+            outcome.violations,
             schedule.print().expect("text")
         );
-        assert_eq!(played.back, 5, "seed {seed}");
-        assert!(played.served > played.messages / 3, "seed {seed}: {played:?}");
+        assert_eq!(outcome.recovered, 5, "seed {seed}");
+        assert!(outcome.served > outcome.requests / 3, "seed {seed}: {outcome:?}");
     }
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
-async fn the_demo_keeps_every_promise() {
-    assert_eq!(ternstack_fault_tests::demo::play(&launch(), Duration::from_secs(10)).await, Ok(true));
+async fn the_demo_violates_no_invariant() {
+    let kept = ternstack_fault_tests::demo::play(&launch(), Duration::from_secs(10)).await;
+    assert!(matches!(kept, Ok(true)), "{kept:?}");
 }
 
 #[test]
-fn a_schedule_is_printed_and_read_and_a_bad_one_names_its_key() {
+fn a_schedule_is_printed_and_read_and_an_invalid_one_names_its_key() {
     for seed in 0..200 {
         let schedule = Schedule::draw(seed, 12, 6, 10_000, 40);
         let read = Schedule::read(&schedule.print().expect("text")).expect("sound");
@@ -67,14 +68,14 @@
         (good.to_string() + &step(0, "{ melt = { gateway = 1 } }"), "melt"),
     ] {
         let problem = Schedule::read(&text).expect_err(expected);
-        assert!(problem.contains(expected), "{problem}");
+        assert!(problem.to_string().contains(expected), "{problem}");
     }
 }
 
 #[test]
-fn a_rig_that_is_killed_leaves_no_process_behind() {
+fn no_process_is_left_behind_when_the_program_is_killed() {
     let folder = tempfile::tempdir().expect("a folder");
-    let mut rig = Command::new(RIG)
+    let mut program = Command::new(PROGRAM)
         .args(["nemesis", "--gateways", "3", "--seconds", "60"])
         .env("TMPDIR", folder.path())
         .stdout(Stdio::null())
@@ -82,8 +83,9 @@
         .expect("it runs");
     let children = || {
         let list =
-            std::fs::read_to_string(format!("/proc/{0}/task/{0}/children", rig.id())).unwrap_or_default();
-        let threads = std::fs::read_dir(format!("/proc/{}/task", rig.id())).into_iter().flatten().flatten();
+            std::fs::read_to_string(format!("/proc/{0}/task/{0}/children", program.id())).unwrap_or_default();
+        let threads =
+            std::fs::read_dir(format!("/proc/{}/task", program.id())).into_iter().flatten().flatten();
         let all = threads
             .filter_map(|t| std::fs::read_to_string(t.path().join("children")).ok())
             .collect::<String>();
@@ -94,8 +96,8 @@
         std::thread::sleep(Duration::from_millis(20));
         born = children();
     }
-    rig.kill().expect("killed");
-    rig.wait().expect("its end");
+    program.kill().expect("killed");
+    program.wait().expect("its end");
     let lives = |pid: &String| {
         let status = std::fs::read_to_string(format!("/proc/{pid}/status")).unwrap_or_default();
         status.contains("State:") && !status.contains("State:\tZ")
--- a/fault-tests/tests/schedules.rs
+++ b/fault-tests/tests/schedules.rs
@@ -1,7 +1,7 @@
 //! Schedules of faults keep their values and their form: drawn ones by digest, and a stored one with every key.
 
 use std::fmt::Write as _;
-use ternstack_fault_tests::nemesis::Schedule;
+use ternstack_fault_tests::fault_schedule::Schedule;
 
 const DIGESTS: &str = include_str!("fixtures/schedules.txt");
 const EVERY_KEY: &str = include_str!("fixtures/every-key.toml");
--- a/fleet-simulator/src/capacity/load.rs
+++ b/fleet-simulator/src/capacity/load.rs
@@ -3,8 +3,9 @@
 use super::gateway::{config, host, Discovery, Gateway};
 use serde_json::json;
 use std::time::Duration;
-use ternstack_fault_tests::history::Book;
-use ternstack_fault_tests::peers::{Client, Host, Message};
+use ternstack_fault_tests::client::{Client, Request};
+use ternstack_fault_tests::history::HistoryRecorder;
+use ternstack_fault_tests::stub_servers::StubHost;
 use tokio::time::{interval, Instant, MissedTickBehavior};
 
 /// A load.
@@ -48,13 +49,15 @@
 pub fn play(load: &Load) -> Result<Taken, String> {
     let runtime = tokio::runtime::Builder::new_multi_thread().worker_threads(2).enable_all().build();
     let runtime = runtime.map_err(|e| e.to_string())?;
-    let book = Book::default();
+    let recorder = HistoryRecorder::default();
     let mut servers = Vec::new();
     for number in 0..load.hosts {
-        let server = runtime.block_on(Host::start(number, 1, load.work, &book)).map_err(|e| e.to_string())?;
+        let server =
+            runtime.block_on(StubHost::start(number, 1, load.work, &recorder)).map_err(|e| e.to_string())?;
         servers.push(server);
     }
-    let targets: Vec<_> = servers.iter().enumerate().map(|(n, s)| host(n, s.at[0], "SERVING")).collect();
+    let targets: Vec<_> =
+        servers.iter().enumerate().map(|(n, s)| host(n, s.addresses[0], "SERVING")).collect();
     let list = json!({"rev": 1, "all": true, "targets": targets});
     let discovery = Discovery::start(&list)?;
     let mut configured = config(load.instances, 1, discovery.at, list);
@@ -62,12 +65,12 @@
     let gateway = Gateway::start(&configured)?;
     // What it costs by itself, and a first second in which connections come up.
     let warm = Load { length: Duration::from_secs(1), ..*load };
-    runtime.block_on(ask(&warm, &gateway, &servers, &book))?;
+    runtime.block_on(ask(&warm, &gateway, &servers, &recorder))?;
     let idle_from = gateway.settled_cpu_us()?;
     std::thread::sleep(Duration::from_secs(1));
     let idle = gateway.cpu_us()? - idle_from;
     let from = gateway.cpu_us()?;
-    let asked = runtime.block_on(ask(load, &gateway, &servers, &book))?;
+    let asked = runtime.block_on(ask(load, &gateway, &servers, &recorder))?;
     let spent = gateway.cpu_us()? - from - idle * load.length.as_secs_f64();
     let (through, direct) = (asked.through, asked.direct);
     let added = |part: f64| quantile(&through, part) - quantile(&direct, part);
@@ -94,14 +97,16 @@
     sockets: f64,
 }
 
-async fn ask(load: &Load, gateway: &Gateway, servers: &[Host], book: &Book) -> Result<Asked, String> {
+async fn ask(
+    load: &Load, gateway: &Gateway, servers: &[StubHost], recorder: &HistoryRecorder,
+) -> Result<Asked, String> {
     let each = Duration::from_secs_f64(CLIENTS as f64 / load.per_s);
     let count = (load.length.as_secs_f64() / each.as_secs_f64()) as usize;
     let mut tasks = Vec::new();
     for client in 0..CLIENTS {
-        let mut through = Client::new(0, gateway.at, book);
-        let at = servers[client % servers.len()].at[0];
-        let mut direct = Client::new(1, at, book);
+        let mut through = Client::new(0, gateway.at, recorder);
+        let at = servers[client % servers.len()].addresses[0];
+        let mut direct = Client::new(1, at, recorder);
         // Clients begin one after another, and not at once.
         let begin = Instant::now() + each.mul_f64(client as f64 / CLIENTS as f64);
         tasks.push(tokio::spawn(async move {
@@ -111,11 +116,11 @@
             for n in 0..count {
                 ticks.tick().await;
                 let id = format!("{client:08x}{n:08x}");
-                let message = Message { id, class: "look", patience: Duration::from_secs(1) };
+                let message = Request { id, class: "look", client_timeout: Duration::from_secs(1) };
                 for (client, times) in [(&mut direct, &mut asked.direct), (&mut through, &mut asked.through)]
                 {
                     let from = Instant::now();
-                    let status = client.ask(&message).await;
+                    let status = client.send(&message).await;
                     times.push(from.elapsed().as_secs_f64() * 1000.0);
                     asked.failed += u64::from(status != Some(200));
                 }
@@ -125,12 +130,12 @@
     }
     // The history is of no use here; it is thrown away lest it grow.
     let cleaning = {
-        let book = book.clone();
+        let recorder = recorder.clone();
         tokio::spawn(async move {
             let mut often = interval(Duration::from_millis(500));
             loop {
                 often.tick().await;
-                drop(book.take());
+                drop(recorder.take());
             }
         })
     };
--- a/fleet-simulator/src/main.rs
+++ b/fleet-simulator/src/main.rs
@@ -4,7 +4,7 @@
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
 use std::time::Duration;
-use ternstack_fault_tests::process::{be_a_gateway, Launch};
+use ternstack_fault_tests::process::{run_gateway, Launch};
 use ternstack_fleet_simulator::drive::Focus;
 use ternstack_fleet_simulator::experiment::{Experiment, Results, Spent};
 use ternstack_fleet_simulator::judge::Findings;
@@ -120,10 +120,12 @@
 
 /// Shows real processes of the gateway through a burst, lost hosts, a kill and a cut.
 fn demo(seconds: u64) -> Result<ExitCode, String> {
-    let launch = Launch::myself().map_err(|e| e.to_string())?;
+    let launch = Launch::current_program().map_err(|e| e.to_string())?;
     let runtime =
         tokio::runtime::Builder::new_multi_thread().enable_all().build().map_err(|e| e.to_string())?;
-    let kept = runtime.block_on(ternstack_fault_tests::demo::play(&launch, Duration::from_secs(seconds)))?;
+    let kept = runtime
+        .block_on(ternstack_fault_tests::demo::play(&launch, Duration::from_secs(seconds)))
+        .map_err(|e| e.to_string())?;
     Ok(if kept { ExitCode::SUCCESS } else { ExitCode::FAILURE })
 }
 
@@ -131,7 +133,7 @@
 fn scale(options: &ternstack_scale_tests::options::Options) -> Result<ExitCode, String> {
     let program = std::env::current_exe().map_err(|e| e.to_string())?;
     let part = Launch { program, args: vec!["part".into()], variables: Vec::new() };
-    let gateway = Some(Launch::myself().map_err(|e| e.to_string())?);
+    let gateway = Some(Launch::current_program().map_err(|e| e.to_string())?);
     let kept = ternstack_scale_tests::command::command(options, &Launches { part, gateway })?;
     Ok(if kept { ExitCode::SUCCESS } else { ExitCode::FAILURE })
 }
@@ -150,7 +152,7 @@
     let cli = Cli::parse();
     // It has a log of its own.
     if matches!(cli.command, Command::Gateway { .. }) {
-        return be_a_gateway();
+        return run_gateway();
     }
     if matches!(cli.command, Command::Part) {
         return ternstack_scale_tests::hollow::be_a_part();
--- a/replication/tests/common/judge.rs
+++ b/replication/tests/common/judge.rs
@@ -1,7 +1,7 @@
 //! The leader's second step, and what is to be seen of the fleet.
 use super::*;
-use ternstack_fault_tests::checkers::{check, Promise, Terms as Promised};
-use ternstack_fault_tests::history::What;
+use ternstack_fault_tests::history::EventKind;
+use ternstack_fault_tests::invariants::{check, Guarantees, Invariant};
 use ternstack_replication::follower::ScopeMode;
 use ternstack_replication::primary::PrimaryEvent;
 use ternstack_replication::storage::Storage;
@@ -74,8 +74,8 @@
             let gone = before.keys().filter(|about| !g.shown.contains_key(*about)).map(|about| (about, None));
             let new = g.shown.iter().filter(|(about, rule)| before.get(*about) != Some(rule));
             for (about, rule) in gone.chain(new.map(|(about, rule)| (about, Some(rule.clone())))) {
-                let what = What::Acts { gateway: n, about: about.clone(), rule };
-                self.history.push(Event { at_us, what });
+                let kind = EventKind::RuleApplied { gateway: n, subject: about.clone(), rule };
+                self.history.push(Event { at_us, kind });
             }
         }
         let counted = self.gateways.iter().enumerate().filter(|(n, _)| !self.setup.excused.contains(n));
@@ -117,20 +117,20 @@
 
     /// What the checker finds, and for how long members acted on different versions, in ms.
     pub fn judge(&self) -> (usize, u64) {
-        let promised = Promised {
+        let guarantees = Guarantees {
             classes: vec![],
             max_attempts: 1,
-            slack_ms: 0,
-            grace_ms: 0,
-            leave_ms: None,
-            told_slack_ms: None,
-            cold: None,
+            response_slack_ms: 0,
+            drain_grace_ms: 0,
+            disconnect_slack_ms: None,
+            deadline_slack_ms: None,
+            slow_start: None,
             contradiction_ms: self.setup.terms.max_conflict_ms().ceil() as u64,
-            most_out: self.setup.members,
-            limits: vec![],
+            max_unavailable_count: self.setup.members,
+            rate_limits: vec![],
         };
-        let broken = check(&self.history, &promised);
-        assert!(broken.iter().all(|o| o.promise == Promise::Agreement));
+        let broken = check(&self.history, &guarantees);
+        assert!(broken.iter().all(|o| o.invariant == Invariant::Agreement));
         (broken.len(), longest(&self.history))
     }
 
@@ -169,7 +169,7 @@
 fn longest(history: &[Event]) -> u64 {
     let (mut acts, mut since, mut longest) = (BTreeMap::new(), None, 0);
     for event in history {
-        let What::Acts { gateway, rule, about } = &event.what else { continue };
+        let EventKind::RuleApplied { gateway, rule, subject: about } = &event.kind else { continue };
         if about != "the version" {
             continue;
         }
--- a/scale-tests/src/fleet.rs
+++ b/scale-tests/src/fleet.rs
@@ -11,7 +11,7 @@
 use std::time::Duration;
 use tempfile::TempDir;
 use ternstack_control_plane::beside::save;
-use ternstack_fault_tests::links::{Faults, Link};
+use ternstack_fault_tests::links::{Link, LinkFaults};
 use ternstack_fault_tests::process::Launch;
 use ternstack_replication::placement;
 use ternstack_replication::scope::{Digest, Key, Revision, Scope};
@@ -96,7 +96,7 @@
     }
 
     async fn start_distributor(&self, number: usize, listen: SocketAddr) -> Result<Part, String> {
-        let (name, origin) = (distributor(number), self.to_origin[number].at);
+        let (name, origin) = (distributor(number), self.to_origin[number].address);
         let role = Role::Distributor { name: name.clone(), listen, origin };
         Part::start(&self.launch, &name, &Spec { common: self.common.clone(), role }).await
     }
@@ -140,7 +140,7 @@
         // The first hollow's own list: the same names and zones, behind links.
         let (mut machines, order) = self.machines_for(world, 0);
         for (place, link) in order.iter().zip(&self.single) {
-            machines[*place].at = link.at;
+            machines[*place].at = link.address;
         }
         lists.push(machines);
         let snapshot = match plan.everything {
@@ -268,7 +268,7 @@
     }
 
     /// Sets the links of distributors to the origin.
-    pub fn set_to_origin(&self, which: impl Fn(usize) -> bool, faults: Faults) {
+    pub fn set_to_origin(&self, which: impl Fn(usize) -> bool, faults: LinkFaults) {
         self.to_origin.iter().enumerate().filter(|(n, _)| which(*n)).for_each(|(_, link)| link.set(faults));
     }
 
--- a/scale-tests/src/hollow.rs
+++ b/scale-tests/src/hollow.rs
@@ -35,7 +35,7 @@
 
 /// A process of a fleet, as a child of a run: it ends with its parent, and when its standard input does.
 pub fn be_a_part() -> ExitCode {
-    let worked = if ternstack_fault_tests::process::end_with_parent() {
+    let worked = if ternstack_fault_tests::process::exit_with_parent() {
         work()
     } else {
         Err("the run that started this process is gone".into())
--- a/scale-tests/src/real.rs
+++ b/scale-tests/src/real.rs
@@ -11,10 +11,10 @@
 use std::net::{SocketAddr, SocketAddrV4};
 use std::time::Duration;
 use tempfile::TempDir;
-use ternstack_fault_tests::history::What;
-use ternstack_fault_tests::peers::Client;
+use ternstack_fault_tests::client::Client;
+use ternstack_fault_tests::history::EventKind;
 use ternstack_fault_tests::process::Launch;
-use ternstack_fault_tests::site::{Site, Size};
+use ternstack_fault_tests::site::{Site, SiteConfig};
 use ternstack_replication::scope::{Change, Entry, Host, Key, Scope};
 use tokio::time::{sleep, sleep_until, Instant};
 
@@ -89,11 +89,11 @@
         let service = plan.size.services as u32;
         let text = operators_file(fleet, plan, world, service);
         std::fs::write(&file, text).map_err(|e| format!("{}: {e}", file.display()))?;
-        let size = Size { gateways: 1, hosts: SERVERS, work: WORK, ..Size::default() };
+        let size = SiteConfig { gateways: 1, hosts: SERVERS, service_time: WORK, ..SiteConfig::default() };
         let mut follows = gateway.clone();
         follows.args.extend(["--operator".into(), file.into()]);
-        let off = Site::start(gateway, size).await?;
-        let on = Site::start(&follows, size).await?;
+        let off = Site::start(gateway, size).await.map_err(|e| e.to_string())?;
+        let on = Site::start(&follows, size).await.map_err(|e| e.to_string())?;
         let pair = Pair { off, on, service, _folder: folder };
         let changes = (0..SERVERS).map(|n| pair.server(n, false, 1000)).collect::<Result<_, _>>()?;
         staff.propose(changes).await?;
@@ -105,7 +105,7 @@
 
     /// A server of the gateway that follows, as it is agreed on.
     fn server(&self, number: usize, drains: bool, weight_milli: u32) -> Result<Change, String> {
-        let at: SocketAddr = self.on.to_hosts[0][number].at;
+        let at: SocketAddr = self.on.to_hosts[0][number].address;
         let SocketAddr::V4(address) = at else { return Err(format!("{at}: expected IPv4")) };
         Ok(self.entry(number, address, drains, weight_milli))
     }
@@ -123,9 +123,9 @@
         let end = Instant::now() + length;
         let load = |site: &Site| {
             let talks = (0..CLIENTS).map(|n| {
-                let mut client = Client::new(0, site.gateways[0].at, &site.book);
+                let mut client = Client::new(0, site.gateways[0].address, &site.recorder);
                 let count = (length.as_secs_f64() * REQUESTS_PER_S / CLIENTS as f64) as usize + 1;
-                let letters: Vec<_> = (0..count).map(|_| site.message("look")).collect();
+                let letters: Vec<_> = (0..count).map(|_| site.request("look")).collect();
                 let pace = Duration::from_secs_f64(CLIENTS as f64 / REQUESTS_PER_S);
                 let first = Instant::now() + pace.mul_f64(n as f64 / CLIENTS as f64);
                 tokio::spawn(async move {
@@ -138,7 +138,7 @@
                         sleep_until(at).await;
                         let begin = now_us();
                         asked += 1;
-                        if client.ask(letter).await == Some(200) {
+                        if client.send(letter).await == Some(200) {
                             times.record(now_us().saturating_sub(begin));
                         }
                     }
@@ -175,16 +175,16 @@
     /// Tells one server to drain; requests that arrive there once the bound is over, and those at all servers meanwhile.
     pub async fn drain(&self, staff: &mut Proposer, within: Duration) -> Result<(u64, u64), String> {
         let arrived = |events: Vec<ternstack_fault_tests::history::Event>| {
-            let hosts = events.into_iter().filter_map(|e| match e.what {
-                What::Arrived { host, .. } => Some(host),
+            let hosts = events.into_iter().filter_map(|e| match e.kind {
+                EventKind::RequestReceived { host, .. } => Some(host),
                 _ => None,
             });
             hosts.fold((0, 0), |(there, all), host| (there + u64::from(host == 0), all + 1))
         };
         staff.propose(vec![self.server(0, true, 1000)?]).await?;
         self.phase("drain", within, None).await?;
-        drop(self.on.take());
+        drop(self.on.take_history());
         self.phase("drained", LOOKED, None).await?;
-        Ok(arrived(self.on.take()))
+        Ok(arrived(self.on.take_history()))
     }
 }
--- a/scale-tests/src/run.rs
+++ b/scale-tests/src/run.rs
@@ -13,7 +13,7 @@
 use rustix::process::Signal;
 use serde::Serialize;
 use std::time::Duration;
-use ternstack_fault_tests::links::{Faults, Way};
+use ternstack_fault_tests::links::{DirectionFaults, LinkFaults};
 use ternstack_fault_tests::process::Launch;
 use ternstack_replication::scope::{Change, Entry, Key, Revision, Scope};
 use tokio::time::{sleep, sleep_until, Instant};
@@ -300,9 +300,9 @@
     }
 
     async fn begin_fault(&mut self, fault: Fault) -> Result<(), String> {
-        let held = Way { held: true, ..Way::default() };
-        let there = Faults { there: held, ..Faults::default() };
-        let back = Faults { back: held, ..Faults::default() };
+        let held = DirectionFaults { stalled: true, ..DirectionFaults::default() };
+        let there = LinkFaults { forward: held, ..LinkFaults::default() };
+        let back = LinkFaults { reverse: held, ..LinkFaults::default() };
         let last = self.fleet.distributors.len() - 1;
         match fault {
             Fault::Kill => self.fleet.distributors[last].kill().await?,
@@ -313,15 +313,15 @@
             Fault::DistributorCutBack => self.fleet.set_to_origin(|n| n == last, back),
             Fault::Region => {
                 let world = self.world;
-                self.fleet.set_to_origin(|n| world.region_of(world.zone_of(n)) == 0, Faults::cut());
+                self.fleet.set_to_origin(|n| world.region_of(world.zone_of(n)) == 0, LinkFaults::cut());
             }
             Fault::ZoneLost => self.zone(false).await?,
             Fault::RestartTenth => self.restart(10, false).await?,
             Fault::RestartTenthKept => self.restart(10, true).await?,
             Fault::RestartAll => self.restart(1, false).await?,
             Fault::SlowReader => {
-                let slow = Way { bytes_per_s: Some(500), ..Way::default() };
-                let faults = Faults { back: slow, ..Faults::default() };
+                let slow = DirectionFaults { bytes_per_s: Some(500), ..DirectionFaults::default() };
+                let faults = LinkFaults { reverse: slow, ..LinkFaults::default() };
                 self.fleet.single.iter().for_each(|link| link.set(faults));
             }
             Fault::Burst => {}
@@ -336,8 +336,8 @@
             Fault::Stop => self.fleet.distributors[last].signal(Signal::CONT)?,
             Fault::ZoneLost => self.zone(true).await?,
             _ => {
-                self.fleet.single.iter().for_each(|link| link.set(Faults::default()));
-                self.fleet.set_to_origin(|_| true, Faults::default());
+                self.fleet.single.iter().for_each(|link| link.set(LinkFaults::default()));
+                self.fleet.set_to_origin(|_| true, LinkFaults::default());
             }
         }
         Ok(())
