--- a/balancer/src/event.rs
+++ b/balancer/src/event.rs
@@ -32,7 +32,7 @@
     pub weight: f64,
     /// Whether it takes requests.
     pub readiness: Readiness,
-    /// When its process last started, in ms; 0 for long ago.
+    /// When its process last started, in ms; 0 (or less) for long ago.
     pub started_at_ms: f64,
 }
 
@@ -54,15 +54,17 @@
 pub enum Outcome {
     /// Served.
     Served,
-    /// The endpoint responded with an error.
+    /// The endpoint responded with any status but 200, other than a rejection; or its response was
+    /// malformed or stopped arriving before it was complete.
     ServerError,
     /// The endpoint rejected it without running it.
     Rejected,
     /// No response in time.
     ResponseTimeout,
-    /// No connection in time.
+    /// No connection in time, or the connection broke before the request was sent completely, so that it
+    /// never ran.
     ConnectFailed,
-    /// The connection broke.
+    /// The connection broke after the request had been sent completely.
     ConnectionLost,
     /// The gateway cancelled it.
     Cancelled,
@@ -80,7 +82,7 @@
 /// An endpoint's load report; absent values were not reported.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct LoadReport {
-    /// Part of its CPU that is busy, from 0 to 1.
+    /// Fraction of its CPU that is busy, from 0 to 1.
     pub utilization: Option<f64>,
     /// Requests served a second.
     pub throughput_per_s: Option<f64>,
@@ -132,7 +134,8 @@
     },
     /// A request has arrived.
     Request(Arrival),
-    /// The response of a streamed class has begun: the attempt now belongs to the client.
+    /// The response of a streamed class has begun: the attempt now belongs to the client. No rule needs it:
+    /// it is there because the simulator's protocol has it.
     ResponseStarted {
         /// The request.
         request: RequestId,
@@ -155,7 +158,8 @@
     },
     /// A timer is due.
     Timer {
-        /// As given with [`Action::Timer`](crate::Action::Timer).
+        /// As given with [`Action::Timer`](crate::Action::Timer); not read, since the balancer has one
+        /// timer.
         token: u64,
     },
 }
--- a/balancer/src/health_checks.rs
+++ b/balancer/src/health_checks.rs
@@ -1,16 +1,17 @@
 //! Active health checks, which bring load reports where responses carry none.
 //!
-//! Rule: each endpoint in use is checked at a fixed interval, within a budget that requests fill.
+//! Rule: each endpoint in use is checked at a fixed interval, within a budget that requests fill. Only the
+//! load report of a health check counts: its outcome neither ejects nor readmits an endpoint.
 
 use crate::endpoint_set::EndpointSet;
 use crate::ids::EndpointId;
 use crate::settings::{LoadReportDelivery, Settings};
-use crate::token_budget::TokenBudget;
+use crate::token_budget::{TokenBudget, TokenRate};
 
 /// Interval of health checks to an endpoint.
 pub(crate) const HEALTH_CHECK_INTERVAL_MS: f64 = 1500.0;
 
-/// Health checks may be this part of the requests, so that many gateways' checks don't load endpoints.
+/// Health checks may be this fraction of the requests, so that many gateways' checks don't load endpoints.
 const HEALTH_CHECK_RATIO: f64 = 0.15;
 
 /// The most health checks that may be sent at once.
@@ -29,7 +30,10 @@
         let needed = settings.load_report_delivery == LoadReportDelivery::OnHealthCheck;
         HealthChecks {
             enabled: settings.health_checks_allowed && needed,
-            budget: TokenBudget::new(HEALTH_CHECK_RATIO, HEALTH_CHECK_BURST_COUNT),
+            budget: TokenBudget::new(TokenRate {
+                tokens_per_request: HEALTH_CHECK_RATIO,
+                burst_count: HEALTH_CHECK_BURST_COUNT,
+            }),
         }
     }
 
--- a/balancer/src/pick.rs
+++ b/balancer/src/pick.rs
@@ -13,27 +13,27 @@
 use crate::fleet::Fleet;
 use crate::ids::EndpointId;
 use crate::load::FULL_IN_FLIGHT_PER_CORE_COUNT;
-use crate::locality::LOCAL_SATURATION_LIMIT_RATIO;
 use crate::outlier_ejection::{Ejection, OutlierEjection};
 use crate::request::Request;
 use crate::retry;
 use crate::settings::RequestClass;
-use crate::zone::{BySide, ZoneSide};
+use crate::spillover::LOCAL_SATURATION_LIMIT_RATIO;
+use crate::zone::{PerZoneSide, ZoneSide};
 use oorandom::Rand64;
 
-/// An endpoint with attempts in flight is unresponsive after this many typical latencies of the slowest class
-/// without a response.
+/// An endpoint with attempts in flight is unresponsive after this many typical latencies of the slowest
+/// class without a response.
 const UNRESPONSIVE_LATENCIES: f64 = 3.0;
 
-/// The weight of an endpoint whose idle connections have closed counts this part: each request there would
-/// need a handshake.
+/// The weight of an endpoint whose idle connections have closed is multiplied by this: each request there
+/// would need a handshake.
 const CLOSED_CONNECTIONS_RATIO: f64 = 0.25;
 
 /// The weight of an endpoint that fails another class is multiplied by this for the classes that it serves,
 /// so that the endpoints that serve all classes keep capacity for that one.
 const FAILS_OTHER_CLASS_FACTOR: f64 = 4.0;
 
-/// Weights fall with this power of the part that does not fail.
+/// Weights fall with this power of the fraction that does not fail.
 const HEALTH_EXPONENT: i32 = 4;
 
 /// What the pick needs to know of a request and the fleet.
@@ -80,7 +80,7 @@
 }
 
 impl EndpointPick<'_> {
-    /// Picks an endpoint, or none where none can take the request. `spillover_ratio` is the part of the
+    /// Picks an endpoint, or none where none can take the request. `spillover_ratio` is the fraction of the
     /// requests that goes to other zones.
     pub fn pick(&self, spillover_ratio: f64, rng: &mut Rand64) -> Option<EndpointId> {
         let means = FleetMeans {
@@ -88,7 +88,8 @@
             failure_ratio: self.fleet.endpoints.mean_failure_ratio(),
             least_error_ratio: self.fleet.endpoints.least_error_ratio(self.request.class),
         };
-        let mut usable: BySide<Vec<WeightedEndpoint>> = BySide { local: Vec::new(), remote: Vec::new() };
+        let mut usable: PerZoneSide<Vec<WeightedEndpoint>> =
+            PerZoneSide { local: Vec::new(), remote: Vec::new() };
         let mut local_has_capacity = false;
         for &id in self.candidates().iter() {
             let Some(endpoint) = self.fleet.endpoints.get(id) else { continue };
@@ -111,7 +112,7 @@
     }
 
     /// The endpoints in use; all eligible ones where a retry has to stay within its deduplication scope.
-    fn candidates(&self) -> &BySide<Vec<EndpointId>> {
+    fn candidates(&self) -> &PerZoneSide<Vec<EndpointId>> {
         if retry::is_bound_to_scope(self.class, self.request) {
             self.fleet.endpoints.eligible()
         } else {
@@ -138,7 +139,7 @@
             self.now_ms,
             self.request.class,
             means.least_error_ratio,
-            self.fleet.objective_ms(),
+            self.fleet.objective_ms,
         );
         match exclusion {
             ClassExclusion::Included => {
@@ -169,10 +170,10 @@
 
     /// Whether an endpoint is responsive, below its limit, and not paused or left to other gateways.
     fn can_take_more(&self, endpoint: &Endpoint, limit_count: f64, saturation_ratio: f64) -> bool {
-        let silence_ms = self.now_ms - endpoint.unresponsive_since_ms;
+        let silence_ms = self.now_ms - endpoint.last_activity_at_ms;
         let is_unresponsive =
             endpoint.in_flight_count > 0 && silence_ms > UNRESPONSIVE_LATENCIES * self.slowest_class_ms;
-        // Each of many gateways would round a part of a request up to a whole one.
+        // Each of many gateways would round a fraction of a request up to a whole one.
         let rounding_ratio = (1.0 - self.fleet.traffic_share.visibility_ratio()) / limit_count;
         let is_full = saturation_ratio + rounding_ratio >= 1.0;
         let is_paused = self.now_ms < endpoint.next_send_at_ms;
@@ -193,8 +194,8 @@
             * class_factor
             * means.limits.capacities().weight_per_s(endpoint)
             * (1.0 - saturation_ratio)
-            * endpoint.concurrency.ratio();
-        let fleet_load = FULL_IN_FLIGHT_PER_CORE_COUNT * endpoint.load.fleet_load_ratio;
+            * endpoint.concurrency.factor();
+        let fleet_load = FULL_IN_FLIGHT_PER_CORE_COUNT * endpoint.load.fleet_load;
         capacity_weight * served_ratio.powi(HEALTH_EXPONENT) / (1.0 + fleet_load)
     }
 }
--- a/balancer/src/retry.rs
+++ b/balancer/src/retry.rs
@@ -1,26 +1,31 @@
 //! Which requests may be attempted again, where, and how many of them.
 //!
 //! Rule: a request of which an attempt may have run is retried only if its class is idempotent, or if it
-//! has an idempotency key and the retry goes, within the deduplication window, to an endpoint that drops
-//! the repeat. Attempts that provably never ran don't count. All retries together stay within a budget.
+//! has an idempotency key and the retry goes, within the deduplication window, to an endpoint that
+//! deduplicates it. Attempts that provably never ran don't count. All retries together stay within a
+//! budget.
+//!
+//! The gateway checks each attempt again, independently of the balancer, before it sends it: `permit.rs` in
+//! `gateway/src/`.
 
 use crate::request::Request;
 use crate::settings::{DeduplicationScope, Idempotency, RequestClass};
-use crate::token_budget::TokenBudget;
+use crate::token_budget::{TokenBudget, TokenRate};
 use crate::zone::Locality;
 
-/// Retries may be this part of the requests, plus a burst.
+/// Retries may be this fraction of the requests, plus a burst.
 const RETRY_RATIO: f64 = 0.15;
 
 /// The most retries that may be sent at once.
 const RETRY_BURST_COUNT: f64 = 10.0;
 
-/// A request is retried only if this part of its class's typical latency fits before it loses its value.
+/// A request is retried only if this fraction of its class's typical latency fits before it loses its
+/// value.
 const RETRY_LATENCY_RATIO: f64 = 0.5;
 
 /// The budget of retries.
 pub(crate) fn retry_budget() -> TokenBudget {
-    TokenBudget::new(RETRY_RATIO, RETRY_BURST_COUNT)
+    TokenBudget::new(TokenRate { tokens_per_request: RETRY_RATIO, burst_count: RETRY_BURST_COUNT })
 }
 
 /// Whether a retry sent now could be in time.
@@ -38,7 +43,7 @@
     }
 }
 
-/// Whether an endpoint there drops a repeat of the request, should it need to.
+/// Whether an endpoint there deduplicates a retry of the request, where that is needed.
 pub(crate) fn is_in_scope(class: &RequestClass, request: &Request, locality: Locality) -> bool {
     if class.idempotency != Idempotency::IdempotentWithKey {
         return true;
--- a/balancer/src/locality.rs
+++ b/balancer/src/spillover.rs
@@ -1,28 +1,28 @@
-//! Cross-zone spillover: which part of the requests goes to other zones.
+//! Cross-zone spillover: which fraction of the requests goes to other zones.
 //!
-//! Rule: requests stay in the own zone while an endpoint there has capacity, but for a part that is learnt
-//! from how much busier the own zone is than the others. A zone with more traffic than its endpoints can
-//! serve thus sends the excess to other zones.
+//! Rule: requests stay in the own zone while an endpoint there has capacity, but for a fraction that is
+//! learnt from how much busier the own zone is than the others. A zone with more traffic than its endpoints
+//! can serve thus sends the excess to other zones.
 
 use crate::endpoint_set::EndpointSet;
 use crate::fleet::Fleet;
 use crate::settings::Settings;
 use crate::zone::ZoneSide;
 
-/// The part that spills before the load of zones is known.
+/// The fraction that spills before the load of zones is known.
 const INITIAL_SPILLOVER_RATIO: f64 = 0.3;
 
-/// At most this part spills.
+/// At most this fraction spills.
 const MAX_SPILLOVER_RATIO: f64 = 0.9;
 
 /// An own zone busier by 1 than its target spills everything after this many shortest latency objectives.
 const LEARNING_TIME_OBJECTIVES: f64 = 3.75;
 
-/// The own zone is preferred while an endpoint there is filled less than this; other zones count as this busy
-/// until their load is known.
+/// The own zone is preferred while an endpoint there is filled less than this; other zones count as this
+/// busy until their load is known.
 pub(crate) const LOCAL_SATURATION_LIMIT_RATIO: f64 = 0.6;
 
-/// The part of the requests that goes to other zones.
+/// The fraction of the requests that goes to other zones.
 #[derive(Debug)]
 pub(crate) struct Spillover {
     cost_ratio: f64,
@@ -42,12 +42,12 @@
         }
     }
 
-    /// The part of the requests that goes to other zones, from 0 to 1.
+    /// The fraction of the requests that goes to other zones, from 0 to 1.
     pub fn ratio(&self) -> f64 {
         self.ratio
     }
 
-    /// Learns from how busy the zones are, the longer since the last update the more.
+    /// Learns from how busy the zones are, with a gain that grows with the time since the last update.
     pub fn learn(&mut self, now_ms: f64, fleet: &Fleet) {
         let Some(local_ratio) = busy_ratio(fleet, ZoneSide::Local) else { return };
         let remote_ratio = busy_ratio(fleet, ZoneSide::Remote).unwrap_or(LOCAL_SATURATION_LIMIT_RATIO);
@@ -62,7 +62,7 @@
 /// How busy the endpoints of a side are, by listed weights where these reflect load, else by reports.
 fn busy_ratio(fleet: &Fleet, side: ZoneSide) -> Option<f64> {
     let endpoints: &EndpointSet = &fleet.endpoints;
-    if fleet.weights_reflect_load() {
+    if fleet.weights_reflect_load {
         let eligible = endpoints.eligible().get(side);
         endpoints.mean_of(eligible.iter(), |endpoint| Some(endpoint.load.busy_ratio()))
     } else {
--- a/balancer/src/subset.rs
+++ b/balancer/src/subset.rs
@@ -1,8 +1,8 @@
 //! The subset: which of the eligible endpoints this gateway uses.
 //!
-//! Rule: a gateway uses so many endpoints, by its part of the traffic, that each endpoint has about
-//! [`GATEWAYS_PER_ENDPOINT_COUNT`] gateways, and up to three times as many in a small fleet. New ones come
-//! from a low-discrepancy sequence over all gateways, which uses endpoints evenly; surplus ones go at
+//! Rule: a gateway uses a number of endpoints, by its share of the traffic, with which each endpoint has
+//! about [`GATEWAYS_PER_ENDPOINT_COUNT`] gateways, and up to three times as many in a small fleet. New ones
+//! come from a low-discrepancy sequence over all gateways, which uses endpoints evenly; surplus ones go at
 //! random.
 
 use crate::endpoint_set::EndpointSet;
@@ -12,7 +12,8 @@
 use crate::zone::ZoneSide;
 use oorandom::Rand64;
 
-/// Where gateways see enough of every endpoint, an endpoint has 1 + this times the usual number of gateways.
+/// Where gateways see enough of every endpoint, an endpoint has 1 + this times the usual number of
+/// gateways.
 const SMALL_FLEET_SURPLUS_FACTOR: f64 = 2.0;
 
 /// Step of the sequence from one gateway to the next: the golden ratio's fraction.
@@ -21,21 +22,26 @@
 /// Step of the sequence from one draw to the next: the fraction of the square root of 2.
 const DRAW_STEP_RATIO: f64 = 0.414_213_562_37;
 
-/// The state of the draws, and what an endpoint in the subset gets from this gateway.
+/// Chooses the endpoints of the subset, which itself is kept in [`EndpointSet`]: the state of the draws,
+/// and which fraction of the requests of an endpoint in the subset comes from this gateway.
 #[derive(Debug)]
-pub(crate) struct Subset {
+pub(crate) struct SubsetSelector {
     gateway_index: u32,
     draw_count: f64,
     endpoint_share_ratio: f64,
 }
 
-impl Subset {
+impl SubsetSelector {
     /// No endpoint is in use yet.
     pub fn new(gateway_index: u32, gateway_count: u32) -> Self {
-        Subset { gateway_index, draw_count: 0.0, endpoint_share_ratio: 1.0 / f64::from(gateway_count) }
+        SubsetSelector {
+            gateway_index,
+            draw_count: 0.0,
+            endpoint_share_ratio: 1.0 / f64::from(gateway_count),
+        }
     }
 
-    /// The part of an endpoint's requests that one of its gateways sends it.
+    /// The fraction of an endpoint's requests that one of its gateways sends it.
     pub fn endpoint_share_ratio(&self) -> f64 {
         self.endpoint_share_ratio
     }
@@ -44,7 +50,7 @@
     pub fn target_count(traffic_share: &TrafficShare, eligible_count: usize) -> usize {
         let surplus = SMALL_FLEET_SURPLUS_FACTOR * traffic_share.visibility_ratio();
         let gateways_per_endpoint = GATEWAYS_PER_ENDPOINT_COUNT * (1.0 + surplus);
-        let count = gateways_per_endpoint * eligible_count as f64 * traffic_share.ratio();
+        let count = gateways_per_endpoint * eligible_count as f64 * traffic_share.traffic_share_ratio();
         count.max(MIN_SUBSET_COUNT).ceil() as usize
     }
 
@@ -70,7 +76,7 @@
     }
 
     /// Keeps enough endpoints in use that are neither ejected nor left to others, and those in slow start
-    /// that this gateway shares.
+    /// that this gateway shares; then updates [`Self::endpoint_share_ratio`] to the target count.
     pub fn replenish(
         &mut self, now_ms: f64, endpoints: &mut EndpointSet, traffic_share: &TrafficShare,
         slow_start: &SlowStart,
@@ -87,9 +93,16 @@
                 usable_count += 1;
             }
         }
-        let even_ratio = traffic_share.even_ratio();
-        let share_ratio = endpoints.eligible_count() as f64 * even_ratio / target_count as f64;
-        self.endpoint_share_ratio = share_ratio.clamp(even_ratio, 1.0);
+        self.update_endpoint_share(traffic_share, endpoints.eligible_count(), target_count);
+    }
+
+    /// An endpoint's requests come in equal shares from the gateways that use it.
+    fn update_endpoint_share(
+        &mut self, traffic_share: &TrafficShare, eligible_count: usize, target_count: usize,
+    ) {
+        let even_share_ratio = traffic_share.even_share_ratio();
+        let endpoint_share_ratio = eligible_count as f64 * even_share_ratio / target_count as f64;
+        self.endpoint_share_ratio = endpoint_share_ratio.clamp(even_share_ratio, 1.0);
     }
 
     /// Follows a changed list: drops at random what is more than the target, and replenishes the rest.
@@ -114,9 +127,10 @@
     let subset = endpoints.subset().get(side);
     let is_shared = |id: &EndpointId| {
         let endpoint = endpoints.get(*id);
-        let share_ratio = endpoint
-            .and_then(|endpoint| slow_start.share_ratio(now_ms, endpoint, endpoints.eligible_count()));
-        share_ratio.is_some_and(|share_ratio| share_ratio > 0.0)
+        let slow_start_share_ratio = endpoint.and_then(|endpoint| {
+            slow_start.slow_start_share_ratio(now_ms, endpoint, endpoints.eligible_count())
+        });
+        slow_start_share_ratio.is_some_and(|slow_start_share_ratio| slow_start_share_ratio > 0.0)
     };
     let eligible = endpoints.eligible().get(side).iter();
     let added: Vec<_> = eligible.filter(|id| is_shared(id) && !subset.contains(id)).copied().collect();
--- a/control-plane/tests/frames.rs
+++ b/control-plane/tests/frames.rs
@@ -1,5 +1,6 @@
 //! Frames on a stream: cut anywhere, joined anyhow, and none that is malformed gets through.
-use ternstack_control_plane::frames::{write, Broken, Counter, Frames};
+use ternstack_control_plane::frames::{write_message, ConnectionError, FrameReader};
+use ternstack_control_plane::traffic::TrafficCounter;
 use ternstack_replication::scope::{Change, ChangeSet, Digest, Entry, Key, Scope};
 use ternstack_replication::wire::{
     ChunkEntry, Cursor, FrameError, Member, Message, PollRequest, PollResponse, ScopeChunk, Subscription,
@@ -7,14 +8,14 @@
 };
 use tokio::io::{duplex, AsyncWriteExt};
 
-fn grant(parts: Vec<ScopeChunk>, pending: Vec<ChangeSet>) -> Message {
+fn grant(chunks: Vec<ScopeChunk>, pending: Vec<ChangeSet>) -> Message {
     Message::PollResponse(PollResponse {
         sequence: 7,
         generation: 1,
         lease_us: 1_900_000,
         in_force: 3,
         through: 4,
-        chunks: parts,
+        chunks,
         stale: Vec::new(),
         pending,
     })
@@ -28,7 +29,7 @@
 
 async fn bytes(message: &Message) -> Vec<u8> {
     let (mut bytes, mut scratch) = (Vec::new(), Vec::new());
-    let n = write(&mut bytes, message, &mut scratch).await.expect("it fits");
+    let n = write_message(&mut bytes, message, &mut scratch).await.expect("it fits");
     assert_eq!(n, bytes.len());
     bytes
 }
@@ -45,12 +46,12 @@
         let (mut to, from) = duplex(chunk);
         let sent = all.clone();
         let writing = tokio::spawn(async move { to.write_all(&sent).await });
-        let mut frames = Frames::new(from);
+        let mut frames = FrameReader::new(from);
         for message in &messages {
-            assert_eq!(frames.next().await.expect("sound").expect("one more").0, *message);
+            assert_eq!(frames.next().await.expect("sound").expect("one more").message, *message);
         }
         assert!(frames.next().await.expect("a clean end").is_none());
-        assert_eq!(frames.received(), all.len() as u64);
+        assert_eq!(frames.received_bytes(), all.len() as u64);
         writing.await.expect("no panic").expect("written");
     }
 }
@@ -68,8 +69,8 @@
         (b"GET / HTTP/1.1\r\n\r\n", "expected 9 to 1048576"),
         (&[0, 0, 0, 9, 77], "format 77, expected 1"),
     ] {
-        let words = match Frames::new(given).next().await {
-            Err(broken) => broken.to_string(),
+        let words = match FrameReader::new(given).next().await {
+            Err(error) => error.to_string(),
             other => panic!("{told}: {other:?}"),
         };
         assert!(words.contains(told), "{words}");
@@ -84,14 +85,14 @@
     longest.push(1);
     longest.extend(crc32fast::hash(&content).to_be_bytes());
     longest.extend(content);
-    let mut frames = Frames::new(&longest[..]);
-    assert!(matches!(frames.next().await, Err(Broken::Malformed(FrameError::Content(_)))));
-    assert_eq!(frames.received(), MAX_FRAME_BYTES as u64);
+    let mut frames = FrameReader::new(&longest[..]);
+    assert!(matches!(frames.next().await, Err(ConnectionError::Malformed(FrameError::Content(_)))));
+    assert_eq!(frames.received_bytes(), MAX_FRAME_BYTES as u64);
 }
 
 #[tokio::test]
 async fn bytes_are_counted_by_cause_and_none_is_lost() {
-    let counter = Counter::default();
+    let counter = TrafficCounter::default();
     let change = Change { scope: Scope::Zones, key: Key(1), entry: Some(Entry::Zone(false)) };
     let version = ChangeSet { revision: 4, changes: vec![change] };
     let (news, fetched) = (part(Scope::Hosts(1), 2), part(Scope::Hosts(2), 50));
@@ -116,7 +117,7 @@
         (Message::GetStatus, None),
     ] {
         let n = bytes(&message).await.len();
-        counter.written(&message, n, asked);
+        counter.record_written(&message, n, asked);
         all += n as u64;
     }
     let counts = counter.counts();
