--- a/balancer/src/settings.rs
+++ b/balancer/src/settings.rs
@@ -34,7 +34,7 @@
     pub latency_objective_ms: f64,
     /// How long a client waits over all its attempts, in ms.
     pub deadline_ms: f64,
-    /// Part of the value, from 0 to 1, that a response after the latency objective still earns.
+    /// Fraction of the value, from 0 to 1, that a response after the latency objective still earns.
     pub late_value_ratio: f64,
     /// Whether it may be retried.
     pub idempotency: Idempotency,
@@ -106,7 +106,7 @@
     pub health_checks_allowed: bool,
     /// Cancelling an attempt is permitted.
     pub cancellation_allowed: bool,
-    /// Longest Retry-After that clients heed, in ms; 0 where they take none.
+    /// Longest Retry-After that clients accept, in ms; 0 where they accept none.
     pub max_retry_after_ms: f64,
     /// A watch, or a poll, of discovery must be at most this old, in ms.
     pub max_discovery_age_ms: f64,
