--- a/gateway/src/event_loop/mod.rs
+++ b/gateway/src/event_loop/mod.rs
@@ -36,7 +36,7 @@
 /// The tasks and counters that an [`EventLoop`] works with.
 #[derive(Debug)]
 pub struct Dependencies {
-    /// Sends attempts and health checks to servers.
+    /// Sends attempts and health checks to endpoints.
     pub upstream: Upstream,
     /// Asks for a watch of the endpoint list.
     pub watch_requests: mpsc::Sender<()>,
@@ -133,10 +133,10 @@
             GatewayEvent::Request(request) => self.on_request(request),
             GatewayEvent::ClientDisconnected(id) => self.on_client_disconnected(id),
             GatewayEvent::AttemptEnded(result) => self.on_attempt_ended(result),
-            GatewayEvent::HealthCheckEnded { server, outcome, report } => {
-                debug!(server_id = server.0, ?outcome, ?report, "health check ended");
-                self.health_checks.remove(&server);
-                self.feed(Event::HealthCheckEnd { endpoint: server, outcome, report });
+            GatewayEvent::HealthCheckEnded { endpoint, outcome, report } => {
+                debug!(endpoint_id = endpoint.0, ?outcome, ?report, "health check ended");
+                self.health_checks.remove(&endpoint);
+                self.feed(Event::HealthCheckEnd { endpoint, outcome, report });
             }
             GatewayEvent::Discovery(DiscoveryEvent::WatchLost) => {
                 self.feed(Event::EndpointUpdate { kind: UpdateKind::WatchLost, endpoints: Vec::new() });
@@ -202,7 +202,7 @@
 
     fn on_request(&mut self, request: Request) {
         let Request { id, class, tenant, deadline, raw, respond_to } = request;
-        if self.requests.unanswered_count() >= self.max_open_requests {
+        if self.requests.without_response_count() >= self.max_open_requests {
             // The receiver is gone if the client's connection has just ended.
             let _ = respond_to.send(Response::Rejected { retry_after_ms: self.max_retry_after_ms });
             return;
@@ -217,7 +217,7 @@
 
     /// Responds at once, since a client that has only ended its sending side still reads.
     fn on_client_disconnected(&mut self, id: RequestId) {
-        let Some(request) = self.requests.unanswered(id) else { return };
+        let Some(request) = self.requests.without_response(id) else { return };
         let response = match self.classes.get(request.class) {
             Some(class) if class.may_reject(request.may_have_run()) => {
                 Response::Rejected { retry_after_ms: self.max_retry_after_ms }
@@ -231,10 +231,10 @@
     /// Responds to a request that the balancer has left without a response. That is a fault unless the event loop
     /// stalled over the deadline, when nothing could be decided.
     fn on_deadline(&mut self, id: RequestId) {
-        if self.requests.unanswered(id).is_none() {
+        if self.requests.without_response(id).is_none() {
             return;
         }
-        let lag_ms = self.lag.behind(Instant::now()).as_millis() as u64;
+        let lag_ms = self.lag.at(Instant::now()).as_millis() as u64;
         info!(request_id = id.0, lag_ms, "no response by the deadline");
         if lag_ms == 0 {
             let detail = format_args!("no response by the deadline");
@@ -256,12 +256,12 @@
     }
 
     fn apply_list(&mut self, kind: UpdateKind, list: EndpointList) {
-        let members = self.endpoints.apply(kind, list, &self.upstream);
-        if members.is_empty() && kind != UpdateKind::Delta {
+        let endpoints = self.endpoints.apply(kind, list, &self.upstream);
+        if endpoints.is_empty() && kind != UpdateKind::Delta {
             warn!("the endpoint list is empty");
         }
-        self.feed(Event::EndpointUpdate { kind, endpoints: members });
+        self.feed(Event::EndpointUpdate { kind, endpoints });
         let balancer = &self.balancer;
-        self.endpoints.retain(|server| balancer.knows(server));
+        self.endpoints.retain(|endpoint| balancer.knows(endpoint));
     }
 }
--- a/gateway/src/event_loop/open_requests.rs
+++ b/gateway/src/event_loop/open_requests.rs
@@ -1,6 +1,6 @@
 //! Requests that have no response yet or still have attempts in flight.
 use crate::events::{RawRequest, Response};
-use crate::permit::{Denial, Locality, NextAttempt, PriorAttempt};
+use crate::permit::{Denial, EndpointLocality, NextAttempt, PriorAttempt};
 use crate::upstream::Cancellation;
 use std::collections::BTreeMap;
 use ternstack_balancer::{EndpointId, Outcome, RequestClass, RequestId};
@@ -24,8 +24,8 @@
 
 /// An attempt that the balancer has asked for.
 pub(super) struct SentAttempt {
-    /// The server that it went to.
-    pub(super) server: EndpointId,
+    /// The endpoint that it went to.
+    pub(super) endpoint: EndpointId,
     /// When it was sent, by the gateway's clock.
     pub(super) sent_at_ms: f64,
     /// What the request's next attempts have to know of it.
@@ -36,10 +36,10 @@
 
 /// What the balancer has to know of an attempt's end, besides its outcome.
 pub(super) struct EndedAttempt {
-    /// The server that it went to.
-    pub(super) server: EndpointId,
+    /// The endpoint that it went to.
+    pub(super) endpoint: EndpointId,
     /// Its request has its response.
-    pub(super) is_answered: bool,
+    pub(super) has_response: bool,
 }
 
 impl OpenRequest {
@@ -50,31 +50,32 @@
         OpenRequest { class, deadline, raw, respond_to, attempts: Vec::new(), in_flight_count: 0 }
     }
 
-    pub(super) fn is_answered(&self) -> bool {
+    pub(super) fn has_response(&self) -> bool {
         self.respond_to.is_none()
     }
 
-    /// Whether any attempt may have run at a server.
+    /// Whether any attempt may have run at an endpoint.
     pub(super) fn may_have_run(&self) -> bool {
         self.attempts.iter().any(|attempt| attempt.prior.may_have_run)
     }
 
-    /// Until when servers drop a retry, if an attempt may have run and its class is keyed.
+    /// Until when endpoints drop a retry, if an attempt may have run and its class is idempotent with a key.
     pub(super) fn deduplicated_until(&self) -> Option<Instant> {
         let first = self.attempts.iter().find(|attempt| attempt.prior.may_have_run);
         first.and_then(|first| first.prior.deduplicated_until)
     }
 
-    /// Whether the next attempt may begin now, at a server in `locality`.
+    /// Whether the next attempt may begin now, at an endpoint in `locality`.
     pub(super) fn permit(
-        &self, class: &RequestClass, max_attempts: usize, give_up_at: Instant, locality: Option<Locality>,
+        &self, class: &RequestClass, max_attempts: usize, give_up_at: Instant,
+        locality: Option<EndpointLocality>,
     ) -> Result<(), Denial> {
         let prior_attempts: Vec<PriorAttempt> = self.attempts.iter().map(|sent| sent.prior).collect();
         let next = NextAttempt {
             class,
             prior_attempts: &prior_attempts,
             max_attempts,
-            client_waits: !self.is_answered(),
+            client_waits: !self.has_response(),
             give_up_at,
             locality,
         };
@@ -94,18 +95,18 @@
 #[derive(Default)]
 pub(super) struct OpenRequests {
     by_id: BTreeMap<RequestId, OpenRequest>,
-    unanswered_count: usize,
+    without_response_count: usize,
 }
 
 impl OpenRequests {
     /// How many requests have no response yet.
-    pub(super) fn unanswered_count(&self) -> usize {
-        self.unanswered_count
+    pub(super) fn without_response_count(&self) -> usize {
+        self.without_response_count
     }
 
     /// Adds a request that has no response yet.
     pub(super) fn insert(&mut self, id: RequestId, request: OpenRequest) {
-        self.unanswered_count += 1;
+        self.without_response_count += 1;
         self.by_id.insert(id, request);
     }
 
@@ -118,8 +119,8 @@
     }
 
     /// A request without a response.
-    pub(super) fn unanswered(&self, id: RequestId) -> Option<&OpenRequest> {
-        self.get(id).filter(|request| !request.is_answered())
+    pub(super) fn without_response(&self, id: RequestId) -> Option<&OpenRequest> {
+        self.get(id).filter(|request| !request.has_response())
     }
 
     /// An attempt by its request and number.
@@ -135,7 +136,7 @@
     /// Gives a request's response, unless it has one.
     pub(super) fn respond(&mut self, id: RequestId, response: Response) {
         let Some(respond_to) = self.get_mut(id).and_then(|request| request.respond_to.take()) else { return };
-        self.unanswered_count -= 1;
+        self.without_response_count -= 1;
         // The receiver is gone if the client's connection has just ended.
         let _ = respond_to.send(response);
         self.remove_if_finished(id);
@@ -149,15 +150,15 @@
         let attempt = request.attempts.get_mut(number as usize)?;
         attempt.prior.may_have_run = !outcome.never_ran();
         attempt.prior.in_flight = false;
-        let server = attempt.server;
+        let endpoint = attempt.endpoint;
         request.in_flight_count -= 1;
-        let is_answered = request.is_answered();
+        let has_response = request.has_response();
         self.remove_if_finished(id);
-        Some(EndedAttempt { server, is_answered })
+        Some(EndedAttempt { endpoint, has_response })
     }
 
     fn remove_if_finished(&mut self, id: RequestId) {
-        if self.get(id).is_some_and(|request| request.is_answered() && request.in_flight_count == 0) {
+        if self.get(id).is_some_and(|request| request.has_response() && request.in_flight_count == 0) {
             self.by_id.remove(&id);
         }
     }
