--- a/control-plane/src/clock.rs
+++ b/control-plane/src/clock.rs
@@ -2,7 +2,7 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// The latest instant that [`Clock::instant_at`] returns, from now.
+/// The longest time from now to an instant that [`Clock::instant_at`] returns, in ms: a day.
 const MAX_WAIT_MS: f64 = 86_400_000.0;
 
 /// Milliseconds since the clock was started. Copies tell the same time.
--- a/control-plane/src/gateway_client/events.rs
+++ b/control-plane/src/gateway_client/events.rs
@@ -8,7 +8,7 @@
     Follower(FollowerEvent),
     /// It holds a lease, and held none before.
     LeaseAcquired,
-    /// Its lease has expired: it acts by the neutral rules.
+    /// Its lease has expired: it acts by the conservative rules.
     LeaseExpired,
 }
 
--- a/control-plane/src/gateway_client/mod.rs
+++ b/control-plane/src/gateway_client/mod.rs
@@ -1,7 +1,8 @@
 //! A gateway's client: owns a [`Follower`], keeps it up to date by polling, and writes its snapshot. Used by gateways, and by
 //! the hollow gateways of scale tests, hundreds of which share a process.
 use crate::clock::Clock;
-use crate::polling_client::{lock, PollingClient, PollingObserver};
+use crate::lock::lock;
+use crate::polling_client::{connect_timeout, PollingClient, PollingObserver};
 use crate::server_selection::{seed_of, ServerSelection};
 use crate::snapshot_file::{self, SnapshotFileError};
 use crate::traffic::TrafficCounter;
@@ -10,7 +11,6 @@
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicU64, AtomicUsize, Ordering::Relaxed};
 use std::sync::{Arc, Mutex};
-use std::time::Duration;
 use ternstack_replication::follower::{Follower, FollowerEvent, ScopeMode};
 use ternstack_replication::lease::LeaseConfig;
 use ternstack_replication::placement;
@@ -90,7 +90,7 @@
             traffic: &self.traffic,
             wake: &self.wake,
             check_interval_ms: f64::INFINITY,
-            connect_timeout: Duration::from_secs_f64(lease_timeout_ms / 2000.0),
+            connect_timeout: connect_timeout(&self.lease),
         };
         let ranking = self.ranking.clone();
         let selection = ServerSelection::new(ranking, lease_timeout_ms, seed_of(&self.name));
@@ -124,8 +124,8 @@
         let mut written = None;
         loop {
             sleep(config.write_interval).await;
-            let current = self.with_core(|core, _| (core.in_force(), core.complete_scopes().count()));
-            if written == Some(current) || current.0 == 0 {
+            let current = self.with_core(|core, _| SnapshotState::of(core));
+            if written == Some(current) || current.in_force == 0 {
                 continue;
             }
             match self.write_snapshot().await {
@@ -173,7 +173,7 @@
         self.with_core(|core, now_ms| core.entry(now_ms, scope, key))
     }
 
-    /// The version that came into force last here.
+    /// The revision that came into force last here.
     pub fn in_force(&self) -> Revision {
         lock(&self.core).in_force()
     }
@@ -209,6 +209,19 @@
     }
 }
 
+/// What tells whether a snapshot would differ from the one written last.
+#[derive(Clone, Copy, PartialEq, Eq)]
+struct SnapshotState {
+    in_force: Revision,
+    complete_scope_count: usize,
+}
+
+impl SnapshotState {
+    fn of(core: &Follower<Tables>) -> Self {
+        SnapshotState { in_force: core.in_force(), complete_scope_count: core.complete_scopes().count() }
+    }
+}
+
 fn rank_servers(config: &GatewayClientConfig) -> Vec<usize> {
     let candidate = |server: &ServerEndpoint| placement::ReplicaLocation {
         name: server.name.clone(),
--- a/control-plane/src/lib.rs
+++ b/control-plane/src/lib.rs
@@ -13,6 +13,7 @@
 pub mod clock;
 pub mod frames;
 pub mod gateway_client;
+mod lock;
 pub mod operator_file;
 mod polling_client;
 pub mod server;
--- a/control-plane/src/operator_file/mod.rs
+++ b/control-plane/src/operator_file/mod.rs
@@ -1,6 +1,13 @@
 //! The operators' file, which tells control servers and gateways alike which servers, zones and services there are, and the
 //! file of changes to propose. Errors name the file, the line, the key and what was expected. The keys of the files are
-//! the operators' words; fields have the code's terms.
+//! the operators' words; fields have the code's terms:
+//!
+//! | in the files | in the code |
+//! |---|---|
+//! | `machine` | control server, [`ServerSection`] |
+//! | `origin` | primary, [`ServerRole::Primary`] |
+//! | `distributor` | replica, [`ServerRole::Replica`] |
+//! | `terms` | lease settings, [`LeaseConfig`] |
 use crate::gateway_client::{GatewayClientConfig, ScopePriority, ServerEndpoint, SnapshotConfig};
 use serde::Deserialize;
 use source_text::{one_of, SourceText};
@@ -27,7 +34,7 @@
 /// What a control server does.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
 pub enum ServerRole {
-    /// Puts proposals together into versions and brings these into force.
+    /// Puts proposals together into revisions and brings these into force.
     #[serde(rename = "origin")]
     Primary,
     /// Stands between the primary and the gateways.
--- a/control-plane/src/polling_client.rs
+++ b/control-plane/src/polling_client.rs
@@ -3,15 +3,17 @@
 //! which server is connected.
 use crate::clock::Clock;
 use crate::frames::ConnectionError;
+use crate::lock::lock;
 use crate::server_connection::{ConnectionEnd, ServerConnection};
 use crate::server_selection::ServerSelection;
 use crate::traffic::TrafficCounter;
 use std::convert::Infallible;
 use std::io;
 use std::net::SocketAddr;
-use std::sync::{Mutex, MutexGuard, PoisonError};
+use std::sync::Mutex;
 use std::time::Duration;
 use ternstack_replication::follower::{Follower, FollowerEvent, ResponseError};
+use ternstack_replication::lease::LeaseConfig;
 use ternstack_replication::replica::Replica;
 use ternstack_replication::storage::Storage;
 use ternstack_replication::wire::{PollRequest, PollResponse};
@@ -21,6 +23,9 @@
 use tokio::time::{sleep, timeout};
 use tracing::info;
 
+/// A connection attempt may take the response timeout divided by this.
+const CONNECT_TIMEOUTS_PER_RESPONSE_TIMEOUT_RATIO: f64 = 2.0;
+
 /// A replication state machine that polls. Times are in ms of the client's clock.
 pub(crate) trait PollingCore {
     /// When the next poll is due if nothing comes until then.
@@ -85,11 +90,6 @@
     }
 }
 
-/// Locks a core. A poisoned lock is taken all the same: a panic cannot leave a core between two states.
-pub(crate) fn lock<T>(core: &Mutex<T>) -> MutexGuard<'_, T> {
-    core.lock().unwrap_or_else(PoisonError::into_inner)
-}
-
 /// Is notified of connections and of what responses change. Must not block.
 pub(crate) trait PollingObserver {
     /// A connection to the server of that index has been established.
@@ -115,8 +115,9 @@
     NoServer,
     /// The server could not be connected.
     #[error("{0}")]
-    Connect(io::Error),
-    /// The server has granted no lease, or sent nothing, until [`ServerSelection::deadline_ms`].
+    Connect(#[source] io::Error),
+    /// The server has granted no lease until [`ServerSelection::deadline_ms`]: it sent nothing, or its responses granted
+    /// none. The two are not told apart.
     #[error("no lease was granted in time")]
     NoLease,
     /// The server did not read a poll until that time.
@@ -133,6 +134,12 @@
     Frame(#[from] ConnectionError),
 }
 
+/// The time limit of a connection attempt: a part of the time in which a response has to arrive.
+pub(crate) fn connect_timeout(lease: &LeaseConfig) -> Duration {
+    let timeout_ms = lease.response_timeout_ms() / CONNECT_TIMEOUTS_PER_RESPONSE_TIMEOUT_RATIO;
+    Duration::from_secs_f64(timeout_ms / 1000.0)
+}
+
 /// Connects to `server`, within `connect_timeout`.
 pub(crate) async fn connect(
     server: Option<SocketAddr>, connect_timeout: Duration,
@@ -145,7 +152,7 @@
     Ok(stream)
 }
 
-/// Storage a replication core up to date by polling control servers.
+/// Keeps a replication core up to date by polling control servers.
 pub(crate) struct PollingClient<'a, C> {
     /// The name of the member, for the log.
     pub name: &'a str,
@@ -155,7 +162,7 @@
     pub clock: Clock,
     /// The addresses of the servers.
     pub servers: &'a [SocketAddr],
-    /// Traffic the messages of all connections.
+    /// Counts the messages of all connections.
     pub traffic: &'a TrafficCounter,
     /// Notified when the core may have a poll due earlier.
     pub wake: &'a Notify,
--- a/control-plane/src/server/client_connection.rs
+++ b/control-plane/src/server/client_connection.rs
@@ -3,7 +3,7 @@
 use super::proposals::{AgreedProposal, ConnectionProposals};
 use super::{ControlServer, ServerCore};
 use crate::frames::{write_message, ConnectionError, FrameReader, ReceivedMessage};
-use crate::polling_client::lock;
+use crate::lock::lock;
 use std::future::pending;
 use std::io;
 use std::net::SocketAddr;
--- a/control-plane/src/server/mod.rs
+++ b/control-plane/src/server/mod.rs
@@ -1,7 +1,7 @@
 //! Control servers: a primary, and the replicas between it and the gateways. Each answers any number of clients.
 use crate::clock::Clock;
 use crate::frames::ConnectionError;
-use crate::polling_client::lock;
+use crate::lock::lock;
 use crate::traffic::TrafficCounter;
 use client_connection::ClientConnection;
 use proposals::{proposer, PendingReplies, ProposalReply};
--- a/control-plane/src/server/primary.rs
+++ b/control-plane/src/server/primary.rs
@@ -2,7 +2,7 @@
 use super::proposals::proposer;
 use super::ControlServer;
 use crate::clock::Clock;
-use crate::polling_client::lock;
+use crate::lock::lock;
 use std::convert::Infallible;
 use std::sync::Arc;
 use ternstack_replication::lease::LeaseConfig;
--- a/control-plane/src/server/replica.rs
+++ b/control-plane/src/server/replica.rs
@@ -1,12 +1,11 @@
 //! A replica: follows the primary, and answers gateways in its place.
 use super::ControlServer;
 use crate::clock::Clock;
-use crate::polling_client::PollingClient;
+use crate::polling_client::{connect_timeout, PollingClient};
 use crate::server_selection::{seed_of, ServerSelection};
 use std::convert::Infallible;
 use std::net::SocketAddr;
 use std::sync::Arc;
-use std::time::Duration;
 use ternstack_replication::lease::LeaseConfig;
 use ternstack_replication::replica::Replica;
 use ternstack_replication::wire::Member;
@@ -37,7 +36,7 @@
             traffic: &self.traffic,
             wake: &never_notified,
             check_interval_ms: lease.prompt_poll_delay_ms() / 2.0,
-            connect_timeout: Duration::from_secs_f64(lease_timeout_ms / 2000.0),
+            connect_timeout: connect_timeout(&lease),
         };
         let mut no_observer = ();
         let ranking = (0..upstreams.len()).collect();
--- a/control-plane/src/server_connection.rs
+++ b/control-plane/src/server_connection.rs
@@ -1,7 +1,8 @@
 //! One connection of a [`PollingClient`]: sends polls when they are due, applies responses as they come, and meanwhile tries
 //! to reach a preferred server.
 use crate::frames::{write_message, ConnectionError, FrameReader, ReceivedMessage};
-use crate::polling_client::{connect, lock, DisconnectReason, PollingClient, PollingCore, PollingObserver};
+use crate::lock::lock;
+use crate::polling_client::{connect, DisconnectReason, PollingClient, PollingCore, PollingObserver};
 use crate::server_selection::{FailbackCandidate, ServerSelection};
 use std::future::{pending, Future};
 use std::pin::Pin;
@@ -174,9 +175,9 @@
     ) {
         let now_ms = self.client.clock.now_ms();
         let mut core = lock(self.client.core);
-        let expired_at_ms = core.lease_expires_at_ms();
+        let previous_expiry_ms = core.lease_expires_at_ms();
         let applied = core.on_response(now_ms, response);
-        let is_renewed = core.lease_expires_at_ms() > expired_at_ms;
+        let is_renewed = core.lease_expires_at_ms() > previous_expiry_ms;
         drop(core);
         match applied {
             Ok(events) => {
--- a/control-plane/src/traffic.rs
+++ b/control-plane/src/traffic.rs
@@ -1,10 +1,10 @@
-//! Traffic messages and bytes by cause, for any number of connections.
+//! Counts messages and bytes by cause, for any number of connections.
 use std::sync::atomic::{AtomicU64, Ordering::Relaxed};
 use ternstack_replication::wire::{
     Message, PollRequest, PollResponse, Traffic, TrafficByCause, TrafficCount,
 };
 
-/// Traffic messages read and written. Shared between tasks; may be read at any time.
+/// Counts messages read and written. Shared between tasks; may be read at any time.
 #[derive(Debug, Default)]
 pub struct TrafficCounter {
     read: DirectionCounter,
@@ -12,12 +12,12 @@
 }
 
 impl TrafficCounter {
-    /// Traffic a message that was read; `request` is the poll that it responds to, if it is a response.
+    /// Counts a message that was read; `request` is the poll that it responds to, if it is a response.
     pub fn record_read(&self, message: &Message, frame_bytes: usize, request: Option<&PollRequest>) {
         self.read.record(message, frame_bytes, request);
     }
 
-    /// Traffic a message that was written; `request` is the poll that it responds to, if it is a response.
+    /// Counts a message that was written; `request` is the poll that it responds to, if it is a response.
     pub fn record_written(&self, message: &Message, frame_bytes: usize, request: Option<&PollRequest>) {
         self.written.record(message, frame_bytes, request);
     }
--- a/control-plane/tests/frames.rs
+++ b/control-plane/tests/frames.rs
@@ -24,7 +24,7 @@
 fn part(scope: Scope, entries: u64) -> ScopeChunk {
     let entries =
         (0..entries).map(|n| ChunkEntry { revision: 1, key: Key(n), entry: Some(Entry::Quota(9)) }).collect();
-    ScopeChunk { scope, restart: true, entries, complete: Some(Digest(1)) }
+    ScopeChunk { scope, restart: true, entries, final_digest: Some(Digest(1)) }
 }
 
 async fn bytes(message: &Message) -> Vec<u8> {
--- a/control-plane/tests/recorded_bytes.rs
+++ b/control-plane/tests/recorded_bytes.rs
@@ -84,7 +84,7 @@
             ChunkEntry { revision: 3, key, entry: Some(entry) },
             ChunkEntry { revision: 4, key: Key(8), entry: None },
         ],
-        complete: (scope != Scope::Fleet).then_some(Digest(u128::MAX - 5)),
+        final_digest: (scope != Scope::Fleet).then_some(Digest(u128::MAX - 5)),
     };
     PollResponse {
         sequence: 77,
--- a/fleet-simulator/src/capacity/measure.rs
+++ b/fleet-simulator/src/capacity/measure.rs
@@ -462,7 +462,8 @@
             let entries = (0..count)
                 .map(|n| ChunkEntry { revision: NUMBER, key: key(n), entry: Some(entry(n)) })
                 .collect();
-            let parts = vec![ScopeChunk { scope, restart: true, entries, complete: Some(Digest(u128::MAX)) }];
+            let parts =
+                vec![ScopeChunk { scope, restart: true, entries, final_digest: Some(Digest(u128::MAX)) }];
             let of = bytes(Message::PollResponse(PollResponse { chunks: parts, ..grant.clone() }))?;
             to.push([f64::from(count), of]);
             Ok(())
--- a/gateway/src/control/endpoint_view.rs
+++ b/gateway/src/control/endpoint_view.rs
@@ -116,7 +116,7 @@
                     let mut candidate = self.endpoint(state, key, &host);
                     if acting == ScopeMode::Conservative && self.has_published_all {
                         let Some(published) = self.published.get(&key) else { continue };
-                        restrict(&mut candidate, published);
+                        apply_conservative(&mut candidate, published);
                     }
                     let is_draining = |other: &Endpoint| other.state == EndpointState::Draining;
                     if endpoint.as_ref().is_some_and(is_draining) {
@@ -159,7 +159,7 @@
 }
 
 /// Without a lease a host may at most lose work: one that was draining, or has another address, is draining.
-fn restrict(candidate: &mut Endpoint, published: &Endpoint) {
+fn apply_conservative(candidate: &mut Endpoint, published: &Endpoint) {
     if published.state == EndpointState::Draining || published.address != candidate.address {
         candidate.state = EndpointState::Draining;
     }
--- a/replication/src/follower.rs
+++ b/replication/src/follower.rs
@@ -22,7 +22,7 @@
 use std::collections::BTreeMap;
 use subscription::SubscriptionState;
 
-/// The most scopes that one poll of a gateway fetches: more than fit a response within the bytes of half a second.
+/// The most scopes that one poll of a gateway fetches. Its budget of bytes limits a response further.
 const MAX_FETCHES_COUNT: usize = 64;
 /// The same for a replica, whose responses may be as long as a frame.
 const MAX_REPLICA_FETCHES_COUNT: usize = 4096;
@@ -233,7 +233,7 @@
             Some(fetch) if fetch.is_stale() => ScopeMode::Conservative,
             None if self.complete.contains_key(&scope) => {
                 if now < self.lease_until {
-                    ScopeMode::Agreed(self.in_force)
+                    ScopeMode::InForce(self.in_force)
                 } else {
                     ScopeMode::Conservative
                 }
@@ -245,14 +245,14 @@
     /// The entry that applies under a key at `now`, by [`Follower::scope_mode`].
     pub fn entry(&self, now: f64, scope: Scope, key: Key) -> Option<Entry> {
         match self.scope_mode(now, scope) {
-            ScopeMode::Agreed(_) => self.storage.get(scope, key),
+            ScopeMode::InForce(_) => self.storage.get(scope, key),
             ScopeMode::Unknown => None,
-            ScopeMode::Conservative => self.strictest_entry(scope, key),
+            ScopeMode::Conservative => self.conservative_entry(scope, key),
         }
     }
 
-    /// The strictest of the stored, staged and pending values of a key.
-    fn strictest_entry(&self, scope: Scope, key: Key) -> Option<Entry> {
+    /// The value of a key by the conservative rules: the [`stricter`] one of its stored, staged and pending values.
+    fn conservative_entry(&self, scope: Scope, key: Key) -> Option<Entry> {
         let staged = self.fetching.get(&scope).and_then(|fetch| fetch.staged.as_ref()?.entries.get(&key));
         let changes = self.pending.values().flatten();
         let pending = changes.filter(|change| change.scope == scope && change.key == key);
--- a/replication/src/follower/apply.rs
+++ b/replication/src/follower/apply.rs
@@ -123,7 +123,7 @@
             Some(staged) => staged.put_chunk(chunk, &mut self.storage),
             None => store_chunk(chunk, &mut self.storage),
         }
-        if let Some(digest) = chunk.complete {
+        if let Some(digest) = chunk.final_digest {
             self.complete_fetch(scope, digest, events);
         }
     }
@@ -147,7 +147,7 @@
     /// that does not complete the scope makes it stale.
     fn apply_changes(&mut self, chunk: &ScopeChunk, known: Revision, events: &mut Vec<FollowerEvent>) {
         let scope = chunk.scope;
-        let Some(digest) = chunk.complete else {
+        let Some(digest) = chunk.final_digest else {
             return self.mark_stale(scope, known, events);
         };
         store_chunk(chunk, &mut self.storage);
--- a/replication/src/follower/event.rs
+++ b/replication/src/follower/event.rs
@@ -4,8 +4,8 @@
 /// The rules that apply in a scope.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ScopeMode {
-    /// The entries at the revision in force; the lease lasts.
-    Agreed(Revision),
+    /// The entries at this revision, which is in force; the lease lasts.
+    InForce(Revision),
     /// The stricter of all known values of each entry: there is no lease, or the scope is stale.
     Conservative,
     /// The scope has not been fetched.
--- a/replication/src/lease.rs
+++ b/replication/src/lease.rs
@@ -11,13 +11,13 @@
 pub(crate) const US_PER_MS: f64 = 1000.0;
 
 /// Polls in the duration of one lease: four may be lost before it expires.
-const POLLS_PER_LEASE_COUNT: f64 = 5.0;
+const POLLS_PER_LEASE_RATIO: f64 = 5.0;
 /// A replica polls so many times as often as a gateway: its lease bounds those of its followers.
 const REPLICA_POLL_RATIO: f64 = 2.0;
 /// A follower with progress to report would poll so many times in a regular interval.
-const PROMPT_POLLS_PER_INTERVAL_COUNT: f64 = 8.0;
+const PROMPT_POLLS_PER_INTERVAL_RATIO: f64 = 8.0;
 /// A follower gives up on so many responses, at least, before a lease expires.
-const RESPONSE_TIMEOUTS_PER_LEASE_COUNT: f64 = 2.0;
+const RESPONSE_TIMEOUTS_PER_LEASE_RATIO: f64 = 2.0;
 
 /// The settings of leases and of what followers may send and receive.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
@@ -80,7 +80,7 @@
 
     /// How often a gateway polls, in ms.
     pub fn poll_interval_ms(&self) -> f64 {
-        self.lease_ms / POLLS_PER_LEASE_COUNT
+        self.lease_ms / POLLS_PER_LEASE_RATIO
     }
 
     /// How often a replica polls, in ms.
@@ -90,12 +90,12 @@
 
     /// How soon a follower polls again when it knows, or acts on, a newer revision than it has reported, in ms.
     pub fn prompt_poll_delay_ms(&self) -> f64 {
-        self.poll_interval_ms() / PROMPT_POLLS_PER_INTERVAL_COUNT
+        self.poll_interval_ms() / PROMPT_POLLS_PER_INTERVAL_RATIO
     }
 
     /// The longest time for which a follower waits for a response before it polls again, in ms.
     pub fn response_timeout_ms(&self) -> f64 {
-        self.lease_ms / RESPONSE_TIMEOUTS_PER_LEASE_COUNT
+        self.lease_ms / RESPONSE_TIMEOUTS_PER_LEASE_RATIO
     }
 
     /// The longest time from a proposal until its revision is in force at the last reachable gateway, in ms of true time:
--- a/replication/src/lessor.rs
+++ b/replication/src/lessor.rs
@@ -59,12 +59,12 @@
             return response;
         }
         let max_chunk_bytes = holder.available_bytes(request_bytes, MAX_PART_BYTES);
-        let (mut response, is_complete) =
+        let (mut response, has_all_pending) =
             fill_response(store, &self.index, holder, request, response, max_chunk_bytes);
         let latest_end = first_unacknowledged.sent_at + config.lease_ms;
         let lease_ms = config.lease_ms.min(max_lease_ms).min(latest_end - now);
         // A follower that is not told all pending revisions must not count as knowing them.
-        if is_complete && lease_ms > 0.0 {
+        if has_all_pending && lease_ms > 0.0 {
             response.lease_us = (lease_ms * US_PER_MS) as u64;
             let held_ms = config.held_for_ms(response.lease_us as f64 / US_PER_MS);
             holder.lease_until = holder.lease_until.max(now + held_ms);
@@ -134,6 +134,6 @@
     };
     builder.add_changes();
     builder.add_fetched();
-    let is_complete = builder.add_pending();
-    (builder.response, is_complete)
+    let has_all_pending = builder.add_pending();
+    (builder.response, has_all_pending)
 }
--- a/replication/src/lessor/response.rs
+++ b/replication/src/lessor/response.rs
@@ -51,7 +51,8 @@
             let since = Cursor::after(self.request.known);
             let chunk = (left >= MIN_CHUNK_BYTES).then(|| self.store.chunk(scope, since, left));
             // A chunk has one entry at least, which may be longer than what is left.
-            match chunk.filter(|c| c.complete.is_some() && frame_bytes(c) <= left + CHUNK_OVERHEAD_BYTES) {
+            match chunk.filter(|c| c.final_digest.is_some() && frame_bytes(c) <= left + CHUNK_OVERHEAD_BYTES)
+            {
                 Some(chunk) => self.add_chunk(chunk),
                 None => self.response.stale.push(scope),
             }
@@ -116,7 +117,7 @@
     /// The fetched scopes that this response completes.
     fn completed_scopes(&self) -> BTreeSet<Scope> {
         let chunks = self.response.chunks.iter();
-        let completed = chunks.filter(|c| c.complete.is_some() && self.fetched.contains(&c.scope));
+        let completed = chunks.filter(|c| c.final_digest.is_some() && self.fetched.contains(&c.scope));
         completed.map(|chunk| chunk.scope).collect()
     }
 
--- a/replication/src/scope.rs
+++ b/replication/src/scope.rs
@@ -10,7 +10,7 @@
 /// A place in the total order of changes: 1 for the first revision, 0 for none.
 pub type Revision = u64;
 
-/// How many scopes the tenants are sharded over: about 160 of 670,000 tenants in each.
+/// How many scopes the tenants are sharded over, by their key.
 pub const TENANT_SCOPE_COUNT: u32 = 4096;
 
 /// The unit of replication: a follower has all entries of a scope or fetches them.
--- a/replication/src/store/chunk.rs
+++ b/replication/src/store/chunk.rs
@@ -12,7 +12,7 @@
 /// The chunk of a scope that nothing is known of.
 pub(super) fn of_unknown_scope(scope: Scope, from: Cursor) -> ScopeChunk {
     let restart = from != Cursor::default();
-    ScopeChunk { scope, restart, entries: Vec::new(), complete: Some(Digest::default()) }
+    ScopeChunk { scope, restart, entries: Vec::new(), final_digest: Some(Digest::default()) }
 }
 
 /// The next chunk after a cursor, with at most `max_bytes` of encoded entries, but with one entry at least.
@@ -26,7 +26,7 @@
             .then(|| content.tombstones_by_revision.range((lower_bound, Unbounded)).peekable()),
     };
     let restart = from_start && from != Cursor::default();
-    let mut chunk = ScopeChunk { scope, restart, entries: Vec::new(), complete: None };
+    let mut chunk = ScopeChunk { scope, restart, entries: Vec::new(), final_digest: None };
     let mut used_bytes = 0;
     for entry in merged {
         used_bytes += encoded_bytes(&entry);
@@ -35,7 +35,7 @@
         }
         chunk.entries.push(entry);
     }
-    chunk.complete = Some(content.digest);
+    chunk.final_digest = Some(content.digest);
     chunk
 }
 
--- a/replication/src/wire/message.rs
+++ b/replication/src/wire/message.rs
@@ -105,7 +105,7 @@
     /// Entries and tombstones in the order of (revision, key).
     pub entries: Vec<ChunkEntry>,
     /// The digest of the scope, if this chunk completes it; `None` where more is to be fetched.
-    pub complete: Option<Digest>,
+    pub final_digest: Option<Digest>,
 }
 
 /// The response to a poll.
--- a/replication/tests/agreement.rs
+++ b/replication/tests/agreement.rs
@@ -168,7 +168,7 @@
             scope,
             restart: true,
             entries: vec![ChunkEntry { revision: number, key, entry: Some(entry) }],
-            complete: Some(digest),
+            final_digest: Some(digest),
         }
     };
     let grant = |number, in_force, chunks: Vec<ScopeChunk>| PollResponse {
@@ -188,7 +188,7 @@
     );
     assert_eq!(follower.scope_mode(1.0, scope), ScopeMode::Unknown, "it never asked that");
     follower.handle_response(0.0, grant(first.sequence, 1, vec![part(1)])).expect("taken");
-    assert_eq!(follower.scope_mode(99.0, scope), ScopeMode::Agreed(1));
+    assert_eq!(follower.scope_mode(99.0, scope), ScopeMode::InForce(1));
     assert_eq!(follower.scope_mode(100.0, scope), ScopeMode::Conservative, "it slept past its lease");
     let second = follower.poll(150.0).expect("due");
     let again = grant(first.sequence, 1, vec![]);
@@ -210,7 +210,7 @@
         follower.handle_response(241.0, old),
         Err(ResponseError::Outdated { in_force: 1, through: 1 })
     );
-    assert_eq!(follower.scope_mode(241.0, scope), ScopeMode::Agreed(2), "what is in force went back");
+    assert_eq!(follower.scope_mode(241.0, scope), ScopeMode::InForce(2), "what is in force went back");
     assert_eq!(follower.entry(241.0, scope, key), Some(Entry::RetryPolicy(RetryPolicy::Within(2))));
     // A version that is known is not in force, but binds who has no lease.
     let fifth = follower.poll(280.0).expect("due");
--- a/replication/tests/catch_up.rs
+++ b/replication/tests/catch_up.rs
@@ -261,7 +261,7 @@
     }
     assert!(seen > 2, "behind with a lease {seen} times");
     let scope = Scope::Hosts((HOSTS - 1) % 3);
-    assert_eq!(follower.scope_mode(at, scope), ScopeMode::Agreed(primary.store().in_force()));
+    assert_eq!(follower.scope_mode(at, scope), ScopeMode::InForce(primary.store().in_force()));
     assert_eq!(drained, 900, "the one to come is not in force where the scope is whole");
 }
 
--- a/replication/tests/common/checker.rs
+++ b/replication/tests/common/checker.rs
@@ -59,7 +59,7 @@
                 self.seen.stale += u64::from(leased && g.follower.in_force() < due);
                 self.seen.looks += 1;
                 let neutral = self.about.first().is_some_and(|about| {
-                    !matches!(g.follower.scope_mode(local, about.1), ScopeMode::Agreed(_))
+                    !matches!(g.follower.scope_mode(local, about.1), ScopeMode::InForce(_))
                 });
                 self.seen.neutral += u64::from(neutral);
             }
@@ -95,7 +95,7 @@
         for (name, scope, key) in &self.about {
             let follower = &self.gateways[n].follower;
             match follower.scope_mode(local, *scope) {
-                ScopeMode::Agreed(number) => {
+                ScopeMode::InForce(number) => {
                     let entry = follower.entry(local, *scope, *key);
                     self.seen.untrue += u64::from(entry != self.truth(number, *scope, *key));
                     shows.insert(name.clone(), format!("{entry:?}"));
--- a/replication/tests/same_bytes.rs
+++ b/replication/tests/same_bytes.rs
@@ -76,7 +76,7 @@
             let change = change(drawn);
             ChunkEntry { revision: drawn.number(), key: change.key, entry: change.entry }
         }),
-        complete: drawn
+        final_digest: drawn
             .chance(0.5)
             .then(|| Digest(u128::from(drawn.number()) << 64 | u128::from(drawn.number()))),
     }
--- a/replication/tests/same_exchanges.rs
+++ b/replication/tests/same_exchanges.rs
@@ -61,7 +61,7 @@
             for _ in 0..60 {
                 let part = store.chunk(scope, from, most_bytes);
                 observed.bytes(&postcard::to_allocvec(&part).expect("bytes"));
-                match (part.complete, part.entries.last()) {
+                match (part.final_digest, part.entries.last()) {
                     (None, Some(last)) => from = Cursor { revision: last.revision, key: last.key.0 },
                     _ => break,
                 }
--- a/replication/tests/same_fleets.rs
+++ b/replication/tests/same_fleets.rs
@@ -257,12 +257,12 @@
             gateway.fetching_scopes().for_each(|scope| observed.scope_and_key(scope, Key(1)));
             for scope in SCOPES {
                 observed.number(match gateway.scope_mode(now, scope) {
-                    ScopeMode::Agreed(number) => number << 8,
+                    ScopeMode::InForce(number) => number << 8,
                     ScopeMode::Conservative => 1,
                     ScopeMode::Unknown => 2,
                 });
                 let at_the_end = gateway.scope_mode(gateway.lease_until(), scope);
-                observed.number(u64::from(matches!(at_the_end, ScopeMode::Agreed(_))));
+                observed.number(u64::from(matches!(at_the_end, ScopeMode::InForce(_))));
                 (0..KEYS).for_each(|key| observed.entry(gateway.entry(now, scope, Key(key))));
             }
         }
--- a/replication/tests/store.rs
+++ b/replication/tests/store.rs
@@ -155,7 +155,7 @@
                         Storage::set(&mut to.store, scope, *key, *changed, *entry);
                         cursor = Cursor { revision: *changed, key: key.0 };
                     }
-                    if let Some(digest) = part.complete {
+                    if let Some(digest) = part.final_digest {
                         assert_eq!(to.store.digest(scope), digest);
                         break;
                     }
@@ -191,12 +191,12 @@
         let lessor = &self.lessors[follower.from];
         let (store, from) = (&lessor.store, follower.cursor);
         let part = store.chunk(follower.scope, from, self.rng.random_range(0..200));
-        assert!(part.complete.is_some() || !part.entries.is_empty());
+        assert!(part.final_digest.is_some() || !part.entries.is_empty());
         if part.restart {
             follower.needs = store.in_force();
         }
         follower.cursor = take(&part, from, &mut follower.held);
-        let Some(sum) = part.complete else { return };
+        let Some(sum) = part.final_digest else { return };
         let right = follower.held == self.model.at(store.in_force(), follower.scope);
         assert_eq!(right, digest(follower.scope, &follower.held) == sum, "the digest tells");
         let excused = lessor.lost > follower.needs;
--- a/replication/tests/store_chunks.rs
+++ b/replication/tests/store_chunks.rs
@@ -45,12 +45,12 @@
 fn a_piece_keeps_to_its_bytes_and_uses_them() {
     let store = with_removals(100, 30);
     let whole = store.chunk(Scope::Tenants(7), Cursor::default(), usize::MAX);
-    assert_eq!((whole.entries.len(), whole.restart, whole.complete.is_some()), (70, false, true));
+    assert_eq!((whole.entries.len(), whole.restart, whole.final_digest.is_some()), (70, false, true));
     for most in 0..=bytes(&whole.entries) {
         let part = store.chunk(Scope::Tenants(7), Cursor::default(), most);
         let taken = part.entries.len();
         assert!(taken == 1 || bytes(&part.entries) <= most, "{} of {most}", bytes(&part.entries));
-        assert_eq!(part.complete.is_some(), taken == 70);
+        assert_eq!(part.final_digest.is_some(), taken == 70);
         let next = bytes(whole.entries.get(taken));
         assert!(taken == 70 || bytes(&part.entries) + next > most, "{} of {most}", bytes(&part.entries));
     }
@@ -61,7 +61,7 @@
     for from in [Cursor::default(), Cursor::after(5), Cursor { revision: 3, key: 9 }] {
         let part = Store::new().chunk(Scope::Hosts(9), from, 0);
         assert_eq!(part.restart, from != Cursor::default());
-        assert_eq!((part.entries.len(), part.complete), (0, Some(Digest::default())));
+        assert_eq!((part.entries.len(), part.final_digest), (0, Some(Digest::default())));
     }
 }
 
--- a/replication/tests/wire.rs
+++ b/replication/tests/wire.rs
@@ -106,7 +106,7 @@
                 key: Key(u64::arbitrary(g)),
                 entry: some(g),
             }),
-            complete: bool::arbitrary(g).then(|| Digest(u128::arbitrary(g))),
+            final_digest: bool::arbitrary(g).then(|| Digest(u128::arbitrary(g))),
         }),
         stale: several(g, scope),
         pending: several(g, |g| ChangeSet { revision: u64::arbitrary(g), changes: several(g, change) }),
@@ -191,7 +191,7 @@
     let mut bytes = Vec::new();
     let entries =
         vec![ChunkEntry { revision: u64::MAX, key: Key(u64::MAX), entry: None }; MAX_FRAME_BYTES / 20];
-    let part = ScopeChunk { scope: Scope::Zones, restart: true, entries, complete: None };
+    let part = ScopeChunk { scope: Scope::Zones, restart: true, entries, final_digest: None };
     let grant = PollResponse {
         sequence: 1,
         generation: 1,
