--- a/fault-tests/shim/faults.rs
+++ b/fault-tests/shim/faults.rs
@@ -1,15 +1,19 @@
 //! Makes system calls of a process fail in ways that Linux documents, as another process tells it to.
 //!
-//! `fault-tests/build.rs` compiles this file alone into a library that the rig preloads into gateways; the gateway's tests include
+//! `fault-tests/build.rs` compiles this file alone into a library that the fault tests preload into gateways; the gateway's tests include
 //! it as a module. It stands between the program and the C library: each function below takes the place of the one of the
 //! same name, makes the call fail if its fault is due, and else carries it out.
 //!
 //! What is due stands in a [`Control`] that is mapped from the file at `TERNSTACK_FAULTS`, so that it can be changed from
 //! outside at any moment; what has been injected is counted there.
+mod files;
+mod syscall_numbers;
+
 use std::ffi::{c_char, c_int, c_long, c_void, CStr};
 use std::ptr::null_mut;
 use std::sync::atomic::Ordering::Relaxed;
 use std::sync::atomic::{AtomicI32, AtomicI64, AtomicPtr, AtomicU32, AtomicU64, AtomicU8};
+use syscall_numbers as number;
 
 /// The variable that names the control file.
 pub const CONTROL_VARIABLE: &CStr = c"TERNSTACK_FAULTS";
@@ -24,36 +28,63 @@
 #[derive(Clone, Copy)]
 #[repr(usize)]
 pub enum Kind {
+    /// `accept4` fails with ECONNABORTED.
     AcceptAborted = 0,
+    /// `accept4` fails with ENFILE.
     AcceptFileTable = 1,
+    /// `accept4` fails with ENOBUFS.
     AcceptNoBuffers = 2,
+    /// `accept4` fails with EINTR.
     AcceptInterrupted = 3,
+    /// `socket` fails with ENFILE.
     SocketFileTable = 4,
+    /// `socket` fails with ENOBUFS.
     SocketNoBuffers = 5,
+    /// `connect` fails with EADDRNOTAVAIL.
     ConnectNoAddress = 6,
+    /// `connect` fails with ENETUNREACH.
     ConnectUnreachable = 7,
+    /// `connect` fails with ENOBUFS.
     ConnectNoBuffers = 8,
+    /// `epoll_wait` fails with EINTR.
     WaitInterrupted = 9,
+    /// A read from a socket takes a part of the bytes.
     ReadShort = 10,
+    /// A read from a socket fails with EINTR.
     ReadInterrupted = 11,
+    /// A read from a server breaks the connection with ETIMEDOUT.
     ReadTimedOut = 12,
+    /// A read from a server breaks the connection with EHOSTUNREACH.
     ReadHostUnreachable = 13,
+    /// A write to a socket takes a part of the bytes.
     WriteShort = 14,
+    /// A write to a socket fails with EINTR.
     WriteInterrupted = 15,
+    /// A write to a server breaks the connection with ETIMEDOUT.
     WriteTimedOut = 16,
+    /// A write to a server breaks the connection with EHOSTUNREACH.
     WriteHostUnreachable = 17,
+    /// A write to a socket fails with ENOBUFS.
     WriteNoBuffers = 18,
+    /// Opening a file fails with ENFILE.
     FileOpen = 19,
+    /// Reading a file fails with EIO.
     FileRead = 20,
+    /// Writing a file fails with ENOSPC.
     FileWrite = 21,
+    /// Syncing a file fails with EIO.
     FileSync = 22,
+    /// A write to a socket is delayed.
     WriteHeld = 23,
+    /// A read from or write to a client breaks the connection with ETIMEDOUT.
     ClientTimedOut = 24,
+    /// A read from or write to a client breaks the connection with EHOSTUNREACH.
     ClientUnreachable = 25,
+    /// The wall clock is stepped.
     ClockStep = 26,
 }
 
-/// What is to be injected, and what has been. The rig writes and reads the same layout in the file.
+/// What is to be injected, and what has been. The fault tests read and write the same layout in the file.
 #[derive(Default)]
 #[repr(C)]
 pub struct Control {
@@ -75,12 +106,17 @@
 /// 0: not looked for yet; 1: there is none; 2: [`CONTROL`] has it.
 static LOOKED: AtomicU8 = AtomicU8::new(0);
 
-/// What a descriptor is, by how it was opened.
+/// A descriptor that is not subject to faults.
 const OTHER: u8 = 0;
+/// A connection from a client.
 const ACCEPTED: u8 = 1;
+/// A socket for a connection to a server.
 const CONNECTED: u8 = 2;
+/// A file that is subject to faults.
 const FILE: u8 = 3;
+/// Descriptors from this number on are not subject to faults.
 const DESCRIPTORS: usize = 65_536;
+/// How each descriptor was opened.
 static OPENED: [AtomicU8; DESCRIPTORS] = [const { AtomicU8::new(OTHER) }; DESCRIPTORS];
 
 const EINTR: c_int = 4;
@@ -101,51 +137,7 @@
 const PROT_READ_WRITE: c_int = 3;
 const MAP_SHARED: c_int = 1;
 
-#[cfg(target_arch = "x86_64")]
-mod number {
-    use std::ffi::c_long;
-    pub const READ: c_long = 0;
-    pub const WRITE: c_long = 1;
-    pub const CLOSE: c_long = 3;
-    pub const MMAP: c_long = 9;
-    pub const WRITEV: c_long = 20;
-    pub const NANOSLEEP: c_long = 35;
-    pub const SOCKET: c_long = 41;
-    pub const CONNECT: c_long = 42;
-    pub const SENDTO: c_long = 44;
-    pub const RECVFROM: c_long = 45;
-    pub const SHUTDOWN: c_long = 48;
-    pub const FSYNC: c_long = 74;
-    pub const FDATASYNC: c_long = 75;
-    pub const GETTID: c_long = 186;
-    pub const CLOCK_GETTIME: c_long = 228;
-    pub const OPENAT: c_long = 257;
-    pub const EPOLL_PWAIT: c_long = 281;
-    pub const ACCEPT4: c_long = 288;
-}
-#[cfg(target_arch = "aarch64")]
-mod number {
-    use std::ffi::c_long;
-    pub const EPOLL_PWAIT: c_long = 22;
-    pub const OPENAT: c_long = 56;
-    pub const CLOSE: c_long = 57;
-    pub const READ: c_long = 63;
-    pub const WRITE: c_long = 64;
-    pub const WRITEV: c_long = 66;
-    pub const FSYNC: c_long = 82;
-    pub const FDATASYNC: c_long = 83;
-    pub const NANOSLEEP: c_long = 101;
-    pub const CLOCK_GETTIME: c_long = 113;
-    pub const GETTID: c_long = 178;
-    pub const SOCKET: c_long = 198;
-    pub const CONNECT: c_long = 203;
-    pub const SENDTO: c_long = 206;
-    pub const RECVFROM: c_long = 207;
-    pub const SHUTDOWN: c_long = 210;
-    pub const MMAP: c_long = 222;
-    pub const ACCEPT4: c_long = 242;
-}
-
+/// An `iovec`.
 #[repr(C)]
 #[derive(Clone, Copy)]
 pub struct Slice {
@@ -153,6 +145,7 @@
     length: usize,
 }
 
+/// A `timespec`.
 #[repr(C)]
 pub struct Time {
     seconds: i64,
@@ -377,80 +370,3 @@
     }
     syscall(number::WRITEV, file, slices, count) as isize
 }
-
-/// # Safety
-/// As `read(2)`.
-#[no_mangle]
-pub unsafe extern "C" fn read(file: c_int, bytes: *mut c_void, length: usize) -> isize {
-    let failed = match opened(file) {
-        FILE => failure(&[(Kind::FileRead, EIO)]),
-        _ => None,
-    };
-    failed.unwrap_or_else(|| syscall(number::READ, file, bytes, length)) as isize
-}
-
-/// # Safety
-/// As `write(2)`.
-#[no_mangle]
-pub unsafe extern "C" fn write(file: c_int, bytes: *const c_void, length: usize) -> isize {
-    let failed = match opened(file) {
-        FILE => failure(&[(Kind::FileWrite, ENOSPC)]),
-        _ => None,
-    };
-    failed.unwrap_or_else(|| syscall(number::WRITE, file, bytes, length)) as isize
-}
-
-/// # Safety
-/// As `fsync(2)`.
-#[no_mangle]
-pub unsafe extern "C" fn fsync(file: c_int) -> c_int {
-    let failed = failure(&[(Kind::FileSync, EIO)]);
-    failed.unwrap_or_else(|| syscall(number::FSYNC, file)) as c_int
-}
-
-/// # Safety
-/// As `fdatasync(2)`.
-#[no_mangle]
-pub unsafe extern "C" fn fdatasync(file: c_int) -> c_int {
-    let failed = failure(&[(Kind::FileSync, EIO)]);
-    failed.unwrap_or_else(|| syscall(number::FDATASYNC, file)) as c_int
-}
-
-/// # Safety
-/// As `open(2)`.
-#[no_mangle]
-pub unsafe extern "C" fn open64(path: *const c_char, flags: c_int, mode: u32) -> c_int {
-    let folder = getenv(FOLDER_VARIABLE.as_ptr());
-    let ours =
-        !folder.is_null() && CStr::from_ptr(path).to_bytes().starts_with(CStr::from_ptr(folder).to_bytes());
-    let failed = if ours { failure(&[(Kind::FileOpen, ENFILE)]) } else { None };
-    let file = failed.unwrap_or_else(|| syscall(number::OPENAT, AT_FDCWD, path, flags, mode));
-    note(file, if ours { FILE } else { OTHER });
-    file as c_int
-}
-
-/// # Safety
-/// As `close(2)`.
-#[no_mangle]
-pub unsafe extern "C" fn close(file: c_int) -> c_int {
-    note(c_long::from(file), OTHER);
-    syscall(number::CLOSE, file) as c_int
-}
-
-/// # Safety
-/// As `clock_gettime(2)`.
-#[no_mangle]
-pub unsafe extern "C" fn clock_gettime(clock: c_int, time: *mut Time) -> c_int {
-    let done = syscall(number::CLOCK_GETTIME, clock, time);
-    if let (CLOCK_REALTIME, 0, Some(control)) = (clock, done, control()) {
-        let offset = control.wall_offset_ns.load(Relaxed);
-        if offset != 0 {
-            let now = i128::from((*time).seconds) * 1_000_000_000 + i128::from((*time).nanoseconds);
-            let stepped = (now + i128::from(offset)).max(0);
-            (*time).seconds = (stepped / 1_000_000_000) as i64;
-            (*time).nanoseconds = (stepped % 1_000_000_000) as i64;
-            control.injected[Kind::ClockStep as usize].fetch_add(1, Relaxed);
-        }
-    }
-    done as c_int
-}
