--- a/replication/src/lessor.rs
+++ b/replication/src/lessor.rs
@@ -21,7 +21,8 @@
 #[derive(Clone, Debug)]
 pub struct Lessor {
     config: LeaseConfig,
-    holders: BTreeMap<Member, Holder>,
+    /// Every follower that is remembered, also those without a lease.
+    followers: BTreeMap<Member, Holder>,
     index: ScopeIndex,
     expired_at: f64,
 }
@@ -29,7 +30,7 @@
 impl Lessor {
     /// A lessor that has not granted a lease.
     pub fn new(config: LeaseConfig, now: f64) -> Self {
-        Lessor { config, holders: BTreeMap::new(), index: ScopeIndex::default(), expired_at: now }
+        Lessor { config, followers: BTreeMap::new(), index: ScopeIndex::default(), expired_at: now }
     }
 
     /// The response to a poll that has arrived at `now`, from the content of the store. Its lease lasts for at most
@@ -49,7 +50,7 @@
         let burst_bytes = bytes_per_s * config.burst_s;
         let request_bytes = frame_bytes(request);
         let new = || Holder::new(now, burst_bytes, request.sequence);
-        let holder = self.holders.entry(request.member.clone()).or_insert_with(new);
+        let holder = self.followers.entry(request.member.clone()).or_insert_with(new);
         holder.accrue(now, bytes_per_s, burst_bytes);
         let first_unacknowledged = holder.acknowledge(now, request);
         let is_subscribed = holder.update_subscription(&mut self.index, &request.subscription);
@@ -81,7 +82,7 @@
         let idle_ms = config.max_held_ms().max(config.burst_s * MS_PER_S) * EXPIRY_RATIO;
         if now > self.expired_at + idle_ms {
             self.expired_at = now;
-            self.holders.retain(|_, holder| holder.lease_until > now || now - holder.polled_at < idle_ms);
+            self.followers.retain(|_, holder| holder.lease_until > now || now - holder.polled_at < idle_ms);
         }
     }
 
@@ -92,13 +93,13 @@
 
     /// The members whose leases last at `now`, with the progress that they have reported.
     pub fn holders(&self, now: f64) -> impl Iterator<Item = (&Member, Progress)> {
-        let current = self.holders.iter().filter(move |(_, holder)| holder.lease_until > now);
+        let current = self.followers.iter().filter(move |(_, holder)| holder.lease_until > now);
         current.map(|(member, holder)| (member, holder.progress))
     }
 
     /// The number of followers that are remembered.
     pub fn follower_count(&self) -> usize {
-        self.holders.len()
+        self.followers.len()
     }
 }
 
--- a/replication/src/lib.rs
+++ b/replication/src/lib.rs
@@ -8,8 +8,15 @@
 //! [`follower`]. Primary and replicas answer followers through a [`lessor`]. [`store`] and [`tables`] implement [`storage`],
 //! [`wire`] has the messages and their bytes, and [`placement`] says which replica a gateway calls.
 //!
+//! - **member**: a process that takes part: a gateway, a replica or the primary.
+//! - **primary**: the member that orders changes into revisions; **replica**: a member between it and the gateways.
+//! - **follower**: a member that polls for the state: a gateway, or a replica.
+//! - **lessor**: the side of the primary, or of a replica, that answers followers and grants leases.
+//! - **holder**: a follower whose lease lasts, see [`lessor::Lessor::holders`].
+//!
 //! [`rules`] has the rules as one document and says when two of them conflict; [`endpoint_list`] decides which endpoint
-//! lists from discovery may be proposed.
+//! lists from discovery may be proposed. [`rules::conflicts`], [`rules::VersionedRules`] and [`endpoint_list::validate`] are
+//! used by simulators, scale tests and benches, not by the gateway yet.
 //!
 //! The order of revisions, and who may grant leases, are to come from a consensus among voters, which is not part of this
 //! crate: [`primary::Primary::confirm_leadership`] is told when a majority has last confirmed the leader.
