--- a/balancer/tests/spillover.rs
+++ b/balancer/tests/spillover.rs
@@ -6,7 +6,7 @@
 use ternstack_balancer::*;
 
 #[test]
-fn a_crowded_local_zone_spills_over_and_an_idle_one_does_not() {
+fn a_saturated_local_zone_spills_over_and_an_idle_one_does_not() {
     let mut gateway = TestGateway::new(settings(), 0);
     gateway.update(UpdateKind::Delta, vec![record(0), EndpointRecord { zone: 1, ..record(1) }]);
     let mut order = Vec::new();
--- a/control-plane/tests/frames.rs
+++ b/control-plane/tests/frames.rs
@@ -57,7 +57,7 @@
 }
 
 #[tokio::test]
-async fn what_is_no_frame_is_told_by_what_was_expected() {
+async fn malformed_frames_are_reported_with_what_was_expected() {
     let sound = bytes(&Message::GetStatus).await;
     let mut swapped = sound.clone();
     *swapped.last_mut().expect("a byte") ^= 1;
--- a/control-plane/tests/operator_file.rs
+++ b/control-plane/tests/operator_file.rs
@@ -39,7 +39,7 @@
 }
 
 #[test]
-fn what_is_wrong_is_told_by_line_key_and_what_was_expected() {
+fn faults_are_reported_with_line_key_and_what_was_expected() {
     for (was, is, told) in [
         ("lease_ms = 1900.0", "lease_mss = 1900.0", &["unknown field `lease_mss`", "`lease_ms`"][..]),
         ("lease_ms = 1900.0", "lease_ms = \"long\"", &["lease_ms: ", "string", "f64"]),
@@ -127,7 +127,7 @@
 "#;
 
 #[test]
-fn the_staffs_changes_become_entries() {
+fn admin_changes_become_entries() {
     let changes = parse_changes(&example(), "c.toml", CHANGES).expect("sound");
     assert!(changes.iter().all(|c| c.entry.is_none_or(|entry| entry.fits(c.scope))));
     let entry =
@@ -145,7 +145,7 @@
 }
 
 #[test]
-fn a_fault_in_the_staffs_changes_is_told_by_line_and_key() {
+fn a_fault_in_admin_changes_is_reported_with_line_and_key() {
     for (was, is, told) in [
         ("service = \"desks\"", "service = \"rooms\"", "c.toml:3: host.service: expected one of desks"),
         ("address = \"10.2.0.4:8080\"", "", "c.toml:2: host.address: expected an address:port"),
--- a/control-plane/tests/program.rs
+++ b/control-plane/tests/program.rs
@@ -46,7 +46,7 @@
 }
 
 #[tokio::test]
-async fn machines_are_started_told_looked_at_and_stopped() {
+async fn servers_start_take_proposals_report_their_status_and_stop() {
     let dir = tempfile::tempdir().expect("a directory");
     let [o, d] = ports();
     let operator = format!(
--- a/control-plane/tests/recorded_bytes.rs
+++ b/control-plane/tests/recorded_bytes.rs
@@ -304,7 +304,7 @@
 }
 
 #[test]
-fn a_snapshot_file_that_is_not_sound_is_told_in_the_recorded_words() {
+fn an_invalid_snapshot_file_is_reported_in_the_recorded_words() {
     let folder = tempfile::tempdir().expect("a folder");
     let file = folder.path().join("gateway.snapshot");
     let sound = snapshot().encode().expect("bytes");
--- a/control-plane/tests/recorded_settings.rs
+++ b/control-plane/tests/recorded_settings.rs
@@ -129,7 +129,7 @@
 }
 
 #[test]
-fn a_faulty_operators_file_is_told_in_the_recorded_words() {
+fn a_faulty_operators_file_is_reported_in_the_recorded_words() {
     let text = fixtures::text("operator_all_keys.toml");
     faults("operator_errors.txt", &text, |text| {
         OperatorFile::parse("op.toml", text).err().map(|e| e.to_string())
@@ -148,7 +148,7 @@
 }
 
 #[test]
-fn a_faulty_file_of_changes_is_told_in_the_recorded_words() {
+fn a_faulty_file_of_changes_is_reported_in_the_recorded_words() {
     let (operator, text) = (operator(), fixtures::text("changes_all_keys.toml"));
     let problem = |text: &str| parse_changes(&operator, "changes.toml", text).err().map(|e| e.to_string());
     faults("changes_errors.txt", &text, problem);
--- a/fault-tests/tests/invariants.rs
+++ b/fault-tests/tests/invariants.rs
@@ -56,7 +56,7 @@
     EventKind::AvailabilityChanged { member: member.into(), unavailable: out }
 }
 
-fn told(serving: bool) -> EventKind {
+fn notified(serving: bool) -> EventKind {
     EventKind::EndpointStateSent { gateway: 0, host: 0, serving }
 }
 
@@ -64,7 +64,7 @@
 fn sound() -> Vec<(u64, EventKind)> {
     let mut all = vec![
         (0, EventKind::ServerStarted { host: 1 }),
-        (1, told(true)),
+        (1, notified(true)),
         (10, asked("a", "look")),
         (12, arrived("a", 0, 12)),
         (20, made("a", "for a")),
@@ -90,7 +90,7 @@
         (2700, out("host 2", true)),
         (2800, out("host 1", false)),
         (2900, out("host 3", true)),
-        (3000, told(false)),
+        (3000, notified(false)),
     ];
     all.extend((0..15).map(|n| (3100 + n * 250, EventKind::RequestAdmitted { tenant: "acme".into() })));
     all
@@ -186,7 +186,7 @@
     assert_eq!((slept(3500), slept(3005)), (vec![], vec![Invariant::Draining]));
     assert_eq!(
         violated(|h| {
-            h.push((4000, told(true)));
+            h.push((4000, notified(true)));
             h.push((4100, arrived("e", 0, 4060)));
         }),
         []
--- a/gateway/tests/budget.rs
+++ b/gateway/tests/budget.rs
@@ -1,4 +1,4 @@
-//! Who gives way when budget are short: floods of silent, slow and idle connections beside usual clients.
+//! Who gives way when descriptors are short: floods of silent, slow and idle connections beside usual clients.
 use std::collections::{BTreeMap, HashMap};
 use ternstack_gateway::budget::{ClientId, ConnectionState, DescriptorBudget, DescriptorGrant};
 
@@ -92,8 +92,8 @@
     }
 }
 
-/// A hundred requests a second on new connections, each kept when it is done, beside so many others a second.
-fn beside(others: Who, per_s: u64) -> Play {
+/// A hundred requests a second on new connections, each kept when it is done, while others open connections at a given rate.
+fn play_with_others(others: Who, per_s: u64) -> Play {
     let mut play = Play::new(200);
     for ms in 0..5000 {
         if ms % 10 == 0 {
@@ -111,7 +111,7 @@
 fn idle_clients_evict_no_connection_whose_request_is_on_its_way() {
     // The row of idle ones is full all the time. Were who has brought nothing yet to go first, each new connection
     // would push out the one before it, whose request is on its way, and nobody else: incident rfd526e.
-    let play = beside(Who::Usual, 400);
+    let play = play_with_others(Who::Usual, 400);
     assert_eq!(play.pushed_out.get(&(Who::Usual, true)), None);
     assert_eq!(play.turned_away.get(&Who::Usual), None);
     assert!(play.served >= 2490, "{}", play.served);
@@ -122,7 +122,7 @@
 fn floods_evict_themselves() {
     for flood in [Who::Silent, Who::Slow] {
         for per_s in [100, 1000, 5000] {
-            let play = beside(flood, per_s);
+            let play = play_with_others(flood, per_s);
             assert_eq!(play.pushed_out.get(&(Who::Usual, true)), None, "{flood:?} at {per_s}");
             if flood == Who::Silent {
                 assert_eq!(play.turned_away.get(&Who::Usual), None, "{per_s}");
@@ -131,7 +131,7 @@
         }
     }
     // Slow ones that fill all budget hold them for half a second at most.
-    let play = beside(Who::Slow, 100);
+    let play = play_with_others(Who::Slow, 100);
     assert!(play.served >= 499, "{}", play.served);
 }
 
--- a/gateway/tests/control.rs
+++ b/gateway/tests/control.rs
@@ -192,7 +192,7 @@
 }
 
 #[tokio::test]
-async fn while_control_is_gone_it_serves_by_what_it_has_and_a_restart_begins_with_the_snapshot() {
+async fn while_the_control_plane_is_unreachable_it_serves_its_last_state_and_restarts_from_the_snapshot() {
     let (log, _guard) = Log::start();
     let dir = tempfile::tempdir().expect("a directory");
     let path = dir.path().join("g.snapshot");
@@ -304,7 +304,7 @@
 }
 
 #[tokio::test]
-async fn a_faulty_operators_file_is_told_by_line_and_key_and_ends_with_2() {
+async fn a_faulty_operators_file_is_reported_with_line_and_key_and_exit_code_2() {
     let dir = tempfile::tempdir().expect("a directory");
     let (file, configured) = (dir.path().join("op.toml"), dir.path().join("config.json"));
     std::fs::write(&configured, config(vec![], nobody().await).to_string()).expect("written");
--- a/gateway/tests/parsers.rs
+++ b/gateway/tests/parsers.rs
@@ -46,14 +46,14 @@
 }
 
 /// What a reader gives, without the place in memory that it stands in.
-fn told<S: StartLine>(bytes: &[u8], cuts: &[u8]) -> (Vec<Told>, Result<(), ParseError>) {
+fn parsed<S: StartLine>(bytes: &[u8], cuts: &[u8]) -> (Vec<Parsed>, Result<(), ParseError>) {
     let (messages, end) = read::<S>(bytes, cuts);
     let fields = |m: &CompleteMessage<S>| format!("{:?}", m.fields.iter().collect::<Vec<_>>());
     (messages.iter().map(|m| (fields(m), m.body.clone(), m.keep_alive)).collect(), end)
 }
 
 /// Fields, body, and whether another message may follow.
-type Told = (String, Bytes, bool);
+type Parsed = (String, Bytes, bool);
 
 fn spoilt(text: &str, spoils: &[(usize, u8)]) -> Vec<u8> {
     let mut bytes = text.as_bytes().to_vec();
@@ -78,25 +78,25 @@
         [(200, b"desk", true), (503, b"", false), (200, b"desk", true), (200, b"to the end", false)];
     assert_eq!(bodies, expected);
     check(1, |cuts: Vec<u8>| {
-        told::<RequestLine>(ASKS.as_bytes(), &cuts) == told::<RequestLine>(ASKS.as_bytes(), &[])
+        parsed::<RequestLine>(ASKS.as_bytes(), &cuts) == parsed::<RequestLine>(ASKS.as_bytes(), &[])
     });
     check(2, |cuts: Vec<u8>| {
-        told::<StatusLine>(ANSWERS.as_bytes(), &cuts) == told::<StatusLine>(ANSWERS.as_bytes(), &[])
+        parsed::<StatusLine>(ANSWERS.as_bytes(), &cuts) == parsed::<StatusLine>(ANSWERS.as_bytes(), &[])
     });
 }
 
 #[test]
 fn malformed_messages_end_alike_wherever_they_are_cut() {
     check(3, |(bytes, cuts): (Vec<u8>, Vec<u8>)| {
-        told::<RequestLine>(&bytes, &cuts) == told::<RequestLine>(&bytes, &[])
+        parsed::<RequestLine>(&bytes, &cuts) == parsed::<RequestLine>(&bytes, &[])
     });
     check(4, |(spoils, cuts): (Vec<(usize, u8)>, Vec<u8>)| {
         let bytes = spoilt(ASKS, &spoils[..spoils.len().min(3)]);
-        told::<RequestLine>(&bytes, &cuts) == told::<RequestLine>(&bytes, &[])
+        parsed::<RequestLine>(&bytes, &cuts) == parsed::<RequestLine>(&bytes, &[])
     });
     check(5, |(spoils, cuts): (Vec<(usize, u8)>, Vec<u8>)| {
         let bytes = spoilt(ANSWERS, &spoils[..spoils.len().min(3)]);
-        told::<StatusLine>(&bytes, &cuts) == told::<StatusLine>(&bytes, &[])
+        parsed::<StatusLine>(&bytes, &cuts) == parsed::<StatusLine>(&bytes, &[])
     });
 }
 
--- a/replication/tests/catch_up.rs
+++ b/replication/tests/catch_up.rs
@@ -23,7 +23,7 @@
     Change { scope: Scope::Hosts(n % 3), key: Key::of(&n.to_string()), entry: Some(Entry::Host(host)) }
 }
 
-fn gone(n: u32) -> Change {
+fn removed(n: u32) -> Change {
     Change { entry: None, ..host(n, false) }
 }
 
@@ -110,8 +110,8 @@
 fn who_was_apart_gets_changes_or_a_start_whichever_is_smaller() {
     let cases: [(&str, Vec<Change>, bool); 3] = [
         ("a tenth was drained", (0..HOSTS / 10).map(|n| host(n, true)).collect(), false),
-        ("most are gone", (100..HOSTS).map(gone).collect(), false),
-        ("tombstones are forgotten", (0..60).map(gone).collect(), true),
+        ("most are gone", (100..HOSTS).map(removed).collect(), false),
+        ("tombstones are forgotten", (0..60).map(removed).collect(), true),
     ];
     for (words, changes, forgets) in cases {
         let mut primary = primary();
@@ -183,7 +183,7 @@
         let sum: usize = caught_up.iter().map(|b| b.1).sum();
         println!("{words}: {bytes} bytes to the machine between, {sum} to a gateway");
         // The hour apart: hosts are drained and removed.
-        let all = (0..300).map(|n| host(n, true)).chain((300..600).map(gone));
+        let all = (0..300).map(|n| host(n, true)).chain((300..600).map(removed));
         propose(&mut primary, begins + 100_000.0, all);
     }
 }
@@ -206,7 +206,7 @@
         ScopeMode::Conservative,
         "kept, but without a lease"
     );
-    propose(&mut primary, 10_000.0, [host(1, true), gone(2)]);
+    propose(&mut primary, 10_000.0, [host(1, true), removed(2)]);
     let again = catch_up(&mut follower, 20_000.0, |now, ask| {
         primary.confirm_leadership(now);
         primary.tick(now);
--- a/replication/tests/store.rs
+++ b/replication/tests/store.rs
@@ -255,7 +255,7 @@
 }
 
 #[test]
-fn removals_forgotten_within_a_fetch_are_told_by_the_digest() {
+fn removals_forgotten_within_a_fetch_are_detected_by_the_digest() {
     let [well, anew] = play(100..160, true);
     assert!(well > 3000 && anew > 0 && anew < well / 20, "{well} {anew}");
 }
--- a/replication/tests/wire.rs
+++ b/replication/tests/wire.rs
@@ -145,7 +145,7 @@
         decode(&bytes[..at % bytes.len()]) == Ok(None)
     }
 
-    fn a_bit_that_is_swapped_in_the_message_is_told(any: Any, at: usize, bit: u8) -> bool {
+    fn a_flipped_bit_in_a_message_is_detected(any: Any, at: usize, bit: u8) -> bool {
         let mut bytes = frame(&any.0);
         let at = 4 + at % (bytes.len() - 4);
         bytes[at] ^= 1 << (bit % 8);
@@ -177,7 +177,7 @@
 }
 
 #[test]
-fn lengths_and_formats_out_of_bounds_are_told_before_the_rest_has_come() {
+fn invalid_lengths_and_formats_are_reported_before_the_rest_arrives() {
     let long = ((MAX_FRAME_BYTES - 3) as u32).to_be_bytes();
     assert_eq!(decode(&long), Err(FrameError::Length(MAX_FRAME_BYTES + 1)));
     assert_eq!(decode(&4u32.to_be_bytes()), Err(FrameError::Length(8)));
--- a/settings/tests/keys.rs
+++ b/settings/tests/keys.rs
@@ -78,7 +78,7 @@
     lines.join("\n") + "\n"
 }
 
-fn told(conf: &Value) -> String {
+fn outcome_text(conf: &Value) -> String {
     match Deployment::from_json(conf) {
         Ok(_) => "taken".into(),
         Err(error) => error.to_string(),
@@ -164,7 +164,7 @@
 fn faulty_settings_keep_the_texts_of_their_errors() {
     let mut seen = String::new();
     for faulty in FAULTY.lines().filter(|line| !line.starts_with("  ")) {
-        let _ = writeln!(seen, "{faulty}\n  {}", told(&changed_settings(faulty)));
+        let _ = writeln!(seen, "{faulty}\n  {}", outcome_text(&changed_settings(faulty)));
     }
     if std::env::var("SETTINGS").is_ok_and(|wanted| wanted == "print") {
         println!(
