--- a/balancer/src/action.rs
+++ b/balancer/src/action.rs
@@ -9,7 +9,8 @@
 pub enum RejectionReason {
     /// Its tenant is over its quota while the fleet is full.
     QuotaExceeded,
-    /// No endpoint has capacity for it in time.
+    /// It was shed at random, since the fleet is overloaded or its tenant or class stalls; or no endpoint
+    /// could take it in time; or it may not be retried any more.
     NoCapacity,
     /// It arrived too late for a response of any value.
     TooLate,
--- a/balancer/src/attempt_assessment.rs
+++ b/balancer/src/attempt_assessment.rs
@@ -3,6 +3,8 @@
 //! Rule: an attempt has stalled if it got no response in a time in which it should have had one, or one
 //! after more than twice the typical latency of the slowest class and the shortest latency objective. An
 //! attempt that had too little time left for a response says nothing.
+//!
+//! A stall here concerns one attempt; a stalled event loop, in the gateway, is a process that stood still.
 
 use crate::event::{AttemptEnd, Outcome};
 
--- a/balancer/src/balancer/requests.rs
+++ b/balancer/src/balancer/requests.rs
@@ -62,7 +62,7 @@
         }
     }
 
-    /// Whether a request is shed on arrival, and why.
+    /// Whether a request is rejected on arrival, and why.
     ///
     /// The order of the random draws is part of the behaviour, since the same seed and events lead to the
     /// same actions: first the draw of [`admission::arrives_too_late`], which is made even where another
@@ -266,7 +266,8 @@
         actions.push(Action::Reject { request, reason, retry_after_ms });
     }
 
-    /// The client has disconnected: cancels its attempts in flight, where that is permitted.
+    /// The gateway has closed the request: its client has disconnected, or its deadline has passed. Cancels
+    /// its attempts in flight, where that is permitted.
     pub(super) fn on_client_disconnected(&mut self, id: RequestId, actions: &mut Vec<Action>) {
         let Some(request) = self.requests.remove(&id) else { return };
         self.pending.remove(id);
--- a/balancer/src/event.rs
+++ b/balancer/src/event.rs
@@ -142,7 +142,7 @@
     },
     /// An attempt has ended.
     AttemptEnd(AttemptEnd),
-    /// The client no longer waits for the request.
+    /// The client no longer waits for the request: it has disconnected, or the deadline has passed.
     ClientDisconnected {
         /// The request.
         request: RequestId,
--- a/balancer/src/outlier_ejection.rs
+++ b/balancer/src/outlier_ejection.rs
@@ -3,8 +3,12 @@
 //! Rule: an endpoint whose failure ratio lies [`EJECTION_MARGIN_RATIO`] above the mean is ejected. After an
 //! interval it gets one trial request, which must be idempotent where such requests exist. A failed trial
 //! doubles the interval. A response ends the ejection, be it an error or a rejection, unless its latency
-//! counts as a stall; so does a new start of the endpoint's process. Where everything fails or is slow at
-//! once, the mean rises too and few are ejected.
+//! counts as a stall; so does a new start of the endpoint's process, unless it is in slow start already. Time
+//! alone only makes a trial due. Where everything fails or is slow at once, the mean rises too and few are
+//! ejected.
+//!
+//! An endpoint that neither the list nor a response has confirmed is ejected by one failed connection. An
+//! unlisted endpoint whose interval reaches the maximum is removed.
 
 use crate::decaying::DecayingRatio;
 use crate::failure_ratios::FAILURE_GAIN_RATIO;
--- a/balancer/src/retry_after.rs
+++ b/balancer/src/retry_after.rs
@@ -3,7 +3,8 @@
 //! Rule: a request over its tenant's limit may be retried once the tenant's rate has decayed to the limit.
 //! Any other rejected request should be retried after the longest delay that clients accept: a response to
 //! it would have no value any more, or the fleet has no capacity for it. Both delays are limited to what
-//! clients accept.
+//! clients accept. The gateway gives the longest delay, too, to requests that it rejects itself (open request
+//! limit, spare connection, eviction, shutdown, disconnect).
 
 /// When the client of a rejected request should retry.
 #[derive(Clone, Copy, Debug, PartialEq)]
--- a/balancer/src/settings.rs
+++ b/balancer/src/settings.rs
@@ -110,11 +110,12 @@
     pub max_retry_after_ms: f64,
     /// A watch, or a poll, of discovery must be at most this old, in ms.
     pub max_discovery_age_ms: f64,
-    /// An endpoint starts with this fraction of its capacity or more, from 0 to 1.
+    /// An endpoint starts with this fraction of its capacity or more, from 0 to 1. Key `safety.cold_share`.
     pub slow_start_min_ratio: f64,
-    /// An endpoint has its full capacity after this time, in ms.
+    /// An endpoint has its full capacity after this time, in ms. Key `safety.cold_ms`.
     pub slow_start_ms: f64,
-    /// An endpoint in slow start fails when sent more than this multiple of its capacity at that moment.
+    /// An endpoint in slow start fails when sent more than this multiple of its capacity at that moment. Key
+    /// `safety.tip_multiple`.
     pub slow_start_overload_multiple: f64,
     /// Only a drain that the endpoint list has shown binds: an endpoint that is removed without one may
     /// still be sent to.
--- a/balancer/src/slow_start.rs
+++ b/balancer/src/slow_start.rs
@@ -9,10 +9,10 @@
 //! ```
 //!
 //! where `by_age` is the mean capacity of the fleet's endpoints (without load reports: the mean rate that
-//! they are sent), times the endpoint's listed size relative to the mean, times its warm-up ratio; and
-//! `reported` is the capacity that its own load reports show, 0 before the first report. The reported
-//! capacity is added because an endpoint that reports has shown that it carries that rate; it at most
-//! doubles what the age alone allows.
+//! they are sent), at least 1 request a second, times the endpoint's listed size relative to the mean, times
+//! its warm-up ratio; and `reported` is the capacity that its own load reports show, 0 before the first
+//! report. The reported capacity is added because an endpoint that reports has shown that it carries that
+//! rate; it at most doubles what the age alone allows.
 //!
 //! Only some gateways, next to the endpoint on a ring that all know, share it; the others send it nothing
 //! until it is warm. The mean number of gateways that use an endpoint cannot be the divisor: it grows
--- a/control-plane/src/gateway_client/events.rs
+++ b/control-plane/src/gateway_client/events.rs
@@ -19,7 +19,7 @@
 }
 
 impl<F: FnMut(f64, ClientEvent)> EventSender<F> {
-    /// Holds no lease yet.
+    /// Holds no lease yet: a client that never gets one sends no [`ClientEvent::LeaseExpired`].
     pub fn new(handler: F) -> Self {
         EventSender { handler, holds_lease: false }
     }
--- a/control-plane/src/polling_client.rs
+++ b/control-plane/src/polling_client.rs
@@ -197,7 +197,7 @@
                 }
                 ConnectionEnd::Disconnected(reason) => {
                     let backoff = Duration::from_secs_f64(selection.on_failure() / 1000.0);
-                    info!(name = self.name, server = ?address, %reason, "control server left");
+                    info!(name = self.name, server = ?address, %reason, "leaving control server");
                     sleep(backoff).await;
                 }
             }
--- a/gateway/src/control/endpoint_view.rs
+++ b/gateway/src/control/endpoint_view.rs
@@ -1,5 +1,5 @@
 //! The endpoints that the replicated state amounts to, and the lists that bring the event loop up to date with it.
-use super::pending_changes::PendingChanges;
+use super::unpublished_changes::UnpublishedChanges;
 use crate::endpoint_list::{Endpoint, EndpointList, EndpointState};
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -67,14 +67,14 @@
 
     /// The lists to publish, in their order: the complete list once all services are known, then deltas.
     pub fn update(
-        &mut self, core: &Follower<Tables>, now_ms: f64, changes: PendingChanges,
+        &mut self, core: &Follower<Tables>, now_ms: f64, changes: UnpublishedChanges,
     ) -> Vec<EndpointList> {
         let state = Replicated { core, now_ms };
         let is_known = |scope: &Scope| core.scope_mode(now_ms, *scope) != ScopeMode::Unknown;
         let is_first_complete = !self.has_published_all && self.services.iter().all(is_known);
         let keys = match changes {
-            PendingChanges::Keys(keys) if !is_first_complete => keys,
-            PendingChanges::Keys(_) | PendingChanges::All => self.all_keys(core),
+            UnpublishedChanges::Keys(keys) if !is_first_complete => keys,
+            UnpublishedChanges::Keys(_) | UnpublishedChanges::All => self.all_keys(core),
         };
         let mut changed = Vec::new();
         let mut removed = Vec::new();
--- a/gateway/src/control/mod.rs
+++ b/gateway/src/control/mod.rs
@@ -2,11 +2,12 @@
 //! section. Follows the replicated hosts of its services and the zones, and publishes them to the event loop.
 //!
 //! A host that drains, or whose zone is out of service, is published as draining, and a removed one as deleted. Without a
-//! lease, or while a service is stale, no host is added, and hosts that any known revision drains or removes are draining.
+//! lease, or while a service is stale, no host is added to those published, and published hosts that any known revision drains,
+//! removes or gives another address are draining. The first complete list is the exception: it has all known hosts, with
+//! a lease or without, so that a restart from a snapshot can serve.
 use crate::endpoint_list::EndpointList;
 use crate::events::{DiscoveryEvent, EventSender, GatewayEvent};
 use endpoint_view::EndpointView;
-use pending_changes::PendingChanges;
 use std::collections::BTreeMap;
 use std::convert::Infallible;
 use std::path::{Path, PathBuf};
@@ -16,9 +17,10 @@
 use thiserror::Error;
 use tokio::sync::{mpsc, Notify};
 use tracing::{debug, info, warn};
+use unpublished_changes::UnpublishedChanges;
 
 mod endpoint_view;
-mod pending_changes;
+mod unpublished_changes;
 
 pub use endpoint_view::with_replicated_uids;
 
@@ -85,14 +87,14 @@
 
 /// The pending changes, shared between the client, which records them, and [`publish_changes`].
 struct SharedChanges {
-    pending: Mutex<PendingChanges>,
+    pending: Mutex<UnpublishedChanges>,
     recorded: Notify,
 }
 
 impl SharedChanges {
     /// All endpoints are to be published: the snapshot may have some already.
     fn new() -> Self {
-        SharedChanges { pending: Mutex::new(PendingChanges::All), recorded: Notify::new() }
+        SharedChanges { pending: Mutex::new(UnpublishedChanges::All), recorded: Notify::new() }
     }
 
     /// Records what an event changes. Called by the client under its lock, so it only wakes the publisher.
@@ -112,7 +114,7 @@
     }
 
     /// Takes the pending changes; waits until there are some.
-    async fn take(&self) -> PendingChanges {
+    async fn take(&self) -> UnpublishedChanges {
         loop {
             let taken = std::mem::take(&mut *self.lock());
             if !taken.is_empty() {
@@ -122,7 +124,7 @@
         }
     }
 
-    fn lock(&self) -> MutexGuard<'_, PendingChanges> {
+    fn lock(&self) -> MutexGuard<'_, UnpublishedChanges> {
         self.pending.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
--- a/gateway/src/control/pending_changes.rs
+++ b/gateway/src/control/unpublished_changes.rs
@@ -9,21 +9,21 @@
 
 /// The keys whose endpoints may have changed since they were published.
 #[derive(Debug)]
-pub(super) enum PendingChanges {
+pub(super) enum UnpublishedChanges {
     /// These keys.
     Keys(BTreeSet<Key>),
     /// All keys.
     All,
 }
 
-impl Default for PendingChanges {
+impl Default for UnpublishedChanges {
     /// Nothing has changed.
     fn default() -> Self {
-        PendingChanges::Keys(BTreeSet::new())
+        UnpublishedChanges::Keys(BTreeSet::new())
     }
 }
 
-impl PendingChanges {
+impl UnpublishedChanges {
     /// Adds what an event changes.
     pub fn record(&mut self, event: ClientEvent) {
         match event {
@@ -34,21 +34,21 @@
                 | FollowerEvent::Stale(_),
             )
             | ClientEvent::LeaseAcquired
-            | ClientEvent::LeaseExpired => *self = PendingChanges::All,
+            | ClientEvent::LeaseExpired => *self = UnpublishedChanges::All,
             ClientEvent::Follower(_) => {}
         }
     }
 
     /// Whether nothing has changed.
     pub fn is_empty(&self) -> bool {
-        matches!(self, PendingChanges::Keys(keys) if keys.is_empty())
+        matches!(self, UnpublishedChanges::Keys(keys) if keys.is_empty())
     }
 
     fn add_key(&mut self, key: Key) {
-        let PendingChanges::Keys(keys) = self else { return };
+        let UnpublishedChanges::Keys(keys) = self else { return };
         keys.insert(key);
         if keys.len() > MAX_TRACKED_KEY_COUNT {
-            *self = PendingChanges::All;
+            *self = UnpublishedChanges::All;
         }
     }
 }
--- a/gateway/src/loop_lag.rs
+++ b/gateway/src/loop_lag.rs
@@ -8,6 +8,8 @@
 //!   bytes may have reached the machine;
 //! - a deadline that passes while there is a lag is not counted as a violated invariant;
 //! - [`catch_up`] runs before an attempt's first byte, so that disconnects and drains that arrived meanwhile take effect first.
+//!
+//! A stall here is the process standing still; a stalled attempt, in the balancer, is one without a timely response.
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
 use tokio::task::yield_now;
--- a/gateway/src/permit.rs
+++ b/gateway/src/permit.rs
@@ -139,8 +139,8 @@
     pub send_by: Option<Instant>,
     /// Its endpoint is in service, in the incarnation that was picked.
     pub endpoint_in_service: bool,
-    /// The attempt has not been cancelled.
-    pub client_waits: bool,
+    /// The attempt has been cancelled.
+    pub is_cancelled: bool,
 }
 
 impl FirstByte {
@@ -149,7 +149,7 @@
     /// # Errors
     /// The first reason against it.
     pub fn check(&self, now: Instant) -> Result<(), Denial> {
-        if !self.client_waits {
+        if self.is_cancelled {
             return Err(Denial::RequestClosed);
         }
         if !self.endpoint_in_service {
--- a/gateway/src/upstream/exchange.rs
+++ b/gateway/src/upstream/exchange.rs
@@ -54,7 +54,7 @@
         give_up_at: attempt.give_up_at,
         send_by: attempt.send_by,
         endpoint_in_service: attempt.is_endpoint_in_service(),
-        client_waits: matches!(attempt.cancelled.try_recv(), Err(TryRecvError::Empty)),
+        is_cancelled: !matches!(attempt.cancelled.try_recv(), Err(TryRecvError::Empty)),
     }
     .check(Instant::now())
 }
--- a/replication/src/lease.rs
+++ b/replication/src/lease.rs
@@ -12,11 +12,11 @@
 
 /// Polls in the duration of one lease: four may be lost before it expires.
 const POLLS_PER_LEASE_RATIO: f64 = 5.0;
-/// A replica polls so many times as often as a gateway: its lease bounds those of its followers.
+/// A replica polls this many times as often as a gateway: its lease bounds those of its followers.
 const REPLICA_POLL_RATIO: f64 = 2.0;
-/// A follower with progress to report would poll so many times in a regular interval.
+/// A follower with progress to report waits for a regular interval divided by this.
 const PROMPT_POLLS_PER_INTERVAL_RATIO: f64 = 8.0;
-/// A follower gives up on so many responses, at least, before a lease expires.
+/// The duration of a lease divided by this is the longest wait for a response.
 const RESPONSE_TIMEOUTS_PER_LEASE_RATIO: f64 = 2.0;
 
 /// The settings of leases and of what followers may send and receive.
