--- a/settings/src/deployment.rs
+++ b/settings/src/deployment.rs
@@ -1,4 +1,4 @@
-//! The settings of a deployment: from the keys of its JSON object to the terms of the code.
+//! The validated settings of a deployment, read from the keys of their JSON object.
 
 use crate::defaults;
 use crate::error::DeploymentError;
@@ -9,25 +9,25 @@
     DeduplicationScope, Idempotency, LoadReportDelivery, RequestClass, Settings, Tenant,
 };
 
-/// Everything that the settings of a deployment say.
+/// The validated settings of a deployment, with defaults in place of absent keys.
 #[derive(Clone, Debug)]
 pub struct Deployment {
-    /// What the balancer needs, checked.
+    /// The settings of the balancer, already validated.
     pub balancer: Settings,
-    /// The names behind the balancer's numbers.
+    /// The names of the classes, tenants and zones that the balancer knows by number.
     pub names: NameTable,
-    /// A connection attempt has failed that takes longer than this, in ms.
+    /// Maximum time to connect to an endpoint, in ms; a slower connection attempt fails.
     pub connect_timeout_ms: f64,
-    /// The most requests that may be open at once.
+    /// Maximum number of requests open at the gateway at once.
     pub max_open_requests: usize,
 }
 
 impl Deployment {
-    /// Reads and checks the settings. Keys that are not known are ignored.
+    /// Reads and validates the settings. Unknown keys are ignored.
     ///
     /// # Errors
     ///
-    /// The first key that is missing, of the wrong type or out of range.
+    /// Returns an error that names the first key that is missing, of the wrong type or out of range.
     pub fn from_json(settings: &Value) -> Result<Self, DeploymentError> {
         if !settings.is_object() {
             return Err(DeploymentError::NotAnObject);
@@ -39,7 +39,7 @@
         let mut names = NameTable::new(
             classes.iter().map(|class| class.name.clone()).collect(),
             tenants.iter().map(|tenant| tenant.name.clone()).collect(),
-            root.texts("zones")?,
+            root.strings("zones")?,
         );
         let balancer = read_balancer_settings(&root, classes, tenants, &mut names)?;
         balancer.check()?;
@@ -61,10 +61,10 @@
     let deduplication_scope = read_deduplication_scope(class)?;
     let deadline_ms = class.number("deadline_ms")?;
     Ok(RequestClass {
-        name: class.text_or("name", "")?.to_string(),
+        name: class.string_or("name", "")?.to_string(),
         latency_objective_ms: class.number_or("aim_ms", deadline_ms)?,
         deadline_ms,
-        late_value_ratio: class.number_or("late_value", defaults::LATE_VALUE_RATIO)?,
+        late_value_ratio: class.number_or("late_value", defaults::LATE_VALUE)?,
         idempotency,
         deduplication_scope,
         deduplication_window_ms: class.number_or("window_ms", defaults::DEDUPLICATION_WINDOW_MS)?,
@@ -72,20 +72,20 @@
 }
 
 fn read_idempotency(class: &Section) -> Result<Idempotency, DeploymentError> {
-    match class.text_or("effect", "unsafe")? {
+    match class.string_or("effect", "unsafe")? {
         "safe" => Ok(Idempotency::Idempotent),
         "keyed" => Ok(Idempotency::IdempotentWithKey),
         "unsafe" => Ok(Idempotency::NonIdempotent),
-        other => Err(class.unknown_word("effect", other)),
+        other => Err(class.unknown_value("effect", other)),
     }
 }
 
 fn read_deduplication_scope(class: &Section) -> Result<DeduplicationScope, DeploymentError> {
-    match class.text_or("group", "cell")? {
+    match class.string_or("group", "cell")? {
         "all" => Ok(DeduplicationScope::All),
         "zone" => Ok(DeduplicationScope::Zone),
         "cell" => Ok(DeduplicationScope::Cell),
-        other => Err(class.unknown_word("group", other)),
+        other => Err(class.unknown_value("group", other)),
     }
 }
 
@@ -95,7 +95,7 @@
 
 fn read_tenant(tenant: &Section) -> Result<Tenant, DeploymentError> {
     Ok(Tenant {
-        name: tenant.text_or("name", "")?.to_string(),
+        name: tenant.string_or("name", "")?.to_string(),
         quota_per_s: tenant.number_or("quota_per_s", defaults::QUOTA_PER_S)?,
     })
 }
@@ -108,25 +108,25 @@
     let result_mix = root.section("result_mix", "result_mix.");
     let load_report_delivery = read_load_report_delivery(&root.section("report", "report."))?;
     let poll_discovery = read_poll_discovery(root)?;
-    let clients_heed_retry_after = limits.flag_or("retry_after", true)?;
+    let clients_honor_retry_after = limits.bool_or("retry_after", true)?;
     Ok(Settings {
         classes,
         tenants,
         gateway_count: root.number_or("instances", f64::from(defaults::GATEWAY_COUNT))? as u32,
         gateway_index: root.number_or("me", f64::from(defaults::GATEWAY_INDEX))? as u32,
-        zone: names.zone_number(root.text_or("zone", "")?),
+        zone: names.zone_number(root.string_or("zone", "")?),
         tick_ms: root.number_or("tick_ms", defaults::TICK_MS)?,
-        weights_reflect_load: root.text_or("weights", "off")? == "live",
+        weights_reflect_load: root.string_or("weights", "off")? == "live",
         cross_zone_cost_ratio: root
             .section("deductions", "deductions.")
-            .number_or("cross_zone", defaults::CROSS_ZONE_COST_RATIO)?,
+            .number_or("cross_zone", defaults::CROSS_ZONE_COST)?,
         connection_idle_timeout_ms: limits.number_or("conn_idle_ms", defaults::CONNECTION_IDLE_TIMEOUT_MS)?,
         load_report_delivery,
         poll_discovery,
-        max_attempts: limits.number_or("max_attempts", f64::from(defaults::MAX_ATTEMPTS_COUNT))? as u32,
-        health_checks_allowed: limits.flag_or("may_probe", false)?,
-        cancellation_allowed: limits.flag_or("cancel", false)?,
-        max_retry_after_ms: if clients_heed_retry_after {
+        max_attempts: limits.number_or("max_attempts", f64::from(defaults::MAX_ATTEMPTS))? as u32,
+        health_checks_allowed: limits.bool_or("may_probe", false)?,
+        cancellation_allowed: limits.bool_or("cancel", false)?,
+        max_retry_after_ms: if clients_honor_retry_after {
             limits.number_or("max_retry_after_ms", defaults::MAX_RETRY_AFTER_MS)?
         } else {
             0.0
@@ -136,26 +136,26 @@
         slow_start_ms: safety.number_or("cold_ms", defaults::SLOW_START_MS)?,
         slow_start_overload_multiple: safety
             .number_or("tip_multiple", defaults::SLOW_START_OVERLOAD_MULTIPLE)?,
-        removal_is_advisory: safety.flag_or("removal_not_binding", false)?,
+        removal_is_advisory: safety.bool_or("removal_not_binding", false)?,
         availability_weight: result_mix.number_or("nines", defaults::AVAILABILITY_WEIGHT)?,
         availability_target_nines: read_optional_number(&result_mix, "top_nines")?,
     })
 }
 
 fn read_load_report_delivery(report: &Section) -> Result<LoadReportDelivery, DeploymentError> {
-    match report.text_or("how", "off")? {
+    match report.string_or("how", "off")? {
         "inline" => Ok(LoadReportDelivery::Inline),
         "on_probe" => Ok(LoadReportDelivery::OnHealthCheck),
         "off" => Ok(LoadReportDelivery::Off),
-        _ => Err(report.not_expected("how", "inline, on_probe or off")),
+        _ => Err(report.invalid_value("how", "inline, on_probe or off")),
     }
 }
 
 fn read_poll_discovery(root: &Section) -> Result<bool, DeploymentError> {
-    match root.text_or("discovery", "push")? {
+    match root.string_or("discovery", "push")? {
         "ask" => Ok(true),
         "push" => Ok(false),
-        _ => Err(root.not_expected("discovery", "ask or push")),
+        _ => Err(root.invalid_value("discovery", "ask or push")),
     }
 }
 
@@ -177,9 +177,9 @@
 }
 
 fn read_max_open_requests(limits: &Section) -> Result<usize, DeploymentError> {
-    let count = limits.number_or("max_open", f64::from(defaults::MAX_OPEN_REQUEST_COUNT))?;
-    if count < 1.0 {
+    let max_open_requests = limits.number_or("max_open", f64::from(defaults::MAX_OPEN_REQUESTS))?;
+    if max_open_requests < 1.0 {
         return Err(DeploymentError::OutOfRange { key: "limits.max_open", requirement: "1 or more" });
     }
-    Ok(count as usize)
+    Ok(max_open_requests as usize)
 }
--- a/settings/src/error.rs
+++ b/settings/src/error.rs
@@ -1,45 +1,45 @@
-//! What can be wrong with the settings of a deployment.
+//! Errors of reading the settings of a deployment.
 
 use ternstack_balancer::SettingsError;
 use thiserror::Error;
 
-/// Settings that cannot be used, by the first key at fault.
+/// The reason why settings are rejected: the first key that is missing or invalid.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum DeploymentError {
-    /// The settings are some other JSON value than an object.
+    /// The settings are a JSON value other than an object.
     #[error("settings are not a JSON object")]
     NotAnObject,
     /// A required key is absent or null.
     #[error("{key} is missing")]
     Missing {
-        /// The key's path, such as `classes[].deadline_ms`.
+        /// Path of the key, such as `classes[].deadline_ms`.
         key: String,
     },
-    /// A value is of another type, or none of the words that the key allows.
-    #[error("{key} is not {expected}")]
-    NotExpected {
-        /// The key's path.
+    /// A value has the wrong type or is not one of the values that its key allows.
+    #[error("{key} must be {expected}")]
+    InvalidValue {
+        /// Path of the key, such as `classes[].deadline_ms`.
         key: String,
-        /// The type, or the words.
+        /// The expected type or the allowed values, as in "a number".
         expected: &'static str,
     },
-    /// A word that the key does not know.
-    #[error("{key}={word} is not known")]
-    UnknownWord {
-        /// The key's path.
+    /// A string is not one of the values that its key allows.
+    #[error("{key}={value} is not a known value")]
+    UnknownValue {
+        /// Path of the key, such as `classes[].effect`.
         key: String,
-        /// The word as given.
-        word: String,
+        /// The string as given.
+        value: String,
     },
-    /// A value lies outside its range.
+    /// A number lies outside the range of its key.
     #[error("{key} must be {requirement}")]
     OutOfRange {
-        /// The key's path.
+        /// Path of the key, such as `limits.max_open`.
         key: &'static str,
-        /// The range.
+        /// The allowed range, as in "above 0".
         requirement: &'static str,
     },
-    /// The balancer cannot use a value.
+    /// A value that the balancer does not accept.
     #[error(transparent)]
     Balancer(#[from] SettingsError),
 }
--- a/settings/src/lib.rs
+++ b/settings/src/lib.rs
@@ -1,9 +1,9 @@
-//! Reads the settings of a deployment from their JSON object, checks them, and fills in the defaults.
+//! Reads the settings of a deployment from their JSON object, validates them and fills in the defaults.
 //!
-//! The simulator adapter receives the object in its start message, the gateway in its configuration file;
-//! keys and units are the same. [`Deployment::from_json`] is the only entry; an error names the faulty key by
-//! its path, such as `limits.max_open`. The keys are the platform's words; this crate is where they become
-//! the terms of the code (`docs/GLOSSARY.md` maps them).
+//! The simulator adapter receives the object in the line that starts a gateway, the gateway in its
+//! configuration file; both use the same keys and units. [`Deployment::from_json`] is the only entry point.
+//! Errors name the invalid key by its path, such as `limits.max_open`. The platform defines the names of the
+//! keys; this crate maps them to the terms of the code (`docs/GLOSSARY.md` lists both).
 #![forbid(unsafe_code)]
 #![deny(missing_docs, clippy::too_many_lines, clippy::cognitive_complexity)]
 
--- a/settings/src/names.rs
+++ b/settings/src/names.rs
@@ -1,6 +1,6 @@
-//! The names behind the balancer's numbers.
+//! Maps the names of classes, tenants and zones to the numbers that the balancer uses.
 
-/// The names of classes, tenants and zones, each numbered by its place in the settings.
+/// The names of classes, tenants and zones, each numbered from 0 by its position in the settings.
 #[derive(Clone, Debug)]
 pub struct NameTable {
     classes: Vec<String>,
@@ -13,17 +13,18 @@
         NameTable { classes, tenants, zones }
     }
 
-    /// The index of a class in the settings; `None` if they do not list it.
+    /// Returns the index of a class in the settings, or `None` if the settings do not list the class.
     pub fn class_index(&self, name: &str) -> Option<usize> {
         index_of(&self.classes, name)
     }
 
-    /// The index of a tenant in the settings; `None` if they do not list it.
+    /// Returns the index of a tenant in the settings, or `None` if the settings do not list the tenant.
     pub fn tenant_index(&self, name: &str) -> Option<usize> {
         index_of(&self.tenants, name)
     }
 
-    /// The number of a zone. A zone that has not been seen before gets the next number.
+    /// Returns the number of a zone. A zone that is not in the table yet is added with the next free number,
+    /// because discovery may report zones that the settings do not list.
     pub fn zone_number(&mut self, name: &str) -> u32 {
         let index = index_of(&self.zones, name).unwrap_or_else(|| {
             self.zones.push(name.to_string());
@@ -34,5 +35,5 @@
 }
 
 fn index_of(names: &[String], name: &str) -> Option<usize> {
-    names.iter().position(|known| known == name)
+    names.iter().position(|listed| listed == name)
 }
--- a/settings/tests/keys.rs
+++ b/settings/tests/keys.rs
@@ -1,4 +1,7 @@
-//! Every key of the settings, read to the same values: the values in a fixed order, hanging on no name.
+//! Checks the values read from every key of the settings, the defaults of absent keys and the error messages.
+//!
+//! The values are written in a fixed order under labels of this test, so that the fixtures do not depend on
+//! the names of fields and types. `SETTINGS=print` in the environment prints the current values and errors.
 
 use serde_json::Value;
 use std::fmt::Write as _;
@@ -6,19 +9,19 @@
 use ternstack_settings::{stable_hash, Deployment};
 
 const ALL_KEYS: &str = include_str!("fixtures/all-keys.json");
-const ALL_VALUES: &str = include_str!("fixtures/all-keys.txt");
+const ALL_KEYS_VALUES: &str = include_str!("fixtures/all-keys.txt");
 const DEFAULT_VALUES: &str = include_str!("fixtures/defaults.txt");
-const FAULTY: &str = include_str!("fixtures/faulty.txt");
+const INVALID_SETTINGS: &str = include_str!("fixtures/faulty.txt");
 
-/// The least that can be worked with.
-const LEAST: &str = r#"{"classes":[{"deadline_ms":600}]}"#;
+/// Settings with the required keys only.
+const MINIMAL_SETTINGS: &str = r#"{"classes":[{"deadline_ms":600}]}"#;
 
-fn json(text: &str) -> Value {
-    serde_json::from_str(text).expect("JSON")
+fn parse_json(text: &str) -> Value {
+    serde_json::from_str(text).expect("the text is valid JSON")
 }
 
-/// All values of a deployment, each on a line of its own, with a word that says which.
-fn values(deployment: &Deployment) -> String {
+/// Formats all values of a deployment, one to three on a line, each after a label.
+fn format_values(deployment: &Deployment) -> String {
     let settings = &deployment.balancer;
     let mut lines: Vec<String> = Vec::new();
     for class in &settings.classes {
@@ -39,8 +42,8 @@
         lines.push(format!(" number {:?}", deployment.names.class_index(&class.name)));
     }
     for tenant in &settings.tenants {
-        let number = deployment.names.tenant_index(&tenant.name);
-        lines.push(format!("tenant {} quota {} number {number:?}", tenant.name, tenant.quota_per_s));
+        let index = deployment.names.tenant_index(&tenant.name);
+        lines.push(format!("tenant {} quota {} number {index:?}", tenant.name, tenant.quota_per_s));
     }
     lines.push(format!(
         "gateways {} index {} zone {}",
@@ -51,12 +54,12 @@
         "cross zone {} idle {}",
         settings.cross_zone_cost_ratio, settings.connection_idle_timeout_ms
     ));
-    let reports = match settings.load_report_delivery {
+    let load_reports = match settings.load_report_delivery {
         LoadReportDelivery::Inline => 0,
         LoadReportDelivery::OnHealthCheck => 1,
         LoadReportDelivery::Off => 2,
     };
-    lines.push(format!("reports {reports} polls {}", settings.poll_discovery));
+    lines.push(format!("reports {load_reports} polls {}", settings.poll_discovery));
     lines.push(format!("attempts {}", settings.max_attempts));
     lines.push(format!(
         "may probe {} may cancel {}",
@@ -78,62 +81,72 @@
     lines.join("\n") + "\n"
 }
 
-fn outcome_text(conf: &Value) -> String {
-    match Deployment::from_json(conf) {
+/// Returns the error of settings that are rejected, "taken" for settings that are accepted.
+fn format_result(settings: &Value) -> String {
+    match Deployment::from_json(settings) {
         Ok(_) => "taken".into(),
         Err(error) => error.to_string(),
     }
 }
 
 #[test]
-fn every_key_is_read_to_its_value() {
-    assert_eq!(values(&Deployment::from_json(&json(ALL_KEYS)).expect("sound settings")), ALL_VALUES);
+fn deployment_has_the_configured_value_of_every_key() {
+    assert_eq!(
+        format_values(&Deployment::from_json(&parse_json(ALL_KEYS)).expect("the settings are valid")),
+        ALL_KEYS_VALUES
+    );
 }
 
 #[test]
-fn what_is_left_out_gets_its_default() {
-    assert_eq!(values(&Deployment::from_json(&json(LEAST)).expect("sound settings")), DEFAULT_VALUES);
+fn deployment_uses_defaults_for_absent_keys() {
+    assert_eq!(
+        format_values(&Deployment::from_json(&parse_json(MINIMAL_SETTINGS)).expect("the settings are valid")),
+        DEFAULT_VALUES
+    );
 }
 
 #[test]
-fn every_key_of_the_fixture_counts() {
-    let all = json(ALL_KEYS);
-    let unchanged = values(&Deployment::from_json(&all).expect("sound settings"));
-    let mut paths = Vec::new();
-    walk(&all, "", &mut paths);
-    assert!(paths.len() >= 40, "{} keys", paths.len());
-    for path in paths {
-        let mut without = all.clone();
-        let (parent, key) = path.rsplit_once('/').expect("below the root");
-        let keys = without.pointer_mut(parent).and_then(Value::as_object_mut).expect("an object");
-        let was = keys.remove(key);
-        if was == Some(Value::Bool(true)) {
-            keys.insert(key.into(), Value::Bool(false)); // Where true is the default.
+fn deployment_changes_when_any_key_is_removed() {
+    let all_keys = parse_json(ALL_KEYS);
+    let unchanged = format_values(&Deployment::from_json(&all_keys).expect("the settings are valid"));
+    let mut pointers = Vec::new();
+    collect_pointers(&all_keys, "", &mut pointers);
+    assert!(pointers.len() >= 40, "the fixture has 40 keys or more, found {}", pointers.len());
+    for pointer in pointers {
+        let mut settings = all_keys.clone();
+        let (parent, key) = pointer.rsplit_once('/').expect("the pointer is below the root");
+        let object =
+            settings.pointer_mut(parent).and_then(Value::as_object_mut).expect("the key is in an object");
+        let removed = object.remove(key);
+        if removed == Some(Value::Bool(true)) {
+            // A boolean key may be true by default, so that removing it would not change the deployment.
+            object.insert(key.into(), Value::Bool(false));
         }
-        let seen = Deployment::from_json(&without).map(|deployment| values(&deployment)).unwrap_or_default();
-        assert_ne!(seen, unchanged, "{path} changes nothing");
+        let changed =
+            Deployment::from_json(&settings).map(|deployment| format_values(&deployment)).unwrap_or_default();
+        assert_ne!(changed, unchanged, "removing {pointer} changes the deployment");
     }
 }
 
-/// The pointers of all keys below objects, lists of objects included.
-fn walk(value: &Value, path: &str, paths: &mut Vec<String>) {
+/// Collects the JSON pointers of all keys of `value` and of the objects and lists within.
+fn collect_pointers(value: &Value, pointer: &str, pointers: &mut Vec<String>) {
     match value {
-        Value::Object(keys) => keys.iter().for_each(|(key, value)| {
-            let path = format!("{path}/{key}");
-            walk(value, &path, paths);
-            paths.push(path);
+        Value::Object(entries) => entries.iter().for_each(|(key, value)| {
+            let pointer = format!("{pointer}/{key}");
+            collect_pointers(value, &pointer, pointers);
+            pointers.push(pointer);
         }),
         Value::Array(values) => {
-            let below = values.iter().enumerate();
-            below.for_each(|(number, value)| walk(value, &format!("{path}/{number}"), paths));
+            let items = values.iter().enumerate();
+            items.for_each(|(index, value)| collect_pointers(value, &format!("{pointer}/{index}"), pointers));
         }
         _ => {}
     }
 }
 
 #[test]
-fn every_word_is_read_to_its_value() {
-    for (pointer, word, wanted) in [
+fn deployment_reads_each_allowed_word() {
+    for (pointer, word, expected_line) in [
         ("/classes/1/effect", "safe", " idempotency 0 scope 0"),
         ("/classes/1/effect", "keyed", " idempotency 1 scope 0"),
         ("/classes/1/effect", "unsafe", " idempotency 2 scope 0"),
@@ -148,46 +161,54 @@
         ("/weights", "live", "tick 2.5 live weights true"),
         ("/weights", "rough", "tick 2.5 live weights false"),
     ] {
-        let seen = values(
+        let formatted = format_values(
             &Deployment::from_json(&changed_settings(&format!("{pointer} \"{word}\"")))
-                .expect("sound settings"),
+                .expect("the settings are valid"),
+        );
+        assert!(
+            formatted.lines().any(|line| line == expected_line),
+            "{pointer} {word}: expected {expected_line:?} in {formatted}"
         );
-        assert!(seen.lines().any(|line| line == wanted), "{pointer} {word}: {seen}");
     }
-    let seen = values(
-        &Deployment::from_json(&changed_settings("/limits/retry_after false")).expect("sound settings"),
+    let formatted = format_values(
+        &Deployment::from_json(&changed_settings("/limits/retry_after false"))
+            .expect("the settings are valid"),
+    );
+    assert!(
+        formatted.lines().any(|line| line == "retry after 0"),
+        "expected \"retry after 0\" in {formatted}"
     );
-    assert!(seen.lines().any(|line| line == "retry after 0"), "{seen}");
 }
 
 #[test]
-fn faulty_settings_keep_the_texts_of_their_errors() {
-    let mut seen = String::new();
-    for faulty in FAULTY.lines().filter(|line| !line.starts_with("  ")) {
-        let _ = writeln!(seen, "{faulty}\n  {}", outcome_text(&changed_settings(faulty)));
+fn invalid_settings_are_rejected_with_the_recorded_errors() {
+    let mut formatted = String::new();
+    for change in INVALID_SETTINGS.lines().filter(|line| !line.starts_with("  ")) {
+        let _ = writeln!(formatted, "{change}\n  {}", format_result(&changed_settings(change)));
     }
-    if std::env::var("SETTINGS").is_ok_and(|wanted| wanted == "print") {
+    if std::env::var("SETTINGS").is_ok_and(|value| value == "print") {
         println!(
-            "{}\n{}\n{seen}",
-            values(&Deployment::from_json(&json(ALL_KEYS)).unwrap()),
-            values(&Deployment::from_json(&json(LEAST)).unwrap())
+            "{}\n{}\n{formatted}",
+            format_values(&Deployment::from_json(&parse_json(ALL_KEYS)).unwrap()),
+            format_values(&Deployment::from_json(&parse_json(MINIMAL_SETTINGS)).unwrap())
         );
     }
-    assert_eq!(seen, FAULTY);
+    assert_eq!(formatted, INVALID_SETTINGS);
 }
 
-/// A line is a whole JSON text, or a pointer and the value that takes its place in the fixture of all keys.
+/// Returns the settings that a line of the fixture describes: a whole JSON text, or a JSON pointer and
+/// the value that replaces the one at the pointer in the fixture of all keys.
 fn changed_settings(line: &str) -> Value {
     let Some((pointer, value)) = line.split_once(' ').filter(|(pointer, _)| pointer.starts_with('/')) else {
-        return json(line);
+        return parse_json(line);
     };
-    let mut settings = json(ALL_KEYS);
-    *settings.pointer_mut(pointer).expect("a key of the fixture") = json(value);
+    let mut settings = parse_json(ALL_KEYS);
+    *settings.pointer_mut(pointer).expect("the pointer is in the fixture of all keys") = parse_json(value);
     settings
 }
 
 #[test]
-fn a_host_name_has_the_same_number_everywhere() {
+fn stable_hash_returns_known_fnv_1a_values() {
     assert_eq!(stable_hash(""), 0xcbf2_9ce4_8422_2325);
     assert_eq!(stable_hash("10.0.0.1:80"), 0x529f_5a4b_643f_a605);
 }
--- a/simulator-adapter/tests/transcripts.rs
+++ b/simulator-adapter/tests/transcripts.rs
@@ -85,11 +85,11 @@
         ("", "conf is missing"),
         ("conf={", "conf is not readable JSON"),
         ("conf={\"classes\":[{\"name\":\"x\"}]}", "classes[].deadline_ms is missing"),
-        ("conf={\"classes\":7}", "classes is not a list"),
+        ("conf={\"classes\":7}", "classes must be a list"),
         ("conf={}", "setting classes: at least one is needed"),
-        ("conf={\"result_mix\":{\"nines\":\"much\"}}", "result_mix.nines is not a number"),
-        ("conf={\"result_mix\":{\"top_nines\":true}}", "result_mix.top_nines is not a number"),
-        ("conf={\"safety\":{\"removal_not_binding\":1}}", "safety.removal_not_binding is not true or false"),
+        ("conf={\"result_mix\":{\"nines\":\"much\"}}", "result_mix.nines must be a number"),
+        ("conf={\"result_mix\":{\"top_nines\":true}}", "result_mix.top_nines must be a number"),
+        ("conf={\"safety\":{\"removal_not_binding\":1}}", "safety.removal_not_binding must be true or false"),
     ] {
         let text = format!("ROUND sim_time_ms=1\nTO i=gateway-0\nINIT prng=1 {conf}\nFLUSH\n");
         let problem = play(&text).expect_err(conf);
