--- a/simulator-adapter/src/error.rs
+++ b/simulator-adapter/src/error.rs
@@ -1,153 +1,155 @@
-//! What can go wrong between the simulator and the balancer.
+//! Errors of the simulator's input and of the replies to it.
 
 use std::io;
 use ternstack_balancer::SettingsError;
 use ternstack_settings::DeploymentError;
 use thiserror::Error;
 
-/// Why the adapter stopped.
+/// The reason why the adapter stopped before the end of the input.
 #[derive(Debug, Error)]
 pub enum AdapterError {
-    /// The input failed.
-    #[error("line {line}: cannot be read: {source}")]
+    /// The input could not be read.
+    #[error("cannot read line {line_number}: {source}")]
     Read {
-        /// The line's number, from 1.
-        line: u64,
-        /// The error of the input.
+        /// Number of the line, from 1.
+        line_number: u64,
+        /// The I/O error of the input.
         source: io::Error,
     },
-    /// A line cannot be understood.
-    #[error("line {line}: {source}")]
+    /// A line is invalid.
+    #[error("line {line_number}: {source}")]
     Line {
-        /// The line's number, from 1.
-        line: u64,
-        /// What is wrong with it.
+        /// Number of the line, from 1.
+        line_number: u64,
+        /// What is wrong with the line.
         source: LineError,
     },
-    /// The output failed.
-    #[error("cannot write the reply: {0}")]
+    /// The reply to a batch could not be written.
+    #[error("cannot write the reply to a batch: {0}")]
     Write(#[source] io::Error),
 }
 
-/// What is wrong with a line.
+/// The reason why a line is invalid.
 #[derive(Debug, Error)]
 pub enum LineError {
-    /// An endpoint update announced more records than have come.
-    #[error("a list entry is missing before this line")]
+    /// An endpoint update has fewer records than it announced.
+    #[error("expected another M line for the last TOPOLOGY line")]
     RecordMissing,
-    /// An endpoint record without an update that announced it.
-    #[error("M outside a list")]
+    /// An endpoint record does not belong to an endpoint update.
+    #[error("M line is not announced by a TOPOLOGY line")]
     RecordOutsideUpdate,
-    /// A line came before one that must precede it.
-    #[error("{word} before any {required}")]
+    /// A line that needs a time or a selected gateway has no ROUND or TO line before it. ROUND clears the
+    /// selected gateway, so that each ROUND line needs a new TO line.
+    #[error("{keyword}: expected a {required} line first")]
     OutOfOrder {
-        /// The line's word.
-        word: String,
-        /// The word of the line that must precede it.
+        /// Keyword of the line.
+        keyword: String,
+        /// Keyword of the line that must precede it.
         required: &'static str,
     },
-    /// An event of a gateway that has not been started.
-    #[error("{word} for {gateway} before its INIT")]
+    /// An event is for a gateway that has not been started or has been removed.
+    #[error("{keyword}: expected an INIT line for {gateway} first")]
     UnknownGateway {
-        /// The line's word.
-        word: String,
-        /// The gateway's name.
+        /// Keyword of the line.
+        keyword: String,
+        /// Name of the gateway.
         gateway: String,
     },
-    /// A field of the line is faulty.
+    /// A field of a ROUND, TO, INIT or TOPOLOGY line is missing or invalid.
     #[error(transparent)]
     Field(#[from] FieldError),
-    /// A field of an event is faulty.
-    #[error("{word}: {source}")]
+    /// A field of an event is missing or invalid. In a TOPOLOGY line, only an unknown update kind or a field
+    /// without an equals sign gives this error.
+    #[error("{keyword}: {source}")]
     Event {
-        /// The line's word.
-        word: String,
+        /// Keyword of the line.
+        keyword: String,
         /// What is wrong with the field.
         source: FieldError,
     },
-    /// A start message without settings.
+    /// The line that starts a gateway has no settings.
     #[error("INIT: conf is missing")]
     SettingsMissing,
-    /// The settings of a start message are not JSON.
-    #[error("INIT: conf is not readable JSON: {0}")]
+    /// The settings of a gateway are not valid JSON.
+    #[error("INIT: conf is not valid JSON: {0}")]
     SettingsSyntax(#[source] serde_json::Error),
-    /// The settings of a start message cannot be used.
+    /// The settings of a gateway are missing a key or have an invalid value.
     #[error("INIT: conf: {0}")]
     Settings(#[from] DeploymentError),
-    /// The balancer does not take the settings.
-    #[error("INIT: {0}")]
+    /// The balancer rejects the settings of a gateway.
+    #[error("INIT: the balancer rejects conf: {0}")]
     Balancer(#[from] SettingsError),
 }
 
-/// What is wrong with a `name=value` field.
+/// The reason why a `name=value` field is invalid.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum FieldError {
-    /// A part of the line has no equals sign.
-    #[error("{part} is no name=value part")]
+    /// A part of a line has no equals sign.
+    #[error("{part} is not a name=value field")]
     NotAPair {
-        /// The part.
+        /// The part as given.
         part: String,
     },
     /// A required field is absent.
     #[error("{name} is missing")]
     Missing {
-        /// The field.
+        /// Name of the field.
         name: &'static str,
     },
-    /// A value is not a number of the field's type.
-    #[error("{name}={value} cannot be read as a number")]
+    /// A value cannot be parsed as a number of the field's type.
+    #[error("{name}={value} is not a valid number")]
     NotANumber {
-        /// The field.
+        /// Name of the field.
         name: &'static str,
         /// The value as given.
         value: String,
     },
     /// A number is infinite or NaN.
-    #[error("{name}={value} is no finite number")]
+    #[error("{name}={value} is not a finite number")]
     NotFinite {
-        /// The field.
+        /// Name of the field.
         name: &'static str,
-        /// The number, printed.
+        /// The number as formatted by Rust.
         value: String,
     },
     /// A flag is neither 0 nor 1.
     #[error("{name}={value} is neither 0 nor 1")]
     NotAFlag {
-        /// The field.
+        /// Name of the field.
         name: &'static str,
         /// The value as given.
         value: String,
     },
-    /// A word that the field does not know.
-    #[error("{name}={word} is not known")]
-    UnknownWord {
-        /// The field.
+    /// A value is not one of the values that the protocol defines for the field.
+    #[error("{name}={value} is not a known value")]
+    UnknownValue {
+        /// Name of the field.
         name: &'static str,
-        /// The word as given.
-        word: String,
+        /// The value as given.
+        value: String,
     },
-    /// A request class that the settings do not list.
-    #[error("{name}={class} is not in the settings")]
+    /// A request class is not listed in the settings.
+    #[error("{name}={class} is not a class of the settings")]
     UnknownClass {
-        /// The field.
+        /// Name of the field.
         name: &'static str,
-        /// The class.
+        /// Name of the class as given.
         class: String,
     },
     /// A part of a load report has no colon.
-    #[error("{name}: {pair} is no name:value pair")]
+    #[error("{name}: {pair} is not a name:value pair")]
     ReportNotAPair {
-        /// The field.
+        /// Name of the field that holds the load report.
         name: &'static str,
-        /// The part.
+        /// The part as given.
         pair: String,
     },
     /// A value of a load report is not a number.
-    #[error("{name}: {pair} is no number")]
+    #[error("{name}: the value of {pair} is not a number")]
     ReportNotANumber {
-        /// The field.
+        /// Name of the field that holds the load report.
         name: &'static str,
-        /// The part with the value.
+        /// The `name:value` pair as given.
         pair: String,
     },
 }
--- a/simulator-adapter/src/events.rs
+++ b/simulator-adapter/src/events.rs
@@ -1,4 +1,4 @@
-//! Reads the fields of event lines into the balancer's events.
+//! Converts the fields of event lines to the balancer's events.
 
 use crate::error::FieldError;
 use crate::fields::Fields;
@@ -9,18 +9,16 @@
 };
 use ternstack_settings::stable_hash;
 
-/// The weight of an endpoint whose record gives none.
+/// Weight of an endpoint whose record has no weight.
 const DEFAULT_WEIGHT: f64 = 1.0;
 
-/// The kind of an endpoint update.
 pub fn read_update_kind(fields: &Fields) -> Result<UpdateKind, FieldError> {
-    known_word(field::UPDATE_KIND, fields.text(field::UPDATE_KIND)?, protocol::update_kind)
+    parse_known_value(field::UPDATE_KIND, fields.text(field::UPDATE_KIND)?, protocol::parse_update_kind)
 }
 
-/// A record of the endpoint list.
 pub fn read_endpoint_record(gateway: &mut Gateway, fields: &Fields) -> Result<EndpointRecord, FieldError> {
     let readiness: Readiness =
-        known_word(field::READINESS, fields.text(field::READINESS)?, protocol::readiness)?;
+        parse_known_value(field::READINESS, fields.text(field::READINESS)?, protocol::parse_readiness)?;
     let name = fields.text(field::ENDPOINT)?;
     Ok(EndpointRecord {
         endpoint: gateway.endpoint_id(name),
@@ -33,7 +31,7 @@
     })
 }
 
-/// The arrival of a request.
+/// Reads the arrival of a request. An unknown tenant reads as no tenant, an unknown class is an error.
 pub fn read_arrival(gateway: &mut Gateway, fields: &Fields) -> Result<Event, FieldError> {
     let class_name = fields.text(field::CLASS)?;
     let unknown_class = || FieldError::UnknownClass { name: field::CLASS, class: class_name.to_string() };
@@ -45,12 +43,11 @@
     }))
 }
 
-/// The begin of a streamed response.
+/// Reads the start of a streamed response.
 pub fn read_response_start(gateway: &mut Gateway, fields: &Fields) -> Result<Event, FieldError> {
     Ok(Event::ResponseStarted { request: gateway.request_id(fields.text(field::REQUEST)?) })
 }
 
-/// The end of an attempt.
 pub fn read_attempt_end(gateway: &mut Gateway, fields: &Fields) -> Result<Event, FieldError> {
     Ok(Event::AttemptEnd(AttemptEnd {
         attempt: fields.parsed(field::ATTEMPT)?,
@@ -63,12 +60,10 @@
     }))
 }
 
-/// The disconnect of a request's client.
 pub fn read_client_disconnect(gateway: &mut Gateway, fields: &Fields) -> Result<Event, FieldError> {
     Ok(Event::ClientDisconnected { request: gateway.request_id(fields.text(field::REQUEST)?) })
 }
 
-/// The end of a health check.
 pub fn read_health_check_end(gateway: &mut Gateway, fields: &Fields) -> Result<Event, FieldError> {
     Ok(Event::HealthCheckEnd {
         endpoint: gateway.endpoint_id(fields.text(field::ENDPOINT)?),
@@ -77,25 +72,24 @@
     })
 }
 
-/// A timer that is due.
 pub fn read_timer(fields: &Fields) -> Result<Event, FieldError> {
     Ok(Event::Timer { token: fields.parsed(field::TIMER_TOKEN)? })
 }
 
 fn read_outcome(fields: &Fields) -> Result<Outcome, FieldError> {
-    known_word(field::OUTCOME, fields.text(field::OUTCOME)?, protocol::outcome)
+    parse_known_value(field::OUTCOME, fields.text(field::OUTCOME)?, protocol::parse_outcome)
 }
 
-/// A load report: `name:value` pairs with commas between them. Values of unknown names are skipped.
+/// Reads a load report: `name:value` pairs separated by commas. Pairs with an unknown name are skipped.
 fn read_load_report(fields: &Fields) -> Result<LoadReport, FieldError> {
     let name = field::LOAD_REPORT;
     let text = fields.text_or(name, "");
     let mut load_report = LoadReport::default();
     for pair in text.split(',').filter(|pair| !pair.is_empty() && *pair != report::ABSENT) {
-        let (key, value) = pair
+        let (metric, value) = pair
             .split_once(':')
             .ok_or_else(|| FieldError::ReportNotAPair { name, pair: pair.to_string() })?;
-        let slot = match key {
+        let slot = match metric {
             report::UTILIZATION => &mut load_report.utilization,
             report::QUEUE_LENGTH => &mut load_report.queue_length,
             report::THROUGHPUT_PER_S => &mut load_report.throughput_per_s,
@@ -108,9 +102,9 @@
     Ok(load_report)
 }
 
-/// What a word means, or an error that names the field and the word.
-fn known_word<T>(
-    name: &'static str, word: &str, meaning: impl Fn(&str) -> Option<T>,
+/// Parses the value of a field with `parse`; the error for an unknown value names the field and the value.
+fn parse_known_value<T>(
+    name: &'static str, value: &str, parse: impl Fn(&str) -> Option<T>,
 ) -> Result<T, FieldError> {
-    meaning(word).ok_or_else(|| FieldError::UnknownWord { name, word: word.to_string() })
+    parse(value).ok_or_else(|| FieldError::UnknownValue { name, value: value.to_string() })
 }
--- a/simulator-adapter/src/fields.rs
+++ b/simulator-adapter/src/fields.rs
@@ -3,18 +3,23 @@
 use crate::error::FieldError;
 use std::str::FromStr;
 
-/// The number of fields that most lines have at most.
-const USUAL_FIELD_COUNT: usize = 8;
+/// Initial capacity for the fields of a line; most lines have no more fields.
+const FIELD_CAPACITY: usize = 8;
 
-/// The fields of one line, in the order given. A line has few, so a linear search finds them fastest.
+/// The fields of one line in the order given. A line has few fields, so that a linear search is the fastest
+/// lookup.
 pub struct Fields<'a> {
     pairs: Vec<(&'a str, &'a str)>,
 }
 
 impl<'a> Fields<'a> {
-    /// Splits what follows the line's word.
+    /// Splits the text after the keyword of a line into fields.
+    ///
+    /// # Errors
+    ///
+    /// Returns an error for the first part without an equals sign.
     pub fn parse(text: &'a str) -> Result<Self, FieldError> {
-        let mut pairs = Vec::with_capacity(USUAL_FIELD_COUNT);
+        let mut pairs = Vec::with_capacity(FIELD_CAPACITY);
         for part in text.split(' ').filter(|part| !part.is_empty()) {
             let pair = part.split_once('=').ok_or_else(|| FieldError::NotAPair { part: part.to_string() })?;
             pairs.push(pair);
@@ -22,28 +27,27 @@
         Ok(Fields { pairs })
     }
 
-    /// Whether the field is there.
     pub fn has(&self, name: &str) -> bool {
         self.get(name).is_some()
     }
 
-    /// A required text.
+    /// Returns the text of a required field.
     pub fn text(&self, name: &'static str) -> Result<&'a str, FieldError> {
         self.get(name).ok_or(FieldError::Missing { name })
     }
 
-    /// A text, or the default where it is absent.
+    /// Returns the text of the field, or `default` if the field is absent.
     pub fn text_or(&self, name: &str, default: &'a str) -> &'a str {
         self.get(name).unwrap_or(default)
     }
 
-    /// A required number of any type.
+    /// Parses a required field as a number of type `T`, which may be infinite or NaN if `T` is a float.
     pub fn parsed<T: FromStr>(&self, name: &'static str) -> Result<T, FieldError> {
         let value = self.text(name)?;
         value.parse().map_err(|_| FieldError::NotANumber { name, value: value.to_string() })
     }
 
-    /// A number of any type, or the default where it is absent.
+    /// Parses the field as a number of type `T`, or returns `default` if the field is absent.
     pub fn parsed_or<T: FromStr>(&self, name: &'static str, default: T) -> Result<T, FieldError> {
         if self.has(name) {
             self.parsed(name)
@@ -52,7 +56,7 @@
         }
     }
 
-    /// A required finite number.
+    /// Parses a required field as a finite number.
     pub fn number(&self, name: &'static str) -> Result<f64, FieldError> {
         let number: f64 = self.parsed(name)?;
         if number.is_finite() {
@@ -62,7 +66,7 @@
         }
     }
 
-    /// A finite number, or the default where it is absent.
+    /// Parses the field as a finite number, or returns `default` if the field is absent.
     pub fn number_or(&self, name: &'static str, default: f64) -> Result<f64, FieldError> {
         if self.has(name) {
             self.number(name)
@@ -71,7 +75,7 @@
         }
     }
 
-    /// A flag, 0 or 1; 0 where it is absent.
+    /// Parses the field as a flag, 0 or 1. An absent flag is false.
     pub fn flag(&self, name: &'static str) -> Result<bool, FieldError> {
         match self.get(name) {
             None | Some("0") => Ok(false),
@@ -81,6 +85,6 @@
     }
 
     fn get(&self, name: &str) -> Option<&'a str> {
-        self.pairs.iter().find(|(known, _)| *known == name).map(|(_, value)| *value)
+        self.pairs.iter().find(|(field, _)| *field == name).map(|(_, value)| *value)
     }
 }
--- a/simulator-adapter/src/gateway.rs
+++ b/simulator-adapter/src/gateway.rs
@@ -1,20 +1,20 @@
-//! One simulated gateway.
+//! The state of one simulated gateway.
 
 use crate::names::NameInterner;
 use ternstack_balancer::{Balancer, EndpointId, RequestId, SettingsError};
 use ternstack_settings::{Deployment, NameTable};
 
-/// A gateway: its balancer, and the protocol's names with the numbers that the balancer has for them.
+/// A simulated gateway: its balancer, and the numbers by which the balancer knows the protocol's names.
 pub struct Gateway {
     pub balancer: Balancer,
-    /// Classes, tenants and zones, by the settings.
+    /// Classes, tenants and zones, numbered by their position in the settings.
     pub names: NameTable,
     endpoints: NameInterner,
     requests: NameInterner,
 }
 
 impl Gateway {
-    /// A gateway that knows only its settings; `seed` is that of the balancer's random generator.
+    /// Creates a gateway without endpoints and requests. `seed` seeds the random generator of the balancer.
     pub fn new(deployment: Deployment, seed: u64) -> Result<Self, SettingsError> {
         Ok(Gateway {
             balancer: Balancer::new(deployment.balancer, seed)?,
@@ -25,11 +25,11 @@
     }
 
     pub fn endpoint_id(&mut self, name: &str) -> EndpointId {
-        EndpointId(self.endpoints.number(name) as u32)
+        EndpointId(self.endpoints.intern(name) as u32)
     }
 
     pub fn request_id(&mut self, name: &str) -> RequestId {
-        RequestId(self.requests.number(name) as u64)
+        RequestId(self.requests.intern(name) as u64)
     }
 
     pub fn endpoint_name(&self, id: EndpointId) -> &str {
--- a/simulator-adapter/src/lib.rs
+++ b/simulator-adapter/src/lib.rs
@@ -1,10 +1,10 @@
-//! The balancer on the simulator's line protocol: lines become events, actions become lines.
+//! Connects the balancer to the simulator's line protocol: lines become events, actions become lines.
 //!
-//! One process plays all gateways of a simulated fleet. The simulator sends batches of lines, in which a
-//! time line sets the time of the lines that follow, in this batch and the next ones. [`run`] answers every
-//! batch with the lines of the actions that came of it. `protocol` holds the words of the simulator's
-//! lines and maps them to the balancer's terms, `events` reads the fields of events, and `reply` writes
-//! actions in the protocol's words. No decision is made here.
+//! One process runs all gateways of a simulated fleet. The simulator sends batches of lines. A time line sets
+//! the time of all lines up to the next time line, which may be in a later batch. [`run`] replies to every
+//! batch with the lines of the balancers' actions. `protocol` defines the words of the simulator's lines and
+//! maps them to the balancer's terms, `events` reads the fields of events, and `reply` writes the lines of
+//! actions. The adapter itself makes no load balancing decisions.
 #![forbid(unsafe_code)]
 #![deny(missing_docs, clippy::too_many_lines, clippy::cognitive_complexity)]
 
@@ -22,25 +22,27 @@
 use session::Session;
 use std::io::{BufRead, Write};
 
-/// Reads batches until the end of the input and writes the reply to each.
+/// Reads batches of lines until the end of the input and writes a reply to each batch.
 ///
 /// # Errors
 ///
-/// The first line that cannot be read or understood, by its number from 1, or a reply that cannot be written.
+/// Returns an error for the first line that cannot be read or is invalid, with the number of the line from 1,
+/// and for the first reply that cannot be written.
 pub fn run(mut input: impl BufRead, mut output: impl Write) -> Result<(), AdapterError> {
     let mut session = Session::default();
     let mut text = String::new();
-    let mut line = 0;
+    let mut line_number = 0;
     loop {
         text.clear();
-        line += 1;
-        let length = input.read_line(&mut text).map_err(|source| AdapterError::Read { line, source })?;
-        if length == 0 {
+        line_number += 1;
+        let bytes_read =
+            input.read_line(&mut text).map_err(|source| AdapterError::Read { line_number, source })?;
+        if bytes_read == 0 {
             return Ok(());
         }
         let batch_ended = session
-            .take_line(text.trim_end_matches(['\n', '\r']))
-            .map_err(|source| AdapterError::Line { line, source })?;
+            .handle_line(text.trim_end_matches(['\n', '\r']))
+            .map_err(|source| AdapterError::Line { line_number, source })?;
         if batch_ended {
             let reply = session.take_reply();
             output.write_all(reply.as_bytes()).and_then(|()| output.flush()).map_err(AdapterError::Write)?;
--- a/simulator-adapter/src/main.rs
+++ b/simulator-adapter/src/main.rs
@@ -1,10 +1,10 @@
-//! Speaks the simulator's line protocol on standard input and output.
+//! Runs the simulator adapter: reads the simulator's lines on standard input and replies on standard output.
 #![forbid(unsafe_code)]
 
 use std::io::{self, BufReader, BufWriter};
 use std::process::ExitCode;
 
-/// Buffer for each direction: large enough for a typical batch.
+/// Size of the input buffer and of the output buffer: enough for a typical batch of lines or its reply.
 const BUFFER_BYTES: usize = 1 << 16;
 
 fn main() -> ExitCode {
--- a/simulator-adapter/src/names.rs
+++ b/simulator-adapter/src/names.rs
@@ -1,8 +1,8 @@
-//! Numbers for the names of the protocol.
+//! Numbers for the names that the protocol gives to endpoints and requests.
 
 use std::collections::HashMap;
 
-/// Names numbered from 0 in the order in which they were met.
+/// Names, numbered from 0 in the order in which they were first interned.
 #[derive(Default)]
 pub struct NameInterner {
     numbers: HashMap<String, usize>,
@@ -10,8 +10,8 @@
 }
 
 impl NameInterner {
-    /// The number of a name; a new name gets the next one.
-    pub fn number(&mut self, name: &str) -> usize {
+    /// Returns the number of a name. A new name gets the next number.
+    pub fn intern(&mut self, name: &str) -> usize {
         if let Some(&number) = self.numbers.get(name) {
             return number;
         }
@@ -21,7 +21,11 @@
         number
     }
 
-    /// The name behind a number that [`NameInterner::number`] gave.
+    /// Returns the name that [`NameInterner::intern`] numbered.
+    ///
+    /// # Panics
+    ///
+    /// Panics if no name has the number.
     pub fn name(&self, number: usize) -> &str {
         &self.names[number]
     }
--- a/simulator-adapter/src/protocol.rs
+++ b/simulator-adapter/src/protocol.rs
@@ -1,46 +1,41 @@
-//! The words of the simulator's line protocol, each with the term that the code uses for it.
+//! The words of the simulator's line protocol, mapped to the terms of the balancer.
 
 use ternstack_balancer::{Outcome, Readiness, UpdateKind};
 
-/// What a line of a batch says.
+/// The kind of a line, as given by its keyword.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LineKind {
-    /// The time of the batch.
+    /// Sets the time of the lines that follow.
     Time,
-    /// The gateway that the following lines are for.
+    /// Selects the gateway that the following lines are for.
     SelectGateway,
-    /// The end of the batch.
     EndOfBatch,
-    /// The gateway starts, or starts anew.
+    /// Starts the selected gateway, or replaces it by a new one with the same name.
     StartGateway,
-    /// The gateway is gone.
+    /// Removes the selected gateway with all its state.
     RemoveGateway,
-    /// An event of the gateway.
+    /// An event for the selected gateway.
     Event(EventKind),
 }
 
-/// What an event's line says.
+/// The kind of an event, as given by the keyword of its line.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EventKind {
-    /// An update of the endpoint list; its records follow.
+    /// An update of the endpoint list; a line for each record of the update follows.
     EndpointUpdate,
-    /// A record of the endpoint list.
+    /// A record of the preceding endpoint update.
     EndpointRecord,
-    /// A request has arrived.
     RequestArrival,
-    /// The response of a streamed class has begun.
+    /// The response to a request of a streamed class has started.
     ResponseStarted,
-    /// An attempt has ended.
     AttemptEnd,
-    /// The client no longer waits.
+    /// A client has disconnected before the end of its request.
     ClientDisconnected,
-    /// A health check has ended.
     HealthCheckEnd,
-    /// A timer is due.
     Timer,
 }
 
-/// The words that lines begin with.
+/// The keywords, which are the first words of lines.
 pub mod line {
     pub const TIME: &str = "ROUND";
     pub const SELECT_GATEWAY: &str = "TO";
@@ -57,12 +52,12 @@
     pub const TIMER: &str = "BELL";
 }
 
-/// The names of fields in lines of the simulator.
+/// The names of the fields in the simulator's lines.
 pub mod field {
     pub const TIME_MS: &str = "sim_time_ms";
     pub const GATEWAY: &str = "i";
     pub const SEED: &str = "prng";
-    /// The settings: JSON up to the end of the line.
+    /// The settings of the gateway: JSON that extends to the end of the line and may contain spaces.
     pub const SETTINGS: &str = "conf";
     pub const UPDATE_KIND: &str = "mode";
     pub const RECORD_COUNT: &str = "hosts";
@@ -84,7 +79,7 @@
     pub const TIMER_TOKEN: &str = "ref";
 }
 
-/// The names of values in a load report; `ABSENT` stands for a report without values.
+/// The names of values in a load report; `ABSENT` stands in place of the pairs of a report without values.
 pub mod report {
     pub const ABSENT: &str = "-";
     pub const UTILIZATION: &str = "utilization";
@@ -92,23 +87,23 @@
     pub const QUEUE_LENGTH: &str = "backlog";
 }
 
-/// The words for kinds of endpoint updates.
-pub mod update_kind_word {
+/// The values of the field that gives the kind of an endpoint update.
+pub mod update_kind_value {
     pub const DELTA: &str = "incr";
     pub const COMPLETE: &str = "total";
     pub const CACHED: &str = "warm_copy";
     pub const WATCH_LOST: &str = "lost";
 }
 
-/// The words for readiness of endpoints.
-pub mod readiness_word {
+/// The values of the field that gives the readiness of an endpoint.
+pub mod readiness_value {
     pub const ACTIVE: &str = "active";
     pub const DRAINING: &str = "leaving";
     pub const REMOVED: &str = "left";
 }
 
-/// The words for outcomes of attempts and health checks.
-pub mod outcome_word {
+/// The values of the field that gives the outcome of an attempt or a health check.
+pub mod outcome_value {
     pub const SERVED: &str = "served";
     pub const SERVER_ERROR: &str = "server_error";
     pub const REJECTED: &str = "turned_away";
@@ -119,9 +114,10 @@
     pub const NOT_SENT: &str = "not_sent";
 }
 
-/// The kind of a line by its word; `None` for lines of newer protocols, which are skipped.
-pub fn line_kind(word: &str) -> Option<LineKind> {
-    let event = match word {
+/// Returns the kind of a line by its keyword. Lines with an unknown keyword (`None`) are skipped, because
+/// newer versions of the protocol may add keywords.
+pub fn parse_line_kind(keyword: &str) -> Option<LineKind> {
+    let event = match keyword {
         line::TIME => return Some(LineKind::Time),
         line::SELECT_GATEWAY => return Some(LineKind::SelectGateway),
         line::END_OF_BATCH => return Some(LineKind::EndOfBatch),
@@ -140,38 +136,38 @@
     Some(LineKind::Event(event))
 }
 
-/// The kind of an endpoint update by its word.
-pub fn update_kind(word: &str) -> Option<UpdateKind> {
-    match word {
-        update_kind_word::DELTA => Some(UpdateKind::Delta),
-        update_kind_word::COMPLETE => Some(UpdateKind::Complete),
-        update_kind_word::CACHED => Some(UpdateKind::Cached),
-        update_kind_word::WATCH_LOST => Some(UpdateKind::WatchLost),
+/// Returns the kind of an endpoint update, or `None` for an unknown value.
+pub fn parse_update_kind(value: &str) -> Option<UpdateKind> {
+    match value {
+        update_kind_value::DELTA => Some(UpdateKind::Delta),
+        update_kind_value::COMPLETE => Some(UpdateKind::Complete),
+        update_kind_value::CACHED => Some(UpdateKind::Cached),
+        update_kind_value::WATCH_LOST => Some(UpdateKind::WatchLost),
         _ => None,
     }
 }
 
-/// An endpoint's readiness by its word.
-pub fn readiness(word: &str) -> Option<Readiness> {
-    match word {
-        readiness_word::ACTIVE => Some(Readiness::Active),
-        readiness_word::DRAINING => Some(Readiness::Draining),
-        readiness_word::REMOVED => Some(Readiness::Removed),
+/// Returns the readiness of an endpoint, or `None` for an unknown value.
+pub fn parse_readiness(value: &str) -> Option<Readiness> {
+    match value {
+        readiness_value::ACTIVE => Some(Readiness::Active),
+        readiness_value::DRAINING => Some(Readiness::Draining),
+        readiness_value::REMOVED => Some(Readiness::Removed),
         _ => None,
     }
 }
 
-/// The outcome of an attempt or health check by its word.
-pub fn outcome(word: &str) -> Option<Outcome> {
-    match word {
-        outcome_word::SERVED => Some(Outcome::Served),
-        outcome_word::SERVER_ERROR => Some(Outcome::ServerError),
-        outcome_word::REJECTED => Some(Outcome::Rejected),
-        outcome_word::RESPONSE_TIMEOUT => Some(Outcome::ResponseTimeout),
-        outcome_word::CONNECT_FAILED => Some(Outcome::ConnectFailed),
-        outcome_word::CONNECTION_LOST => Some(Outcome::ConnectionLost),
-        outcome_word::CANCELLED => Some(Outcome::Cancelled),
-        outcome_word::NOT_SENT => Some(Outcome::NotSent),
+/// Returns the outcome of an attempt or a health check, or `None` for an unknown value.
+pub fn parse_outcome(value: &str) -> Option<Outcome> {
+    match value {
+        outcome_value::SERVED => Some(Outcome::Served),
+        outcome_value::SERVER_ERROR => Some(Outcome::ServerError),
+        outcome_value::REJECTED => Some(Outcome::Rejected),
+        outcome_value::RESPONSE_TIMEOUT => Some(Outcome::ResponseTimeout),
+        outcome_value::CONNECT_FAILED => Some(Outcome::ConnectFailed),
+        outcome_value::CONNECTION_LOST => Some(Outcome::ConnectionLost),
+        outcome_value::CANCELLED => Some(Outcome::Cancelled),
+        outcome_value::NOT_SENT => Some(Outcome::NotSent),
         _ => None,
     }
 }
--- a/simulator-adapter/src/reply.rs
+++ b/simulator-adapter/src/reply.rs
@@ -1,4 +1,4 @@
-//! The reply to a batch: the balancer's actions in the words of the protocol.
+//! Writes the balancer's actions as lines of the protocol.
 
 use crate::gateway::Gateway;
 use std::fmt::Write as _;
@@ -8,29 +8,30 @@
 #[derive(Default)]
 pub struct Reply {
     text: String,
-    /// The gateway that the last lines are for.
-    gateway: Option<String>,
+    /// Name of the gateway whose actions were added last; `None` at the start of a reply.
+    last_gateway: Option<String>,
 }
 
 impl Reply {
-    /// Appends the lines of a gateway's actions, after a line that names the gateway if it is another one.
-    pub fn add(&mut self, name: &str, gateway: &Gateway, actions: &[Action]) {
+    /// Appends a line for each action of the gateway `name`. A line that names the gateway precedes the
+    /// actions unless the last line of the reply is for the same gateway.
+    pub fn add_actions(&mut self, name: &str, gateway: &Gateway, actions: &[Action]) {
         if actions.is_empty() {
             return;
         }
-        if self.gateway.as_deref() != Some(name) {
+        if self.last_gateway.as_deref() != Some(name) {
             // Writing to a `String` cannot fail.
             let _ = writeln!(self.text, "FOR i={name}");
-            self.gateway = Some(name.to_string());
+            self.last_gateway = Some(name.to_string());
         }
         for action in actions {
             self.add_action(gateway, action);
         }
     }
 
-    /// Ends the reply and takes it out.
+    /// Appends the line that ends the reply and returns the reply. The next reply begins empty.
     pub fn finish(&mut self) -> String {
-        self.gateway = None;
+        self.last_gateway = None;
         self.text.push_str("NEXT\n");
         std::mem::take(&mut self.text)
     }
@@ -55,6 +56,7 @@
                 writeln!(text, "HEALTH_CHECK host={}", gateway.endpoint_name(*endpoint))
             }
             Action::WatchEndpoints => writeln!(text, "TAIL want=1"),
+            // A newline within the message would end the line early.
             Action::Log(message) => writeln!(text, "PRINT words={}", message.replace(['\n', '\r'], " ")),
         };
     }
--- a/simulator-adapter/tests/dialogues/main.rs
+++ b/simulator-adapter/tests/dialogues/main.rs
@@ -1,71 +1,85 @@
-//! The bytes of the line protocol: drawn dialogues whose every reply must stay as it is.
+//! Checks the bytes of the line protocol: the replies in generated dialogues must match the recorded ones.
 //!
-//! The other end of the dialogue is played here: it carries out what the adapter asks for and answers in the
-//! protocol's own words, so that nothing hangs on the adapter's types. Two dialogues are stored whole, of the
-//! others the digests of both directions. Run with `DIALOGUES=print` to see them, after a wanted change.
+//! The module `simulator` simulates the other end of a dialogue. It carries out the adapter's actions and
+//! writes lines as literal text, so that the recorded dialogues do not depend on the adapter's types. Two
+//! dialogues are recorded in full, the others as digests of both directions. After an intended change of the
+//! replies, `DIALOGUES=print` in the environment prints the new digests and errors and writes the full
+//! dialogues to the directory for temporary files.
 
 mod simulator;
 
-use simulator::{comparable, dialogue, Dialogue};
+use simulator::{mask_log_text, run_dialogue, Dialogue};
 use std::fmt::Write as _;
 
 const DIALOGUE_COUNT: u64 = 24;
+/// A line per dialogue: its number, its counts of input and reply lines, and the hashes of input and replies.
 const DIGESTS: &str = include_str!("../fixtures/dialogues.txt");
-const WHOLE: [(u64, &str, &str); 2] = [
+/// The dialogues that are recorded in full: number, input and replies.
+const FULL_DIALOGUES: [(u64, &str, &str); 2] = [
     (0, include_str!("../fixtures/dialogue-0.in"), include_str!("../fixtures/dialogue-0.out")),
     (1, include_str!("../fixtures/dialogue-1.in"), include_str!("../fixtures/dialogue-1.out")),
 ];
 
-fn fnv(text: &str) -> u64 {
-    text.bytes().fold(0xcbf2_9ce4_8422_2325, |h, b| (h ^ u64::from(b)).wrapping_mul(0x0100_0000_01b3))
+/// Returns the 64-bit FNV-1a hash of a text.
+fn fnv1a_hash(text: &str) -> u64 {
+    text.bytes()
+        .fold(0xcbf2_9ce4_8422_2325, |hash, byte| (hash ^ u64::from(byte)).wrapping_mul(0x0100_0000_01b3))
 }
 
-fn line(number: u64, played: &Dialogue) -> String {
-    let (input, output) = (&played.input, &played.output);
-    let (lines, replies) = (input.lines().count(), output.lines().count());
-    format!("{number} {lines} {replies} {:016x} {:016x}", fnv(input), fnv(output))
+/// Formats the line of [`DIGESTS`] for a dialogue.
+fn digest_line(number: u64, dialogue: &Dialogue) -> String {
+    let (input, output) = (&dialogue.input, &dialogue.output);
+    let (input_lines, reply_lines) = (input.lines().count(), output.lines().count());
+    format!("{number} {input_lines} {reply_lines} {:016x} {:016x}", fnv1a_hash(input), fnv1a_hash(output))
 }
 
 #[test]
-fn drawn_dialogues_keep_their_bytes() {
-    let played: Vec<Dialogue> = (0..DIALOGUE_COUNT).map(dialogue).collect();
-    let lines: Vec<String> = (0..).zip(&played).map(|(number, played)| line(number, played)).collect();
-    if std::env::var("DIALOGUES").is_ok_and(|wanted| wanted == "print") {
+fn generated_dialogues_match_the_recorded_digests() {
+    let dialogues: Vec<Dialogue> = (0..DIALOGUE_COUNT).map(run_dialogue).collect();
+    let lines: Vec<String> =
+        (0..).zip(&dialogues).map(|(number, dialogue)| digest_line(number, dialogue)).collect();
+    if std::env::var("DIALOGUES").is_ok_and(|value| value == "print") {
         println!("{}", lines.join("\n"));
-        let folder = std::env::temp_dir();
-        for (number, ..) in WHOLE {
-            let of = &played[number as usize];
-            std::fs::write(folder.join(format!("dialogue-{number}.in")), &of.input).expect("written");
-            std::fs::write(folder.join(format!("dialogue-{number}.out")), &of.output).expect("written");
+        let directory = std::env::temp_dir();
+        for (number, ..) in FULL_DIALOGUES {
+            let dialogue = &dialogues[number as usize];
+            std::fs::write(directory.join(format!("dialogue-{number}.in")), &dialogue.input)
+                .expect("the input is written");
+            std::fs::write(directory.join(format!("dialogue-{number}.out")), &dialogue.output)
+                .expect("the replies are written");
         }
     }
     let recorded: Vec<&str> = DIGESTS.lines().filter(|line| !line.starts_with('#')).collect();
     assert_eq!(recorded.len(), lines.len(), "the fixture has a line for each dialogue");
-    let mut differing = String::new();
-    for (recorded, seen) in recorded.iter().zip(&lines) {
-        if recorded != seen {
-            let _ = writeln!(differing, "recorded {recorded}, seen {seen}");
+    let mut differences = String::new();
+    for (recorded, actual) in recorded.iter().zip(&lines) {
+        if recorded != actual {
+            let _ = writeln!(differences, "recorded {recorded}, actual {actual}");
         }
     }
-    assert!(differing.is_empty(), "{differing}");
+    assert!(differences.is_empty(), "dialogues differ from the recorded digests:\n{differences}");
 }
 
 #[test]
-fn stored_dialogues_are_answered_byte_by_byte() {
-    for (number, input, output) in WHOLE {
-        let mut seen = Vec::new();
-        ternstack_simulator_adapter::run(input.as_bytes(), &mut seen).expect("a stored dialogue is legal");
-        let seen = String::from_utf8(seen).expect("UTF-8");
-        assert!(seen.ends_with("NEXT\n") && !seen.contains('\r'), "lines end in a newline alone");
-        let seen: String = seen.lines().map(|line| comparable(line) + "\n").collect();
-        assert_eq!(seen, output, "dialogue {number}");
+fn full_dialogues_get_the_recorded_replies() {
+    for (number, input, output) in FULL_DIALOGUES {
+        let mut replies = Vec::new();
+        ternstack_simulator_adapter::run(input.as_bytes(), &mut replies)
+            .expect("the recorded input is valid");
+        let replies = String::from_utf8(replies).expect("the replies are valid UTF-8");
+        assert!(
+            replies.ends_with("NEXT\n") && !replies.contains('\r'),
+            "lines end in a newline without a carriage return"
+        );
+        let replies: String = replies.lines().map(|line| mask_log_text(line) + "\n").collect();
+        assert_eq!(replies, output, "the replies in dialogue {number} match the recorded ones");
     }
 }
 
 #[test]
-fn the_dialogues_speak_every_word_of_the_protocol() {
-    let played: Vec<Dialogue> = (0..DIALOGUE_COUNT).map(dialogue).collect();
-    let replies = [
+fn generated_dialogues_contain_every_keyword_of_the_protocol() {
+    let dialogues: Vec<Dialogue> = (0..DIALOGUE_COUNT).map(run_dialogue).collect();
+    let reply_keywords = [
         "FOR",
         "RELAY",
         "REVOKE",
@@ -77,11 +91,13 @@
         "PRINT",
         "NEXT",
     ];
-    for word in replies {
-        let spoken = played.iter().any(|p| p.output.lines().any(|l| l.split(' ').next() == Some(word)));
-        assert!(spoken, "{word} is never replied");
+    for keyword in reply_keywords {
+        let found = dialogues
+            .iter()
+            .any(|dialogue| dialogue.output.lines().any(|line| line.split(' ').next() == Some(keyword)));
+        assert!(found, "a reply contains a {keyword} line");
     }
-    let lines = [
+    let input_keywords = [
         "ROUND",
         "TO",
         "FLUSH",
@@ -97,34 +113,40 @@
         "BELL",
         "OMEN",
     ];
-    for word in lines {
-        let spoken = played.iter().any(|p| p.input.lines().any(|l| l.split(' ').next() == Some(word)));
-        assert!(spoken, "{word} is never said");
+    for keyword in input_keywords {
+        let found = dialogues
+            .iter()
+            .any(|dialogue| dialogue.input.lines().any(|line| line.split(' ').next() == Some(keyword)));
+        assert!(found, "the input contains a {keyword} line");
     }
 }
 
-/// Lines that stop the adapter, each after a legal beginning, with the whole text of the error.
-const FAULTY: &str = include_str!("../fixtures/faulty-lines.txt");
+/// Lines that follow the valid start of a gateway, each with the error message that is expected for it, or
+/// "taken" if the line is valid. Lines after `ALONE` have no gateway, `;` separates lines, and `CONF` stands
+/// for valid settings.
+const INVALID_LINES: &str = include_str!("../fixtures/faulty-lines.txt");
 
 #[test]
-fn faulty_lines_keep_the_texts_of_their_errors() {
-    let conf = r#"conf={"classes":[{"name":"read","deadline_ms":600.0}],"zones":["east"],"zone":"east"}"#;
-    let mut seen = String::new();
-    for faulty in FAULTY.lines().filter(|line| !line.starts_with("  ")) {
-        let faulty = faulty.replace("CONF", conf).replace("; ", "\n");
-        let begin = format!("ROUND sim_time_ms=10\nTO i=gateway-0\nINIT prng=1 {conf}\n");
-        let text = match faulty.strip_prefix("ALONE ") {
+fn invalid_lines_are_rejected_with_the_recorded_errors() {
+    let settings_field =
+        r#"conf={"classes":[{"name":"read","deadline_ms":600.0}],"zones":["east"],"zone":"east"}"#;
+    let mut results = String::new();
+    for lines in INVALID_LINES.lines().filter(|line| !line.starts_with("  ")) {
+        let lines = lines.replace("CONF", settings_field).replace("; ", "\n");
+        let gateway_start = format!("ROUND sim_time_ms=10\nTO i=gateway-0\nINIT prng=1 {settings_field}\n");
+        let text = match lines.strip_prefix("ALONE ") {
             Some(alone) => format!("{alone}\nFLUSH\n"),
-            None => format!("{begin}{faulty}\nFLUSH\n"),
+            None => format!("{gateway_start}{lines}\nFLUSH\n"),
         };
-        let told = match ternstack_simulator_adapter::run(text.as_bytes(), &mut Vec::new()) {
+        let result = match ternstack_simulator_adapter::run(text.as_bytes(), &mut Vec::new()) {
             Ok(()) => "taken".to_string(),
             Err(error) => error.to_string(),
         };
-        let _ = writeln!(seen, "{}\n  {told}", faulty.replace(conf, "CONF").replace('\n', "; "));
+        let _ =
+            writeln!(results, "{}\n  {result}", lines.replace(settings_field, "CONF").replace('\n', "; "));
     }
-    if std::env::var("DIALOGUES").is_ok_and(|wanted| wanted == "print") {
-        println!("{seen}");
+    if std::env::var("DIALOGUES").is_ok_and(|value| value == "print") {
+        println!("{results}");
     }
-    assert_eq!(seen, FAULTY);
+    assert_eq!(results, INVALID_LINES);
 }
--- a/simulator-adapter/tests/dialogues/simulator.rs
+++ b/simulator-adapter/tests/dialogues/simulator.rs
@@ -1,14 +1,17 @@
-//! The simulator's end of a dialogue: two gateways, a few hosts, and drawn requests, faults and lists.
+//! Simulates the other end of a dialogue: two gateways, a few endpoints, and random requests, failures and
+//! endpoint updates.
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
 use std::io::{self, BufReader, Read, Write};
 use std::rc::Rc;
 
-/// The dialogues that are stored whole are short ones.
-const SHORT_ROUND_COUNT: usize = 100;
-const ROUND_COUNT: usize = 420;
-const STATES: [&str; 8] = [
+/// Rounds of the dialogues that are recorded in full.
+const FULL_DIALOGUE_ROUNDS: usize = 100;
+/// Rounds of the dialogues that are recorded as digests.
+const DIALOGUE_ROUNDS: usize = 420;
+/// The outcomes of an attempt; all but the first are failures.
+const OUTCOMES: [&str; 8] = [
     "served",
     "server_error",
     "turned_away",
@@ -19,48 +22,52 @@
     "not_sent",
 ];
 
-/// What was said in both directions.
+/// The lines of a dialogue in both directions.
 pub struct Dialogue {
     pub input: String,
     pub output: String,
 }
 
-/// Plays a dialogue to its end.
-pub fn dialogue(number: u64) -> Dialogue {
+/// Runs dialogue `number` to its end. The number seeds the simulator and selects its parameters.
+pub fn run_dialogue(number: u64) -> Dialogue {
     let simulator = Rc::new(RefCell::new(Simulator::new(number)));
-    let input = BufReader::new(Said { simulator: simulator.clone(), ready: Vec::new() });
-    ternstack_simulator_adapter::run(input, Heard { simulator: simulator.clone() })
-        .expect("a legal dialogue");
+    let input = BufReader::new(AdapterInput { simulator: simulator.clone(), unread: Vec::new() });
+    ternstack_simulator_adapter::run(input, AdapterOutput { simulator: simulator.clone() })
+        .expect("the lines of the dialogue are valid");
     let simulator = simulator.borrow();
-    Dialogue { input: simulator.said.clone(), output: simulator.heard.clone() }
+    Dialogue { input: simulator.input.clone(), output: simulator.output.clone() }
 }
 
-/// The adapter's input: the next round is said once the reply to the last one has been heard.
-struct Said {
+/// The adapter's input. The lines of a round are generated when the adapter reads them, after the reply to
+/// the previous round.
+struct AdapterInput {
     simulator: Rc<RefCell<Simulator>>,
-    ready: Vec<u8>,
+    /// Bytes of the current round that the adapter has not read yet.
+    unread: Vec<u8>,
 }
 
-impl Read for Said {
+impl Read for AdapterInput {
     fn read(&mut self, buffer: &mut [u8]) -> io::Result<usize> {
-        if self.ready.is_empty() {
-            self.ready = self.simulator.borrow_mut().next_round().into_bytes();
+        if self.unread.is_empty() {
+            self.unread = self.simulator.borrow_mut().next_round().into_bytes();
         }
-        let count = self.ready.len().min(buffer.len());
-        buffer[..count].copy_from_slice(&self.ready[..count]);
-        self.ready.drain(..count);
+        let count = self.unread.len().min(buffer.len());
+        buffer[..count].copy_from_slice(&self.unread[..count]);
+        self.unread.drain(..count);
         Ok(count)
     }
 }
 
-/// The adapter's output.
-struct Heard {
+/// The adapter's output. Every write is passed to the simulator, as one write holds a whole reply.
+struct AdapterOutput {
     simulator: Rc<RefCell<Simulator>>,
 }
 
-impl Write for Heard {
+impl Write for AdapterOutput {
     fn write(&mut self, bytes: &[u8]) -> io::Result<usize> {
-        self.simulator.borrow_mut().hear(std::str::from_utf8(bytes).expect("UTF-8"));
+        self.simulator
+            .borrow_mut()
+            .handle_reply(std::str::from_utf8(bytes).expect("the reply is valid UTF-8"));
         Ok(bytes.len())
     }
 
@@ -69,10 +76,11 @@
     }
 }
 
-/// A line of a reply; the words of a log line may change, that there is one may not.
-pub fn comparable(line: &str) -> String {
-    let spoken = line.strip_prefix("PRINT words=").is_some_and(|words| !words.is_empty());
-    if spoken {
+/// Returns a line of a reply with the text of a log line replaced by `*`, because the text of log lines may
+/// change but not their presence.
+pub fn mask_log_text(line: &str) -> String {
+    let is_log_line = line.strip_prefix("PRINT words=").is_some_and(|text| !text.is_empty());
+    if is_log_line {
         "PRINT words=*".into()
     } else {
         line.into()
@@ -80,66 +88,78 @@
 }
 
 struct Simulator {
-    state: u64,
+    rng_state: u64,
+    /// Simulated time in ms.
     now_ms: f64,
+    /// Number of rounds so far.
     round: usize,
     round_count: usize,
-    said: String,
-    heard: String,
-    /// Lines to say, by time and order, each with its gateway.
-    due: BTreeMap<(u64, u64), (usize, String)>,
-    next_due: u64,
+    input: String,
+    output: String,
+    /// Lines to send, each with its gateway, by time and order of scheduling. The time is in ms as the bits
+    /// of an `f64`, which sort like the times because no time is negative.
+    scheduled: BTreeMap<(u64, u64), (usize, String)>,
+    /// Order of the next line to schedule.
+    next_order: u64,
     next_request: u64,
-    /// Attempts sent of each request.
+    /// Number of attempts sent, by request id.
     attempts: BTreeMap<String, u32>,
-    conf: String,
+    /// The settings of both gateways as JSON.
+    settings: String,
     host_count: usize,
+    /// Mean number of requests per round and gateway. Also scales the delay of client disconnections.
     load: f64,
-    fault_rate: f64,
-    reports: &'static str,
+    /// Fraction of attempts that fail, from 0 to 1.
+    failure_rate: f64,
+    /// Value of the key `report.how` in the settings.
+    load_report_delivery: &'static str,
 }
 
 impl Simulator {
     fn new(number: u64) -> Self {
         let mut simulator = Simulator {
-            state: number.wrapping_mul(0x9e37_79b9) + 5,
+            rng_state: number.wrapping_mul(0x9e37_79b9) + 5,
             now_ms: 0.0,
             round: 0,
-            round_count: if number < 2 { SHORT_ROUND_COUNT } else { ROUND_COUNT },
-            said: String::new(),
-            heard: String::new(),
-            due: BTreeMap::new(),
-            next_due: 0,
+            round_count: if number < 2 { FULL_DIALOGUE_ROUNDS } else { DIALOGUE_ROUNDS },
+            input: String::new(),
+            output: String::new(),
+            scheduled: BTreeMap::new(),
+            next_order: 0,
             next_request: 0,
             attempts: BTreeMap::new(),
-            conf: String::new(),
+            settings: String::new(),
             host_count: 3 + number as usize % 5,
             load: [0.5, 3.0, 1.0, 6.0][number as usize % 4],
-            fault_rate: [0.1, 0.5, 0.02][number as usize % 3],
-            reports: ["inline", "on_probe", "off"][number as usize % 3],
+            failure_rate: [0.1, 0.5, 0.02][number as usize % 3],
+            load_report_delivery: ["inline", "on_probe", "off"][number as usize % 3],
         };
-        simulator.conf = simulator.draw_conf(number);
+        simulator.settings = simulator.settings_json(number);
         simulator
     }
 
-    fn bits(&mut self) -> u64 {
-        self.state = self.state.wrapping_add(0x9e37_79b9_7f4a_7c15);
-        let mixed = (self.state ^ (self.state >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
+    /// Returns the next number of a SplitMix64 generator.
+    fn next_u64(&mut self) -> u64 {
+        self.rng_state = self.rng_state.wrapping_add(0x9e37_79b9_7f4a_7c15);
+        let mixed = (self.rng_state ^ (self.rng_state >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
         let mixed = (mixed ^ (mixed >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
         mixed ^ (mixed >> 31)
     }
 
-    fn unit(&mut self) -> f64 {
-        (self.bits() >> 11) as f64 / (1u64 << 53) as f64
+    /// Returns a random number from 0 to 1, 1 excluded.
+    fn random_fraction(&mut self) -> f64 {
+        (self.next_u64() >> 11) as f64 / (1u64 << 53) as f64
     }
 
-    fn below(&mut self, count: usize) -> usize {
-        (self.bits() % count as u64) as usize
+    /// Returns a random number from 0 to `limit`, `limit` excluded.
+    fn random_below(&mut self, limit: usize) -> usize {
+        (self.next_u64() % limit as u64) as usize
     }
 
-    fn draw_conf(&mut self, number: u64) -> String {
+    /// Returns the settings of dialogue `number`, which vary the options that change the adapter's replies.
+    fn settings_json(&mut self, number: u64) -> String {
         let (discovery, cancel) = (["push", "ask"][number as usize % 2], number % 3 != 2);
-        let advice = number % 5 != 4;
+        let retry_after = number % 5 != 4;
         format!(
             concat!(
                 r#"{{"classes":[{{"name":"read","effect":"safe","aim_ms":200.0,"deadline_ms":600.0}},"#,
@@ -149,116 +169,124 @@
                 r#""report":{{"how":"{}"}},"discovery":"{}","limits":{{"max_attempts":3,"cancel":{},"#,
                 r#""may_probe":true,"retry_after":{},"max_retry_after_ms":800}},"weights":"{}"}}"#
             ),
-            self.reports,
+            self.load_report_delivery,
             discovery,
             cancel,
-            advice,
+            retry_after,
             ["off", "live"][number as usize / 2 % 2]
         )
     }
 
+    /// Schedules a line for a gateway in the first round that is at least `after_ms` from now.
     fn schedule(&mut self, after_ms: f64, gateway: usize, line: String) {
-        let at = (self.now_ms + after_ms).to_bits();
-        self.due.insert((at, self.next_due), (gateway, line));
-        self.next_due += 1;
+        let time_bits = (self.now_ms + after_ms).to_bits();
+        self.scheduled.insert((time_bits, self.next_order), (gateway, line));
+        self.next_order += 1;
     }
 
+    /// Returns the lines of the next round; empty after the last round.
     fn next_round(&mut self) -> String {
         if self.round == self.round_count {
             return String::new();
         }
         let mut text = String::new();
-        self.now_ms += 5.0 + (self.unit() * 80.0).floor() / 4.0;
+        self.now_ms += 5.0 + (self.random_fraction() * 80.0).floor() / 4.0;
         text.push_str(&format!("ROUND sim_time_ms={}\n", self.now_ms));
         for gateway in 0..2 {
+            // Both gateways start in the first round; gateway 1 is removed and started again in round 90.
             if self.round == 0 || (self.round == 90 && gateway == 1) {
-                let retired = if self.round == 0 { "" } else { "RETIRE\n" };
-                let list = self.list("warm_copy");
-                let seed = self.below(1000);
-                let conf = &self.conf;
-                let begin =
-                    format!("TO i=gateway-{gateway}\n{retired}INIT prng={seed} part=x conf={conf}\n{list}");
-                text.push_str(&begin);
+                let retire_line = if self.round == 0 { "" } else { "RETIRE\n" };
+                let update = self.endpoint_update("warm_copy");
+                let seed = self.random_below(1000);
+                let settings = &self.settings;
+                let lines = format!(
+                    "TO i=gateway-{gateway}\n{retire_line}INIT prng={seed} part=x conf={settings}\n{update}"
+                );
+                text.push_str(&lines);
             }
-            let arrivals = self.below(1 + (2.0 * self.load) as usize);
+            let arrivals = self.random_below(1 + (2.0 * self.load) as usize);
             for _ in 0..arrivals {
-                self.arrive(gateway);
+                self.schedule_request(gateway);
             }
-            if self.unit() < 0.06 {
-                let mode = ["incr", "total", "lost"][self.below(3)];
-                let list = self.list(mode);
-                self.schedule(0.0, gateway, list);
+            if self.random_fraction() < 0.06 {
+                let mode = ["incr", "total", "lost"][self.random_below(3)];
+                let update = self.endpoint_update(mode);
+                self.schedule(0.0, gateway, update);
             }
         }
-        let now = self.now_ms.to_bits();
-        let later = self.due.split_off(&(now + 1, 0));
-        let mut current = usize::MAX;
-        for (gateway, line) in std::mem::replace(&mut self.due, later).into_values() {
-            if current != gateway {
+        let now_bits = self.now_ms.to_bits();
+        let later = self.scheduled.split_off(&(now_bits + 1, 0));
+        let mut selected = usize::MAX;
+        for (gateway, line) in std::mem::replace(&mut self.scheduled, later).into_values() {
+            if selected != gateway {
                 text.push_str(&format!("TO i=gateway-{gateway}\n"));
-                current = gateway;
+                selected = gateway;
             }
             text.push_str(line.trim_end());
             text.push('\n');
         }
+        // The adapter must skip lines with an unknown keyword and empty lines.
         text.push_str(if self.round % 7 == 3 { "OMEN of=change\n\nFLUSH\n" } else { "FLUSH\n" });
         self.round += 1;
-        self.said.push_str(&text);
+        self.input.push_str(&text);
         text
     }
 
-    fn list(&mut self, mode: &str) -> String {
+    /// Returns the lines of an endpoint update with random records.
+    fn endpoint_update(&mut self, mode: &str) -> String {
         if mode == "lost" {
             return "TOPOLOGY serial=3 mode=lost\n".into();
         }
-        let count = if mode == "incr" { 1 + self.below(2) } else { self.host_count };
+        let count = if mode == "incr" { 1 + self.random_below(2) } else { self.host_count };
         let mut text = format!("TOPOLOGY serial=2 mode={mode} hosts={count}\n");
-        for place in 0..count {
-            let host = if mode == "incr" { self.below(self.host_count + 1) } else { place };
-            let readiness = ["active", "active", "active", "active", "leaving", "left"][self.below(6)];
+        for index in 0..count {
+            let host = if mode == "incr" { self.random_below(self.host_count + 1) } else { index };
+            let readiness = ["active", "active", "active", "active", "leaving", "left"][self.random_below(6)];
             let area = ["east", "west", "far"][host % 3];
             text.push_str(&format!("M host=10.0.0.{host}:80 area={area} readiness={readiness}"));
-            if self.unit() < 0.8 {
-                text.push_str(&format!(" bay={} heft={:.2}", host / 2, 0.2 + self.unit()));
+            if self.random_fraction() < 0.8 {
+                text.push_str(&format!(" bay={} heft={:.2}", host / 2, 0.2 + self.random_fraction()));
             }
-            if self.unit() < 0.2 {
-                text.push_str(&format!(" last_start_ms={:.1}", self.now_ms * self.unit()));
+            if self.random_fraction() < 0.2 {
+                text.push_str(&format!(" last_start_ms={:.1}", self.now_ms * self.random_fraction()));
             }
             text.push('\n');
         }
         text
     }
 
-    fn arrive(&mut self, gateway: usize) {
+    /// Schedules the arrival of a request in this round, and for some requests the later disconnection of the
+    /// client.
+    fn schedule_request(&mut self, gateway: usize) {
         let id = format!("r-{}", self.next_request);
         self.next_request += 1;
-        let class = ["read", "read", "book", "pay"][self.below(4)];
-        let project = ["project=acme ", "project=other ", ""][self.below(3)];
-        let patience = [300.0, 300.0, 300.0, 77.125][self.below(4)];
+        let class = ["read", "read", "book", "pay"][self.random_below(4)];
+        let tenant_field = ["project=acme ", "project=other ", ""][self.random_below(3)];
+        let client_timeout_ms = [300.0, 300.0, 300.0, 77.125][self.random_below(4)];
         self.schedule(
             0.0,
             gateway,
-            format!("ACCEPT id={id} cls={class} {project}patience_left_ms={patience}"),
+            format!("ACCEPT id={id} cls={class} {tenant_field}patience_left_ms={client_timeout_ms}"),
         );
-        if self.unit() < 0.15 {
+        if self.random_fraction() < 0.15 {
             self.schedule(self.load * 40.0, gateway, format!("CANCELLED_BY_CLIENT id={id}"));
         }
     }
 
-    /// Carries out what a gateway asked for.
-    fn hear(&mut self, text: &str) {
+    /// Carries out the actions in a reply by scheduling the lines that result from them.
+    fn handle_reply(&mut self, text: &str) {
         let mut gateway = 0;
         for line in text.lines() {
-            let (word, rest) = line.split_once(' ').unwrap_or((line, ""));
-            self.heard.push_str(&comparable(line));
-            self.heard.push('\n');
+            let (keyword, rest) = line.split_once(' ').unwrap_or((line, ""));
+            self.output.push_str(&mask_log_text(line));
+            self.output.push('\n');
             let field = |name: &str| {
-                let parts = rest.split(' ').filter_map(|part| part.split_once('='));
-                parts.filter(|part| part.0 == name).map(|part| part.1.to_string()).next().unwrap_or_default()
+                let fields = rest.split(' ').filter_map(|pair| pair.split_once('='));
+                fields.filter(|pair| pair.0 == name).map(|pair| pair.1.to_string()).next().unwrap_or_default()
             };
-            match word {
+            match keyword {
                 "FOR" => gateway = usize::from(field("i") == "gateway-1"),
-                "RELAY" => self.relay(gateway, &field("id"), &field("host")),
+                "RELAY" => self.schedule_attempt_end(gateway, &field("id"), &field("host")),
                 "REVOKE" => {
                     let (id, attempt) = (field("id"), field("try"));
                     let end = format!(
@@ -268,52 +296,59 @@
                     self.schedule(1.0, gateway, end);
                 }
                 "SET_TIMER" => {
-                    let after_ms = field("time_ms").parse::<f64>().expect("a time") - self.now_ms;
+                    let after_ms = field("time_ms").parse::<f64>().expect("the time of a timer is a number")
+                        - self.now_ms;
                     self.schedule(after_ms.max(0.0), gateway, format!("BELL ref={}", field("ref")));
                 }
                 "HEALTH_CHECK" => {
-                    let (telemetry, host) = (self.telemetry(), field("host"));
-                    let result = format!("HEALTH_RESULT host={host} state_code=served{telemetry}");
+                    let (load_report, host) = (self.load_report_field(), field("host"));
+                    let result = format!("HEALTH_RESULT host={host} state_code=served{load_report}");
                     self.schedule(8.0, gateway, result);
                 }
                 "TAIL" => {
-                    let mode = ["total", "lost"][self.below(2)];
-                    let list = self.list(mode);
-                    self.schedule(30.0, gateway, list);
+                    let mode = ["total", "lost"][self.random_below(2)];
+                    let update = self.endpoint_update(mode);
+                    self.schedule(30.0, gateway, update);
                 }
                 _ => {}
             }
         }
     }
 
-    fn relay(&mut self, gateway: usize, id: &str, host: &str) {
-        let attempt = self.attempts.entry(id.to_string()).or_default();
-        let number = *attempt;
-        *attempt += 1;
-        let faulty = self.unit() < self.fault_rate;
-        let state = if faulty { STATES[1 + self.below(7)] } else { "served" };
-        let latency_ms = 20.0 + self.unit() * 200.0;
-        let complete = u8::from(state == "served");
-        let telemetry = if self.reports == "inline" { self.telemetry() } else { " telemetry=-".into() };
-        if state == "served" && self.unit() < 0.2 {
+    /// Schedules the end of a new attempt, and for some attempts the start of the response before that.
+    fn schedule_attempt_end(&mut self, gateway: usize, id: &str, host: &str) {
+        let attempts = self.attempts.entry(id.to_string()).or_default();
+        let attempt = *attempts;
+        *attempts += 1;
+        let fails = self.random_fraction() < self.failure_rate;
+        let outcome = if fails { OUTCOMES[1 + self.random_below(7)] } else { "served" };
+        let latency_ms = 20.0 + self.random_fraction() * 200.0;
+        let complete = u8::from(outcome == "served");
+        let load_report = if self.load_report_delivery == "inline" {
+            self.load_report_field()
+        } else {
+            " telemetry=-".into()
+        };
+        if outcome == "served" && self.random_fraction() < 0.2 {
             self.schedule(latency_ms / 2.0, gateway, format!("BEGUN id={id}"));
         }
         let end = format!(
-            "ATTEMPT_END id={id} try={number} host={host} state_code={state} latency_ms={latency_ms:.2} \
-             complete={complete}{telemetry}"
+            "ATTEMPT_END id={id} try={attempt} host={host} state_code={outcome} latency_ms={latency_ms:.2} \
+             complete={complete}{load_report}"
         );
         self.schedule(latency_ms, gateway, end);
     }
 
-    fn telemetry(&mut self) -> String {
-        let (utilization, throughput) = (self.unit(), self.unit() * 60.0);
-        match self.below(4) {
+    /// Returns a load report field with random values, preceded by a space; sometimes no field at all.
+    fn load_report_field(&mut self) -> String {
+        let (utilization, throughput) = (self.random_fraction(), self.random_fraction() * 60.0);
+        match self.random_below(4) {
             0 => String::new(),
             1 => format!(" telemetry=utilization:{utilization:.3},unheard:1,throughput:{throughput:.2}"),
-            2 => format!(" telemetry=backlog:{},utilization:{utilization:.3}", self.below(9)),
+            2 => format!(" telemetry=backlog:{},utilization:{utilization:.3}", self.random_below(9)),
             _ => format!(
                 " telemetry=utilization:{utilization:.3},throughput:{throughput:.2},backlog:{}",
-                self.below(9)
+                self.random_below(9)
             ),
         }
     }
