--- a/balancer/src/action.rs
+++ b/balancer/src/action.rs
@@ -1,71 +1,72 @@
-//! What comes out of a [`Balancer`](crate::Balancer): the actions that the gateway carries out.
+//! The outputs of a [`Balancer`](crate::Balancer): the actions that the gateway carries out.
 //!
 //! Times are milliseconds on the gateway's own clock.
 
 use crate::ids::{EndpointId, RequestId};
 
-/// Why a request is rejected.
+/// The reason for a rejection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RejectionReason {
-    /// Its tenant is over its quota while the fleet is full.
+    /// The tenant is over its quota while the fleet is full.
     QuotaExceeded,
-    /// It was shed at random, since the fleet is overloaded or its tenant or class stalls; or no endpoint
-    /// could take it in time; or it may not be retried any more.
+    /// The fleet is overloaded, or the request's tenant or class stalls, and the request was shed at
+    /// random; or no endpoint could take the request in time; or the request may no longer be sent, because
+    /// an earlier attempt may have run.
     NoCapacity,
-    /// It arrived too late for a response of any value.
+    /// The request arrived too late for a response to have any value.
     TooLate,
-    /// Its attempts have failed, and there can be no other.
+    /// The request's attempts have failed, and no retry is possible.
     AttemptsFailed,
 }
 
-/// Something the gateway is to do.
+/// An action for the gateway to carry out.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
-    /// Send an attempt.
+    /// Send an attempt of a request to an endpoint.
     Send {
-        /// The request.
+        /// Request that the attempt belongs to.
         request: RequestId,
-        /// Where to.
+        /// Endpoint that the attempt is sent to.
         endpoint: EndpointId,
-        /// When to give the attempt up, in ms.
+        /// Time at which the gateway gives the attempt up, in ms.
         give_up_at_ms: f64,
     },
-    /// Stop waiting for an attempt.
+    /// Cancel an attempt in flight.
     Cancel {
-        /// The request.
+        /// Request that the attempt belongs to.
         request: RequestId,
-        /// Number of the attempt, from 0.
+        /// Number of the attempt within its request, from 0.
         attempt: u32,
     },
-    /// End the request unserved; the client may safely retry.
+    /// Reject the request; the client may safely retry.
     Reject {
-        /// The request.
+        /// Request to reject.
         request: RequestId,
-        /// Why.
+        /// Reason for the rejection.
         reason: RejectionReason,
-        /// Retry-After for the client, in ms; 0 for none.
+        /// Value of Retry-After for the client, in ms; 0 if no Retry-After is sent.
         retry_after_ms: f64,
     },
-    /// End the request as failed, with no promise about its effect.
+    /// Fail the request; whether the request took effect is unknown.
     Fail {
-        /// The request.
+        /// Request to fail.
         request: RequestId,
     },
-    /// Ask for an [`Event::Timer`](crate::Event::Timer).
+    /// Send an [`Event::Timer`](crate::Event::Timer) at a given time.
     Timer {
-        /// When, in ms.
+        /// Time at which the timer fires, in ms.
         at_ms: f64,
-        /// Comes back as given. Always 0, since the balancer has one timer: the simulator's protocol has
-        /// it.
+        /// Token that the timer event returns. Always 0, because the balancer has a single timer; the field
+        /// exists because the simulator's protocol has it.
         token: u64,
     },
     /// Send a health check to an endpoint.
     HealthCheck {
-        /// The endpoint.
+        /// Endpoint to check.
         endpoint: EndpointId,
     },
-    /// Watch the endpoint list, or poll for it where discovery does not push.
+    /// Watch the endpoint list, or poll the list if discovery does not push updates.
     WatchEndpoints,
-    /// A line for the operators' log.
+    /// Write this line to the operators' log.
     Log(String),
 }
--- a/balancer/src/balancer.rs
+++ b/balancer/src/balancer.rs
@@ -1,7 +1,8 @@
-//! The balancer: hands each event to the rules that it concerns, and collects their actions.
+//! The balancer: passes each event to the rules that depend on the event, and collects the resulting
+//! actions.
 //!
-//! The rules are in modules of their own. This one owns them; [`requests`] takes a request through its
-//! life, and [`endpoints`] passes on what is learnt of endpoints.
+//! Each rule has a module of its own; [`Balancer`] owns the state of all rules. [`requests`] handles the
+//! life cycle of a request, and [`endpoints`] handles endpoint updates and outcomes of attempts.
 
 mod endpoints;
 mod requests;
@@ -21,7 +22,7 @@
 use crate::rejection_log::{RejectionContext, RejectionLog};
 use crate::request::Request;
 use crate::retry;
-use crate::saturation::saturation_ratio;
+use crate::saturation::fleet_saturation;
 use crate::settings::{Idempotency, Settings, SettingsError};
 use crate::spillover::Spillover;
 use crate::token_budget::TokenBudget;
@@ -29,7 +30,7 @@
 use oorandom::Rand64;
 use std::collections::BTreeMap;
 
-/// Decides for one gateway. See the crate's front page for its use.
+/// The balancer of one gateway; the crate's documentation describes its use.
 #[derive(Debug)]
 pub struct Balancer {
     settings: Settings,
@@ -51,11 +52,12 @@
 }
 
 impl Balancer {
-    /// A balancer that knows no endpoint yet. The same seed and events lead to the same actions.
+    /// Creates a balancer that knows no endpoints. `seed` seeds the random draws: the same settings, seed
+    /// and events lead to the same actions.
     ///
     /// # Errors
     ///
-    /// The first setting that cannot be used.
+    /// Returns the first setting whose value is invalid.
     pub fn new(settings: Settings, seed: u64) -> Result<Self, SettingsError> {
         settings.check()?;
         let objectives_ms = settings.classes.iter().map(|class| class.latency_objective_ms);
@@ -80,19 +82,21 @@
         })
     }
 
-    /// Whether the balancer still remembers an endpoint.
+    /// Returns whether the balancer holds state for `endpoint`; the state may outlast the endpoint's
+    /// removal from the list, for example while attempts are in flight.
     pub fn knows(&self, endpoint: EndpointId) -> bool {
         self.fleet.endpoints.contains(endpoint)
     }
 
-    /// Takes one event at `now_ms`, and appends the actions that it asks for.
+    /// Handles one event that occurred at `now_ms` on the gateway's clock, and appends the actions to carry
+    /// out to `actions`.
     pub fn handle(&mut self, now_ms: f64, event: Event, actions: &mut Vec<Action>) {
         match event {
             Event::EndpointUpdate { kind, endpoints } => {
                 self.on_endpoint_update(now_ms, kind, endpoints, actions);
             }
             Event::Request(arrival) => self.on_request(now_ms, &arrival, actions),
-            // The attempt is the client's now; its end completes the request.
+            // The request stays open until the end of the attempt completes it.
             Event::ResponseStarted { .. } => {}
             Event::AttemptEnd(end) => {
                 self.fleet.apply_report(end.endpoint, end.report);
@@ -136,8 +140,8 @@
         }
         let in_use = self.fleet.endpoints.in_use();
         let context = RejectionContext {
-            saturation_ratio: self.saturation_ratio(now_ms),
-            traffic_share_ratio: self.fleet.traffic_share.traffic_share_ratio(),
+            saturation: self.saturation(now_ms),
+            traffic_share: self.fleet.traffic_share.own_share(),
             spillover_ratio: self.spillover.ratio(),
             pending_count: self.pending.len(),
             ejected_count: in_use.filter(|endpoint| endpoint.health.is_ejected()).count(),
@@ -145,12 +149,12 @@
         actions.push(Action::Log(self.rejections.take_line(now_ms, &context)));
     }
 
-    fn saturation_ratio(&self, now_ms: f64) -> f64 {
-        saturation_ratio(now_ms, &self.fleet, !self.pending.is_empty())
+    fn saturation(&self, now_ms: f64) -> f64 {
+        fleet_saturation(now_ms, &self.fleet, !self.pending.is_empty())
     }
 
-    /// Whether requests of a class may serve as trials of ejected endpoints: idempotent ones, if there are
-    /// any.
+    /// Returns whether requests of `class` may be sent to ejected endpoints as trials: only idempotent
+    /// requests are, unless no class is idempotent.
     fn may_try_ejected(&self, class: usize) -> bool {
         let is_idempotent =
             |class: usize| self.settings.classes[class].idempotency == Idempotency::Idempotent;
--- a/balancer/src/balancer/requests.rs
+++ b/balancer/src/balancer/requests.rs
@@ -1,4 +1,4 @@
-//! The life of a request: admission, attempts, retries, and its end.
+//! The life cycle of a request: admission, attempts, retries, and completion.
 
 use super::Balancer;
 use crate::action::{Action, RejectionReason};
@@ -7,7 +7,7 @@
 use crate::event::{Arrival, AttemptEnd, Outcome};
 use crate::failure_ratios::FaultKind;
 use crate::ids::{EndpointId, RequestId};
-use crate::pending_queue::MAX_MISSES_COUNT;
+use crate::pending_queue::MAX_MISSES;
 use crate::pick::EndpointPick;
 use crate::rate_limiter::{LimitedRequest, RateLimit};
 use crate::request::{Attempt, Request};
@@ -15,23 +15,23 @@
 use crate::retry_after::RetryAfter;
 use crate::wakeup::WAKE_INTERVAL_MS;
 
-/// A request becomes pending only if it stays useful for at least this many times [`WAKE_INTERVAL_MS`]. The
-/// real interval is longer where the tick is: `max(WAKE_INTERVAL_MS, tick_ms)`.
+/// A request is enqueued only if a response stays useful for at least this many times [`WAKE_INTERVAL_MS`].
+/// The balancer wakes less often where the tick is longer: every `max(WAKE_INTERVAL_MS, tick_ms)`.
 const MIN_PENDING_WAKE_UPS: f64 = 2.0;
 
-/// Why a request is rejected, and when its client should retry.
+/// The reason for a rejection, and when the client should retry.
 struct Rejection {
     reason: RejectionReason,
     retry_after: RetryAfter,
 }
 
 impl Balancer {
-    /// A request has arrived: rejects it, sends it, or enqueues it.
+    /// Handles the arrival of a request: rejects, forwards or enqueues the request.
     pub(super) fn on_request(&mut self, now_ms: f64, arrival: &Arrival, actions: &mut Vec<Action>) {
         if !self.fleet.weights_reflect_load {
-            self.spillover.learn(now_ms, &self.fleet);
+            self.spillover.update(now_ms, &self.fleet);
         }
-        let saturation_ratio = self.saturation_ratio(now_ms);
+        let saturation = self.saturation(now_ms);
         let class = &self.settings.classes[arrival.class];
         let timeout_ms = arrival.client_timeout_ms;
         let age_ms =
@@ -43,8 +43,7 @@
 
         self.retry_budget.deposit();
         self.health_checks.deposit();
-        if let Some(rejection) =
-            self.check_admission(now_ms, arrival, saturation_ratio, deadlines.misses_objective)
+        if let Some(rejection) = self.check_admission(now_ms, arrival, saturation, deadlines.misses_objective)
         {
             return self.reject(arrival.request, rejection, actions);
         }
@@ -62,16 +61,16 @@
         }
     }
 
-    /// Whether a request is rejected on arrival, and why.
+    /// Returns why a request is rejected on arrival, or `None` if the request is admitted.
     ///
-    /// The order of the random draws is part of the behaviour, since the same seed and events lead to the
-    /// same actions: first the draw of [`admission::arrives_too_late`], which is made even where another
-    /// reason then rejects the request, then those of the rate limit, then the one of shedding.
+    /// The order of the random draws is part of the behaviour, because the same seed and events must lead
+    /// to the same actions: first the draw of [`admission::arrives_too_late`], even if the request is then
+    /// rejected for another reason, then the draws of the rate limit, then the draw for shedding.
     fn check_admission(
-        &mut self, now_ms: f64, arrival: &Arrival, saturation_ratio: f64, misses_objective: bool,
+        &mut self, now_ms: f64, arrival: &Arrival, saturation: f64, misses_objective: bool,
     ) -> Option<Rejection> {
         let Arrival { class, tenant, client_timeout_ms, .. } = *arrival;
-        let is_full = admission::is_full(saturation_ratio);
+        let is_full = admission::is_full(saturation);
         let arrives_too_late = admission::arrives_too_late(
             &self.settings.classes[class],
             misses_objective,
@@ -89,34 +88,34 @@
         let reject = |reason| Some(Rejection { reason, retry_after: RetryAfter::Longest });
         if self.rng.rand_float() < shed_ratio {
             reject(RejectionReason::NoCapacity)
-        } else if arrives_too_late && admission::is_busy(saturation_ratio) {
+        } else if arrives_too_late && admission::is_busy(saturation) {
             reject(RejectionReason::TooLate)
         } else {
             None
         }
     }
 
-    /// Counts a request for its tenant. While no limit binds, this gateway's share of the traffic is
-    /// learnt.
+    /// Counts a request for the rate limit of its tenant. While the fleet is not full, no quota is enforced
+    /// and the gateway's share of the traffic is updated.
     fn check_rate_limit(&mut self, now_ms: f64, tenant: Option<usize>, is_full: bool) -> RateLimit {
-        let Some(tenant) = tenant.filter(|tenant| self.rate_limiter.knows(*tenant)) else {
+        let Some(tenant) = tenant.filter(|tenant| self.rate_limiter.has_tenant(*tenant)) else {
             return RateLimit::Within;
         };
         let request = LimitedRequest {
             now_ms,
             tenant,
-            traffic_share_ratio: self.fleet.traffic_share.traffic_share_ratio(),
+            traffic_share: self.fleet.traffic_share.own_share(),
             fleet_is_full: is_full,
         };
         let limit = self.rate_limiter.check(&request, &mut self.rng);
         if !is_full {
-            self.fleet.learn_traffic_share(now_ms);
+            self.fleet.update_traffic_share(now_ms);
         }
         limit
     }
 
-    /// Sends the request's next attempt, if an endpoint can take it; true if one can, or the request has
-    /// ended.
+    /// Sends the next attempt of a request if an endpoint can take the attempt. Returns whether an attempt
+    /// was sent; also true if the request is no longer open.
     fn dispatch(&mut self, now_ms: f64, id: RequestId, actions: &mut Vec<Action>) -> bool {
         let Some(mut request) = self.requests.remove(&id) else { return true };
         let picked = self.pick_endpoint(now_ms, &request);
@@ -157,8 +156,8 @@
         });
     }
 
-    /// Lets the request wait for capacity, if it could then still be in time; else ends it at once. Its
-    /// client may be gone before the next wake-up.
+    /// Enqueues a request until an endpoint has capacity. Ends the request at once if a response could no
+    /// longer be useful by then, because the client may disconnect before the next wake-up.
     fn enqueue(&mut self, now_ms: f64, id: RequestId, actions: &mut Vec<Action>) {
         let Some(request) = self.requests.get(&id) else { return };
         let typical_ms = self.latencies.typical_ms(request.class);
@@ -171,13 +170,14 @@
         }
     }
 
-    /// Sends pending requests while there is capacity, and ends those that can no longer be in time.
+    /// Sends pending requests while endpoints have capacity, and ends those whose responses can no longer
+    /// be useful.
     pub(super) fn drain_pending(&mut self, now_ms: f64, actions: &mut Vec<Action>) {
-        let mut misses_count = 0;
+        let mut misses = 0;
         for id in self.pending.drain(&self.requests) {
-            let may_send = misses_count < MAX_MISSES_COUNT && self.may_send_pending(now_ms, id);
+            let may_send = misses < MAX_MISSES && self.may_send_pending(now_ms, id);
             if !may_send || !self.dispatch(now_ms, id, actions) {
-                misses_count += 1;
+                misses += 1;
                 self.enqueue(now_ms, id, actions);
             }
         }
@@ -193,50 +193,55 @@
         retry::may_retry(now_ms, &self.settings.classes[request.class], request)
     }
 
-    /// An attempt has ended: completes, retries or ends its request.
+    /// Handles the end of an attempt: completes, retries or ends the request.
     pub(super) fn on_attempt_end(&mut self, now_ms: f64, end: &AttemptEnd, actions: &mut Vec<Action>) {
         let Some(request) = self.requests.get_mut(&end.request) else { return };
         let (class, tenant) = (request.class, request.tenant);
         request.mark_ended(end.attempt, end.outcome.never_ran());
         let is_in_flight = request.is_in_flight();
-        let blame_ratio = 1.0 - self.failure_ratios.excuse_ratio(tenant, class, FaultKind::Failure);
-        self.record_latency(end, class, blame_ratio);
+        let endpoint_fault_ratio =
+            1.0 - self.failure_ratios.request_fault_ratio(tenant, class, FaultKind::Failure);
+        self.record_latency(end, class, endpoint_fault_ratio);
         if end.request_complete {
             self.requests.remove(&end.request);
             self.pending.remove(end.request);
         } else if !is_in_flight {
-            self.retry_or_end(now_ms, end.request, blame_ratio, actions);
+            self.retry_or_end(now_ms, end.request, endpoint_fault_ratio, actions);
         }
     }
 
-    /// Learns from an attempt's latency, by the fraction that is the endpoint's fault.
-    fn record_latency(&mut self, end: &AttemptEnd, class: usize, blame_ratio: f64) {
+    /// Updates the endpoint's AIMD factor and the class's latency estimate from an ended attempt.
+    /// `endpoint_fault_ratio` is the fraction of a failure that is due to the endpoint, from 0 to 1.
+    fn record_latency(&mut self, end: &AttemptEnd, class: usize, endpoint_fault_ratio: f64) {
         let is_served = end.outcome == Outcome::Served;
         let is_timeout = end.outcome == Outcome::ResponseTimeout;
         let objective_ms = self.settings.classes[class].latency_objective_ms;
-        let is_good = concurrency_factor::is_good(end.latency_ms, objective_ms);
+        let is_fast = concurrency_factor::is_fast(end.latency_ms, objective_ms);
         if let Some(endpoint) = self.fleet.endpoints.get_mut(end.endpoint) {
-            if is_served && is_good {
+            if is_served && is_fast {
                 endpoint.concurrency.increase();
-            } else if is_served || (is_timeout && !is_good) {
-                endpoint.concurrency.decrease(blame_ratio);
+            } else if is_served || (is_timeout && !is_fast) {
+                endpoint.concurrency.decrease(endpoint_fault_ratio);
             }
         }
         if is_served || is_timeout {
-            self.latencies.record(class, end.latency_ms, is_timeout, blame_ratio);
+            self.latencies.record(class, end.latency_ms, is_timeout, endpoint_fault_ratio);
         }
     }
 
-    /// Sends another attempt of a request that has none in flight, or ends it. What fails for its tenant or
-    /// class everywhere is retried with a lower probability.
-    fn retry_or_end(&mut self, now_ms: f64, id: RequestId, blame_ratio: f64, actions: &mut Vec<Action>) {
+    /// Retries a request that has no attempt in flight, or ends the request. A retry is sent only with the
+    /// probability `endpoint_fault_ratio`, because failures that are due to the request's tenant or class
+    /// would probably repeat at another endpoint.
+    fn retry_or_end(
+        &mut self, now_ms: f64, id: RequestId, endpoint_fault_ratio: f64, actions: &mut Vec<Action>,
+    ) {
         let Some(request) = self.requests.get(&id) else { return };
         let attempts_left = (request.attempts.len() as u32) < self.settings.max_attempts;
         let is_in_time = retry::is_in_time(now_ms, request, self.latencies.typical_ms(request.class));
         let retries = attempts_left
             && self.retry_budget.has_token()
             && is_in_time
-            && self.rng.rand_float() < blame_ratio
+            && self.rng.rand_float() < endpoint_fault_ratio
             && self.may_retry(now_ms, request);
         if !retries {
             return self.end(id, RejectionReason::AttemptsFailed, actions);
@@ -247,7 +252,8 @@
         }
     }
 
-    /// Ends a request unserved: rejected where its client may safely retry, else failed.
+    /// Ends a request without a response from an endpoint: rejects the request if its client may safely
+    /// retry, and fails the request otherwise.
     fn end(&mut self, id: RequestId, reason: RejectionReason, actions: &mut Vec<Action>) {
         let Some(request) = self.requests.remove(&id) else { return };
         let may_have_run = request.first_possible_run().is_some();
@@ -266,8 +272,8 @@
         actions.push(Action::Reject { request, reason, retry_after_ms });
     }
 
-    /// The gateway has closed the request: its client has disconnected, or its deadline has passed. Cancels
-    /// its attempts in flight, where that is permitted.
+    /// Closes a request whose client has disconnected or whose deadline has passed, and cancels attempts in
+    /// flight if the deployment permits cancellation.
     pub(super) fn on_client_disconnected(&mut self, id: RequestId, actions: &mut Vec<Action>) {
         let Some(request) = self.requests.remove(&id) else { return };
         self.pending.remove(id);
--- a/balancer/src/capacity.rs
+++ b/balancer/src/capacity.rs
@@ -1,18 +1,19 @@
-//! The capacity of each endpoint in requests a second, known or assumed, and its balancing weight.
+//! The capacity of each endpoint in requests per second, reported or assumed, and its balancing weight.
 //!
-//! Rule: an endpoint without load reports is taken to have the fleet's mean capacity, times its listed size
-//! and less in slow start. The balancing weight never lies far below that mean.
+//! Rule: an endpoint without load reports is assumed to have the mean capacity of the fleet, times its
+//! relative listed size, and less in slow start. The balancing weight never lies far below that mean.
 
 use crate::endpoint::Endpoint;
 use crate::fleet::Fleet;
 
-/// An endpoint's balancing weight is at least this fraction of the mean capacity.
+/// Lower bound of an endpoint's balancing weight, as a fraction of the mean capacity.
 const MIN_WEIGHT_RATIO: f64 = 0.25;
 
-/// The least balancing weight, in requests a second: above 0, so that an endpoint can be drawn.
+/// Lower bound of the balancing weight, in requests per second; above 0, so that every endpoint can be
+/// picked.
 const MIN_WEIGHT_PER_S: f64 = 1e-6;
 
-/// The capacities of the fleet's endpoints at one moment.
+/// The capacities of the fleet's endpoints at one time.
 pub(crate) struct Capacities<'a> {
     fleet: &'a Fleet,
     now_ms: f64,
@@ -20,12 +21,12 @@
 }
 
 impl<'a> Capacities<'a> {
-    /// The capacities as of now.
+    /// Returns the capacities at `now_ms`.
     pub fn at(now_ms: f64, fleet: &'a Fleet) -> Self {
         Capacities { fleet, now_ms, mean_per_s: fleet.endpoints.mean_capacity_per_s() }
     }
 
-    /// An endpoint's capacity; 0 where no endpoint has reported.
+    /// Returns the capacity of an endpoint, in requests per second; 0 if no endpoint has reported.
     pub fn capacity_per_s(&self, endpoint: &Endpoint) -> f64 {
         endpoint.load.capacity_per_s.unwrap_or_else(|| {
             let warm_up_ratio = self.fleet.slow_start.warm_up_ratio(self.now_ms, endpoint);
@@ -33,7 +34,7 @@
         })
     }
 
-    /// An endpoint's balancing weight.
+    /// Returns the balancing weight of an endpoint, in requests per second.
     pub fn weight_per_s(&self, endpoint: &Endpoint) -> f64 {
         let warm_up_ratio = self.fleet.slow_start.warm_up_ratio(self.now_ms, endpoint);
         let warm_mean_per_s = self.mean_per_s * warm_up_ratio;
@@ -44,7 +45,8 @@
             .max(MIN_WEIGHT_PER_S)
     }
 
-    /// An endpoint's listed size relative to the mean of those in use, where weights reflect load; else 1.
+    /// Returns the endpoint's listed size relative to the mean of the endpoints in use if weights reflect
+    /// load, and 1 otherwise.
     fn relative_size(&self, endpoint: &Endpoint) -> f64 {
         let size = endpoint.load.idle_weight;
         if size <= 0.0 {
--- a/balancer/src/concurrency_factor.rs
+++ b/balancer/src/concurrency_factor.rs
@@ -1,27 +1,27 @@
 //! Additive increase and multiplicative decrease (AIMD) of an endpoint's concurrency limit.
 //!
-//! Rule: a response well within its latency objective raises the factor by a constant; a slow response (one
-//! that is not good) or a timeout multiplies it. The factor scales the limit of
+//! Rule: a fast response, well within the latency objective, raises the factor by a constant; any slower
+//! response or a timeout multiplies the factor by a constant below 1. The factor scales the limit of
 //! [`crate::concurrency_limit`].
 
-/// A slow response or a timeout multiplies the factor by this.
+/// Multiplier of the factor after a slow response or a timeout.
 const DECREASE_FACTOR: f64 = 0.7;
 
-/// A good response adds this to the factor.
+/// Increment of the factor after a fast response.
 const INCREASE_STEP: f64 = 0.05;
 
-/// The factor never falls below this: when all endpoints are slow at once their cores must not be idle.
+/// Lower bound of the factor, so that cores don't idle when all endpoints are slow at once.
 const MIN_FACTOR: f64 = 0.4;
 
-/// A response within this fraction of its latency objective is good.
-const GOOD_OBJECTIVE_RATIO: f64 = 0.75;
+/// A response within this fraction of its latency objective is fast.
+const FAST_OBJECTIVE_RATIO: f64 = 0.75;
 
-/// Whether a response after `latency_ms` is well within its objective.
-pub(crate) fn is_good(latency_ms: f64, objective_ms: f64) -> bool {
-    latency_ms < GOOD_OBJECTIVE_RATIO * objective_ms
+/// Returns whether a response after `latency_ms` is well within the latency objective.
+pub(crate) fn is_fast(latency_ms: f64, objective_ms: f64) -> bool {
+    latency_ms < FAST_OBJECTIVE_RATIO * objective_ms
 }
 
-/// The fraction of an endpoint's concurrency limit that is in use, from [`MIN_FACTOR`] to 1.
+/// The AIMD factor of an endpoint's concurrency limit, from [`MIN_FACTOR`] to 1.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct ConcurrencyFactor {
     factor: f64,
@@ -34,18 +34,18 @@
 }
 
 impl ConcurrencyFactor {
-    /// The factor.
     pub fn factor(self) -> f64 {
         self.factor
     }
 
-    /// After a good response.
+    /// Raises the factor after a fast response.
     pub fn increase(&mut self) {
         self.factor = (self.factor + INCREASE_STEP).min(1.0);
     }
 
-    /// After a slow response or a timeout, by the fraction of it that is the endpoint's fault.
-    pub fn decrease(&mut self, blame_ratio: f64) {
-        self.factor = (self.factor * DECREASE_FACTOR.powf(blame_ratio)).max(MIN_FACTOR);
+    /// Lowers the factor after a slow response or a timeout; `endpoint_fault_ratio` is the fraction of the
+    /// delay that is due to the endpoint, from 0 to 1.
+    pub fn decrease(&mut self, endpoint_fault_ratio: f64) {
+        self.factor = (self.factor * DECREASE_FACTOR.powf(endpoint_fault_ratio)).max(MIN_FACTOR);
     }
 }
--- a/balancer/src/concurrency_limit.rs
+++ b/balancer/src/concurrency_limit.rs
@@ -1,21 +1,22 @@
-//! How many requests this gateway may have in flight at an endpoint.
+//! Concurrency limits: how many requests this gateway may have in flight at an endpoint.
 //!
-//! Rule: the limit is this gateway's share of what the endpoint serves within a fraction of the shortest
-//! latency objective, times the endpoint's AIMD factor. The gateway's share is its own send rate over the
-//! endpoint's reported throughput, and never less than an even share among the gateways that use the
-//! endpoint.
+//! Rule: the limit is this gateway's share of the requests that the endpoint serves within a fraction of
+//! the shortest latency objective, times the endpoint's AIMD factor. The gateway's share is its own send
+//! rate divided by the endpoint's reported throughput, and at least an even share among the gateways that
+//! use the endpoint.
 //!
-//! Unit of limits: requests, which may be a fraction.
+//! Limits are in requests, and may have a fractional part.
 
 use crate::capacity::Capacities;
 use crate::endpoint::Endpoint;
 use crate::fleet::Fleet;
-use crate::load::drainable_count;
+use crate::load::max_in_flight;
 
-/// What all gateways may have in flight at an endpoint of a fleet of which nothing is known.
-const UNKNOWN_CAPACITY_LIMIT_COUNT: f64 = 8.0;
+/// Number of requests that all gateways together may have in flight at an endpoint while no endpoint's
+/// capacity is known.
+const UNKNOWN_CAPACITY_LIMIT: f64 = 8.0;
 
-/// The limits of the fleet's endpoints at one moment.
+/// The concurrency limits of the fleet's endpoints at one time.
 pub(crate) struct ConcurrencyLimits<'a> {
     capacities: Capacities<'a>,
     fleet: &'a Fleet,
@@ -23,34 +24,35 @@
 }
 
 impl<'a> ConcurrencyLimits<'a> {
-    /// The limits as of now.
+    /// Returns the limits at `now_ms`.
     pub fn at(now_ms: f64, fleet: &'a Fleet) -> Self {
         ConcurrencyLimits { capacities: Capacities::at(now_ms, fleet), fleet, now_ms }
     }
 
-    /// The capacities that the limits follow from.
+    /// Returns the capacities from which the limits are computed.
     pub fn capacities(&self) -> &Capacities<'a> {
         &self.capacities
     }
 
-    /// How many requests this gateway may have in flight at an endpoint.
-    pub fn limit_count(&self, endpoint: &Endpoint) -> f64 {
+    /// Returns how many requests this gateway may have in flight at an endpoint.
+    pub fn limit(&self, endpoint: &Endpoint) -> f64 {
         let capacity_per_s = self.capacities.capacity_per_s(endpoint);
         if capacity_per_s <= 0.0 {
-            return UNKNOWN_CAPACITY_LIMIT_COUNT * self.fleet.subset_selector.endpoint_share_ratio();
+            return UNKNOWN_CAPACITY_LIMIT * self.fleet.subset_selector.endpoint_share();
         }
-        let own_capacity_per_s = capacity_per_s * self.limit_share_ratio(endpoint);
+        let own_capacity_per_s = capacity_per_s * self.limit_share(endpoint);
         let usable_per_s = own_capacity_per_s * endpoint.concurrency.factor();
-        drainable_count(usable_per_s, self.fleet.objective_ms)
+        max_in_flight(usable_per_s, self.fleet.shortest_objective_ms)
     }
 
-    /// This gateway's share of the endpoint's requests: its send rate over the reported throughput, and at
-    /// least the share of [`crate::subset`]; that alone without a report.
-    fn limit_share_ratio(&self, endpoint: &Endpoint) -> f64 {
-        let endpoint_share_ratio = self.fleet.subset_selector.endpoint_share_ratio();
+    /// Returns this gateway's share of the endpoint's requests: its send rate divided by the reported
+    /// throughput, and at least the endpoint share of [`crate::subset`]; the endpoint share alone if there
+    /// is no report.
+    fn limit_share(&self, endpoint: &Endpoint) -> f64 {
+        let endpoint_share = self.fleet.subset_selector.endpoint_share();
         let reported_per_s = endpoint.load.last_report.throughput_per_s.filter(|per_s| *per_s > 0.0);
-        reported_per_s.map_or(endpoint_share_ratio, |reported_per_s| {
-            (endpoint.send_rate.per_s(self.now_ms) / reported_per_s).clamp(endpoint_share_ratio, 1.0)
+        reported_per_s.map_or(endpoint_share, |reported_per_s| {
+            (endpoint.send_rate.per_s(self.now_ms) / reported_per_s).clamp(endpoint_share, 1.0)
         })
     }
 }
--- a/balancer/src/endpoint_set.rs
+++ b/balancer/src/endpoint_set.rs
@@ -1,93 +1,90 @@
-//! The endpoints: all known ones, those that may get requests, and the subset that this gateway uses.
+//! The known endpoints, the eligible ones among them, and the subset that this gateway uses.
 
 use crate::endpoint::Endpoint;
 use crate::ids::EndpointId;
 use crate::zone::{PerZoneSide, ZoneSide};
 use std::collections::BTreeMap;
 
-/// All known endpoints, indexed by whether they are eligible and in use.
+/// All known endpoints, with indexes of the eligible ones and of the subset in use.
 #[derive(Debug, Default)]
 pub(crate) struct EndpointSet {
     by_id: BTreeMap<EndpointId, Endpoint>,
-    /// Those that may get requests, in an order that all gateways share.
+    /// Endpoints that may get requests, in an order that is the same at all gateways.
     eligible: PerZoneSide<Vec<EndpointId>>,
-    /// Those of them that this gateway uses.
+    /// Eligible endpoints that this gateway uses.
     subset: PerZoneSide<Vec<EndpointId>>,
 }
 
 impl EndpointSet {
-    /// An endpoint by its id.
     pub fn get(&self, id: EndpointId) -> Option<&Endpoint> {
         self.by_id.get(&id)
     }
 
-    /// An endpoint by its id, to be changed.
     pub fn get_mut(&mut self, id: EndpointId) -> Option<&mut Endpoint> {
         self.by_id.get_mut(&id)
     }
 
-    /// Whether an endpoint is known.
     pub fn contains(&self, id: EndpointId) -> bool {
         self.by_id.contains_key(&id)
     }
 
-    /// Takes an endpoint out; it stays in the indexes until they are rebuilt.
+    /// Removes an endpoint; the indexes contain its id until they are rebuilt.
     pub fn remove(&mut self, id: EndpointId) -> Option<Endpoint> {
         self.by_id.remove(&id)
     }
 
-    /// Puts an endpoint in; the indexes have it once they are rebuilt.
+    /// Inserts an endpoint; the indexes contain its id once they are rebuilt.
     pub fn insert(&mut self, id: EndpointId, endpoint: Endpoint) {
         self.by_id.insert(id, endpoint);
     }
 
-    /// Keeps the endpoints for which a condition holds.
+    /// Removes the endpoints for which `keep` returns false; the indexes contain their ids until they are
+    /// rebuilt.
     pub fn retain(&mut self, keep: impl Fn(&Endpoint) -> bool) {
         self.by_id.retain(|_, endpoint| keep(endpoint));
     }
 
-    /// Number of known endpoints.
+    /// Returns the number of known endpoints, whether eligible or not.
     pub fn known_count(&self) -> usize {
         self.by_id.len()
     }
 
-    /// Whether no endpoint is known.
     pub fn is_empty(&self) -> bool {
         self.by_id.is_empty()
     }
 
-    /// All known endpoints, to be changed.
+    /// Iterates over all known endpoints.
     pub fn iter_mut(&mut self) -> impl Iterator<Item = &mut Endpoint> {
         self.by_id.values_mut()
     }
 
-    /// The endpoints that may get requests, by side, in an order that all gateways share.
+    /// Returns the endpoints that may get requests, by side, in an order that is the same at all gateways.
     pub fn eligible(&self) -> &PerZoneSide<Vec<EndpointId>> {
         &self.eligible
     }
 
-    /// Number of endpoints that may get requests.
+    /// Returns the number of eligible endpoints on both sides.
     pub fn eligible_count(&self) -> usize {
         self.eligible.len()
     }
 
-    /// The endpoints that this gateway uses, by side.
+    /// Returns the endpoints that this gateway uses, by side.
     pub fn subset(&self) -> &PerZoneSide<Vec<EndpointId>> {
         &self.subset
     }
 
-    /// The endpoints that this gateway uses, to be changed.
     pub fn subset_mut(&mut self) -> &mut PerZoneSide<Vec<EndpointId>> {
         &mut self.subset
     }
 
-    /// Takes all eligible endpoints of a side into the subset.
+    /// Adds all eligible endpoints of a side to the subset.
     pub fn use_all_eligible(&mut self, side: ZoneSide) {
         let eligible = self.eligible.get(side);
         self.subset.get_mut(side).clone_from(eligible);
     }
 
-    /// Rebuilds the list of eligible endpoints, and drops from the subset what is none any more.
+    /// Rebuilds the index of eligible endpoints, and removes endpoints that are no longer eligible from the
+    /// subset.
     pub fn rebuild(&mut self, own_zone: u32) {
         for side in ZoneSide::BOTH {
             let is_eligible = |endpoint: &Endpoint| {
@@ -102,12 +99,12 @@
         }
     }
 
-    /// The endpoints in use, the local ones first.
+    /// Iterates over the endpoints in use, local ones first.
     pub fn in_use(&self) -> impl Iterator<Item = &Endpoint> {
-        self.of(self.subset.iter())
+        self.get_all(self.subset.iter())
     }
 
-    /// Calls `visit` with each endpoint in use, the local ones first.
+    /// Calls `visit` for each endpoint in use, local ones first.
     pub fn for_each_in_use(&mut self, mut visit: impl FnMut(EndpointId, &mut Endpoint)) {
         for id in self.subset.iter() {
             if let Some(endpoint) = self.by_id.get_mut(id) {
@@ -116,35 +113,38 @@
         }
     }
 
-    /// The known endpoints among some ids.
-    pub fn of<'a>(&'a self, ids: impl Iterator<Item = &'a EndpointId>) -> impl Iterator<Item = &'a Endpoint> {
+    /// Iterates over the endpoints with the given ids, and skips ids of unknown endpoints.
+    pub fn get_all<'a>(
+        &'a self, ids: impl Iterator<Item = &'a EndpointId>,
+    ) -> impl Iterator<Item = &'a Endpoint> {
         ids.filter_map(|id| self.by_id.get(id))
     }
 
-    /// The mean of a value over the endpoints in use that have it.
+    /// Returns the mean of a value over the endpoints in use that have the value.
     pub fn mean(&self, value: impl Fn(&Endpoint) -> Option<f64>) -> Option<f64> {
         mean(self.in_use().filter_map(value))
     }
 
-    /// The mean of a value over those of some endpoints that have it.
+    /// Returns the mean of a value over the endpoints with the given ids that have the value.
     pub fn mean_of<'a>(
         &'a self, ids: impl Iterator<Item = &'a EndpointId>, value: impl Fn(&Endpoint) -> Option<f64>,
     ) -> Option<f64> {
-        mean(self.of(ids).filter_map(value))
+        mean(self.get_all(ids).filter_map(value))
     }
 
-    /// The mean failure ratio of the endpoints in use that are not ejected.
+    /// Returns the mean failure ratio of the endpoints in use that are not ejected.
     pub fn mean_failure_ratio(&self) -> f64 {
         self.mean(|endpoint| endpoint.health.ratio_unless_ejected()).unwrap_or(0.0)
     }
 
-    /// The least fraction of a class's responses that are errors: where all endpoints fail it, none is
-    /// excluded.
+    /// Returns the lowest error ratio of a class among the endpoints in use. Ratios are compared with this
+    /// one, so that no endpoint is excluded where all endpoints fail the class.
     pub fn least_error_ratio(&self, class: usize) -> f64 {
         self.in_use().map(|endpoint| endpoint.class_errors.error_ratio(class)).fold(1.0, f64::min)
     }
 
-    /// The mean capacity of the endpoints in use that have one, in requests a second; 0 if none has.
+    /// Returns the mean capacity of the endpoints in use whose capacity is known, in requests per second; 0
+    /// if none is known.
     pub fn mean_capacity_per_s(&self) -> f64 {
         self.mean(|endpoint| endpoint.load.capacity_per_s).unwrap_or(0.0)
     }
--- a/balancer/src/endpoint_updates.rs
+++ b/balancer/src/endpoint_updates.rs
@@ -1,8 +1,8 @@
-//! Applies updates of the endpoint list to the fleet.
+//! Applies endpoint updates to the fleet.
 //!
-//! Rule: an entry that is new, or reports a new process start, puts its endpoint into slow start. An
-//! endpoint that is no longer listed leaves once this gateway has nothing in flight there; where removals
-//! are advisory, one that is proven stays until it fails or has long been silent.
+//! Rule: an entry that is new or reports a new process start puts its endpoint into slow start. An endpoint
+//! that is no longer listed is forgotten once this gateway has nothing in flight there. Where removals are
+//! advisory, a proven endpoint stays in use until it fails or has long been silent.
 
 use crate::endpoint::Endpoint;
 use crate::event::{EndpointRecord, Readiness, UpdateKind};
@@ -10,22 +10,22 @@
 use crate::health_checks::HEALTH_CHECK_INTERVAL_MS;
 use oorandom::Rand64;
 
-/// An endpoint that is no longer listed is forgotten after this time without a response.
+/// Time without a response after which an endpoint that is no longer listed is forgotten.
 const UNLISTED_TIMEOUT_MS: f64 = 60_000.0;
 
-/// An update that is being applied.
+/// An endpoint update that is being applied.
 pub(crate) struct EndpointUpdate<'a> {
-    /// When it came.
+    /// Time at which the update arrived, in ms.
     pub now_ms: f64,
-    /// What kind of update it is.
+    /// Kind of the update.
     pub kind: UpdateKind,
-    /// A list of discovery itself has come before.
+    /// Whether discovery has already sent a list since the cached list was loaded.
     pub follows_discovery: bool,
-    /// Only drains bind, removals don't.
+    /// Whether a removed endpoint may still be used unless it was draining.
     pub removal_is_advisory: bool,
-    /// What it is applied to.
+    /// Fleet that the update is applied to.
     pub fleet: &'a mut Fleet,
-    /// Spreads first health checks and first requests.
+    /// Random generator that spreads first health checks and first requests over time.
     pub rng: &'a mut Rand64,
 }
 
@@ -33,8 +33,8 @@
     /// Applies the entries of the update.
     pub fn apply(mut self, records: Vec<EndpointRecord>) {
         let is_complete = self.kind != UpdateKind::Delta;
-        // What has started since the cached list was stored may have started long before the first list
-        // after it.
+        // Endpoints that have started since the cached list was stored may have started long before the
+        // first list from discovery.
         let is_first_list = self.fleet.endpoints.is_empty() || !self.follows_discovery;
         if is_complete {
             for endpoint in self.fleet.endpoints.iter_mut() {
@@ -51,7 +51,7 @@
         }
     }
 
-    /// Applies an entry; true if the subset has to be rebuilt.
+    /// Applies one entry. Returns whether the subset has to be rebuilt.
     fn apply_record(&mut self, record: EndpointRecord, is_first_list: bool) -> bool {
         let id = record.endpoint;
         if record.readiness == Readiness::Removed {
@@ -60,7 +60,8 @@
                 return true;
             }
         }
-        // While an endpoint is updated it is not part of the fleet, whose means its slow start depends on.
+        // An endpoint is taken out of the fleet while its entry is applied, because its slow start depends
+        // on means over the other endpoints.
         let known = self.fleet.endpoints.remove(id);
         let mut is_changed =
             known.as_ref().is_none_or(|endpoint| endpoint.record.readiness != record.readiness);
@@ -76,13 +77,14 @@
         is_changed
     }
 
-    /// The first health checks of endpoints that are listed together are spread over the interval.
+    /// Creates an endpoint whose first health check is due at a random time within one interval, so that
+    /// the checks of endpoints that are listed together are spread over the interval.
     fn new_endpoint(&mut self) -> Endpoint {
         let first_check_at_ms = self.now_ms + HEALTH_CHECK_INTERVAL_MS * self.rng.rand_float();
         Endpoint::new(self.now_ms, first_check_at_ms)
     }
 
-    /// Puts the endpoint into slow start if its entry reports a new process start; true if it does.
+    /// Puts the endpoint into slow start if its entry reports a new process start. Returns whether it does.
     fn apply_start(&mut self, endpoint: &mut Endpoint, is_first_list: bool) -> bool {
         let started_at_ms = endpoint.record.started_at_ms;
         let slow_start_since_ms = self.new_start_ms(endpoint, started_at_ms, is_first_list);
@@ -97,12 +99,14 @@
         true
     }
 
-    /// Since when the endpoint's process is in slow start, if the reported start is new.
+    /// Returns when slow start begins, in ms, if the reported start is new and the endpoint is still in
+    /// slow start.
     ///
-    /// The endpoint's wall clock and this machine's may have been stepped: a start that is reported while
-    /// this gateway follows discovery is as new as the update.
+    /// Wall clocks may have been stepped at the endpoint or at the gateway, so that the reported time
+    /// cannot be trusted: a start that is reported while this gateway follows discovery counts as if it
+    /// happened at the time of the update.
     fn new_start_ms(&self, endpoint: &mut Endpoint, started_at_ms: f64, is_first_list: bool) -> Option<f64> {
-        if !endpoint.starts.learn(started_at_ms) {
+        if !endpoint.starts.record(started_at_ms) {
             return None;
         }
         if !is_first_list {
@@ -112,8 +116,8 @@
         is_young.then(|| started_at_ms.min(self.now_ms))
     }
 
-    /// Nothing is known of a new process: its health and capacity are reset. The gateways' first requests
-    /// to it are spread over the time between sends.
+    /// Resets the health and the capacity of an endpoint whose process is new. The first requests of
+    /// different gateways are spread over one send interval.
     fn begin_slow_start(&mut self, endpoint: &mut Endpoint) {
         endpoint.health.reset();
         endpoint.load.reset_capacity();
@@ -121,7 +125,7 @@
         endpoint.next_send_at_ms = self.now_ms + interval_ms * self.rng.rand_float();
     }
 
-    /// Forgets the endpoints that have left, once this gateway has nothing in flight there.
+    /// Forgets the endpoints that are no longer in use, once this gateway has nothing in flight there.
     fn forget_removed(&mut self) {
         let now_ms = self.now_ms;
         self.fleet.endpoints.retain(|endpoint| {
--- a/balancer/src/event.rs
+++ b/balancer/src/event.rs
@@ -1,165 +1,169 @@
-//! What goes into a [`Balancer`](crate::Balancer): the events that the gateway has seen.
+//! The inputs of a [`Balancer`](crate::Balancer): the events that the gateway has observed.
 //!
-//! Times are milliseconds on the gateway's own clock, which may start anywhere and only moves forward.
+//! Times are milliseconds on the gateway's own clock, which starts at an arbitrary value and never goes
+//! back.
 
 use crate::ids::{EndpointId, RequestId};
 
-/// Whether an endpoint takes requests, by the endpoint list.
+/// Readiness of an endpoint according to the endpoint list.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Readiness {
-    /// Takes requests.
+    /// The endpoint takes requests.
     #[default]
     Active,
-    /// Drains: no new request may go there.
+    /// The endpoint is draining: no new request may be sent to it.
     Draining,
-    /// No longer listed.
+    /// The endpoint is no longer listed.
     Removed,
 }
 
 /// An entry of the endpoint list.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct EndpointRecord {
-    /// The endpoint.
+    /// Endpoint that the entry describes.
     pub endpoint: EndpointId,
-    /// Its zone, in the gateway's own numbering.
+    /// Zone of the endpoint, in the gateway's own numbering.
     pub zone: u32,
-    /// Its cell, for requests with an idempotency key.
+    /// Cell of the endpoint, in the gateway's own numbering; retries with an idempotency key may be limited
+    /// to a cell.
     pub cell: u32,
-    /// The same number at every gateway, and another for each endpoint, such as a hash of its name.
+    /// Hash of the endpoint, such as a hash of its name. The same at all gateways and different for each
+    /// endpoint, so that all gateways order endpoints in the same way.
     pub hash: u64,
-    /// Its size in relation to the others; where weights reflect load, lowered by the requests in flight
-    /// there.
+    /// Size of the endpoint relative to the other endpoints. Where weights reflect load, the size is
+    /// divided by 1 + requests in flight per core.
     pub weight: f64,
-    /// Whether it takes requests.
+    /// Whether the endpoint takes requests.
     pub readiness: Readiness,
-    /// When its process last started, in ms; 0 (or less) for long ago.
+    /// Time at which the endpoint's process last started, in ms; 0 or less if the process started long ago.
     pub started_at_ms: f64,
 }
 
-/// Kinds of updates from discovery.
+/// The kind of an endpoint update.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum UpdateKind {
-    /// Only changed entries.
+    /// Changed entries only.
     Delta,
-    /// The complete list.
+    /// The complete list; endpoints that are not on the list have been removed.
     Complete,
-    /// The complete list as this gateway cached it last, maybe stale.
+    /// The complete list as this gateway cached it before its last stop; the list may be stale.
     Cached,
-    /// A poll failed or the watch broke; the previous list stays in force.
+    /// No list: a poll failed or the watch broke, and the previous list stays in force.
     WatchLost,
 }
 
-/// How an attempt or a health check ended.
+/// The outcome of an attempt or of a health check.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
-    /// Served.
+    /// The endpoint served the request.
     Served,
-    /// The endpoint responded with any status but 200, other than a rejection; or its response was
-    /// malformed or stopped arriving before it was complete.
+    /// The endpoint responded with a status other than 200 that is no rejection, or its response was
+    /// malformed or incomplete.
     ServerError,
-    /// The endpoint rejected it without running it.
+    /// The endpoint rejected the request without running it.
     Rejected,
-    /// No response in time.
+    /// No response arrived in time.
     ResponseTimeout,
-    /// No connection in time, or the connection broke before the request was sent completely, so that it
-    /// never ran.
+    /// No connection was established in time, or the connection broke before the request was sent
+    /// completely, so that the request never ran.
     ConnectFailed,
-    /// The connection broke after the request had been sent completely.
+    /// The connection broke after the request was sent completely.
     ConnectionLost,
-    /// The gateway cancelled it.
+    /// The gateway cancelled the attempt.
     Cancelled,
-    /// Never sent.
+    /// The gateway never sent the attempt.
     NotSent,
 }
 
 impl Outcome {
-    /// True if this outcome proves that the attempt never ran.
+    /// Returns whether the outcome proves that the attempt never ran at the endpoint.
     pub fn never_ran(self) -> bool {
         matches!(self, Outcome::Rejected | Outcome::ConnectFailed | Outcome::NotSent)
     }
 }
 
-/// An endpoint's load report; absent values were not reported.
+/// The load report of an endpoint; `None` stands for a value that the endpoint did not report.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct LoadReport {
-    /// Fraction of its CPU that is busy, from 0 to 1.
+    /// Fraction of the endpoint's CPU capacity that is in use, from 0 to 1.
     pub utilization: Option<f64>,
-    /// Requests served a second.
+    /// Requests that the endpoint serves per second.
     pub throughput_per_s: Option<f64>,
-    /// Number of requests waiting.
+    /// Number of requests queued at the endpoint.
     pub queue_length: Option<f64>,
 }
 
-/// A request that the gateway has taken.
+/// The arrival of a request at the gateway.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Arrival {
-    /// The request.
+    /// Id of the new request.
     pub request: RequestId,
-    /// Index of its class in the settings.
+    /// Index of the request's class in the settings.
     pub class: usize,
-    /// Index of its tenant in the settings.
+    /// Index of the request's tenant in the settings, if the request has one.
     pub tenant: Option<usize>,
-    /// How long the client still waits for this attempt of its own, in ms.
+    /// Time that the client still waits for a response to this request, in ms.
     pub client_timeout_ms: f64,
 }
 
-/// The end of an attempt; each sent attempt has exactly one.
+/// The end of an attempt; each attempt that is sent ends exactly once.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct AttemptEnd {
-    /// The request.
+    /// Request that the attempt belongs to.
     pub request: RequestId,
-    /// Number of the attempt, from 0.
+    /// Number of the attempt within its request, from 0.
     pub attempt: u32,
-    /// Where it went.
+    /// Endpoint that the attempt was sent to.
     pub endpoint: EndpointId,
-    /// How it ended.
+    /// Outcome of the attempt.
     pub outcome: Outcome,
-    /// Time since it was sent, in ms.
+    /// Time from sending the attempt to its end, in ms.
     pub latency_ms: f64,
-    /// The client has its final response: the request needs no further attempt.
+    /// Whether the client has its final response, so that the request needs no further attempt.
     pub request_complete: bool,
-    /// The load report that came along.
+    /// Load report that the endpoint sent with its response, if any.
     pub report: LoadReport,
 }
 
-/// Something the gateway has seen.
+/// An event that the gateway has observed.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Event {
-    /// An update of the endpoint list.
+    /// The endpoint list has changed, or discovery can no longer be watched.
     EndpointUpdate {
-        /// What kind of update.
+        /// Kind of the update.
         kind: UpdateKind,
-        /// The entries.
+        /// Entries of the update; empty if the watch was lost.
         endpoints: Vec<EndpointRecord>,
     },
     /// A request has arrived.
     Request(Arrival),
-    /// The response of a streamed class has begun: the attempt now belongs to the client. No rule needs it:
-    /// it is there because the simulator's protocol has it.
+    /// The response of a request of a streamed class has started, and the gateway forwards the response to
+    /// the client. No rule uses this event; it exists because the simulator's protocol has it.
     ResponseStarted {
-        /// The request.
+        /// Request whose response has started.
         request: RequestId,
     },
     /// An attempt has ended.
     AttemptEnd(AttemptEnd),
-    /// The client no longer waits for the request: it has disconnected, or the deadline has passed.
+    /// The client no longer waits for a response: it has disconnected, or the request's deadline has
+    /// passed.
     ClientDisconnected {
-        /// The request.
+        /// Request whose client no longer waits.
         request: RequestId,
     },
     /// A health check has ended.
     HealthCheckEnd {
-        /// The endpoint.
+        /// Endpoint that was checked.
         endpoint: EndpointId,
-        /// How it ended.
+        /// Outcome of the health check.
         outcome: Outcome,
-        /// The load report that came along.
+        /// Load report that the endpoint sent with its response, if any.
         report: LoadReport,
     },
-    /// A timer is due.
+    /// A timer has fired.
     Timer {
-        /// As given with [`Action::Timer`](crate::Action::Timer); not read, since the balancer has one
-        /// timer.
+        /// Token of the [`Action::Timer`](crate::Action::Timer) that requested the timer. No rule uses the
+        /// token, because the balancer has a single timer.
         token: u64,
     },
 }
--- a/balancer/src/failure_ratios.rs
+++ b/balancer/src/failure_ratios.rs
@@ -1,23 +1,23 @@
-//! The fractions of attempts that fail and that stall, by tenant, by class and over all.
+//! The fractions of attempts that fail and that stall, by tenant, by class and overall.
 //!
-//! Rule: what fails for one tenant or class much more than for all others is the tenant's or class's fault
-//! and not the endpoint's. This also excuses an endpoint that only that tenant or class uses.
+//! Rule: failures that are much more frequent for one tenant or class than overall are attributed to that
+//! tenant or class and not to the endpoint, even if only that tenant or class uses the endpoint.
 
-/// Gain of a failure ratio for a new outcome.
-pub(crate) const FAILURE_GAIN_RATIO: f64 = 0.2;
+/// Smoothing gain of a failure ratio for a new outcome.
+pub(crate) const FAILURE_GAIN: f64 = 0.2;
 
-/// The same for a tenant, of which a gateway sees few requests.
-const TENANT_GAIN_RATIO: f64 = 0.4;
+/// Smoothing gain of a tenant's ratios; greater, because a gateway has few requests of each tenant.
+const TENANT_GAIN: f64 = 0.4;
 
-/// Lower bound of the served fraction that an excess is divided by.
+/// Lower bound of the overall served fraction by which an excess of failures is divided.
 const MIN_SERVED_RATIO: f64 = 0.2;
 
-/// The kinds of faults that are counted.
+/// The kind of a fault of an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum FaultKind {
-    /// The attempt failed in any way, a stall included.
+    /// The attempt failed in any way, including by a stall.
     Failure,
-    /// It had no response in a time in which it should have had one.
+    /// The attempt stalled: although it was given enough time, it got no response or only a very late one.
     Stall,
 }
 
@@ -36,13 +36,13 @@
         }
     }
 
-    fn record(&mut self, failed: bool, stalled: bool, gain_ratio: f64) {
-        self.failed += gain_ratio * (f64::from(u8::from(failed)) - self.failed);
-        self.stalled += gain_ratio * (f64::from(u8::from(stalled)) - self.stalled);
+    fn record(&mut self, failed: bool, stalled: bool, gain: f64) {
+        self.failed += gain * (f64::from(u8::from(failed)) - self.failed);
+        self.stalled += gain * (f64::from(u8::from(stalled)) - self.stalled);
     }
 }
 
-/// Failure and stall ratios by tenant, by class and over all.
+/// The failure and stall ratios by tenant, by class and overall.
 #[derive(Debug)]
 pub(crate) struct FailureRatios {
     by_tenant: Vec<FaultRatios>,
@@ -51,7 +51,7 @@
 }
 
 impl FailureRatios {
-    /// No attempt has failed yet.
+    /// Creates ratios of 0.
     pub fn new(tenant_count: usize, class_count: usize) -> Self {
         FailureRatios {
             by_tenant: vec![FaultRatios::default(); tenant_count],
@@ -60,24 +60,26 @@
         }
     }
 
-    /// Counts an attempt's outcome.
+    /// Records the outcome of an attempt.
     pub fn record(&mut self, tenant: Option<usize>, class: usize, failed: bool, stalled: bool) {
-        self.by_class[class].record(failed, stalled, FAILURE_GAIN_RATIO);
-        self.overall.record(failed, stalled, FAILURE_GAIN_RATIO);
+        self.by_class[class].record(failed, stalled, FAILURE_GAIN);
+        self.overall.record(failed, stalled, FAILURE_GAIN);
         if let Some(tenant) = tenant {
-            self.by_tenant[tenant].record(failed, stalled, TENANT_GAIN_RATIO);
+            self.by_tenant[tenant].record(failed, stalled, TENANT_GAIN);
         }
     }
 
-    /// How far the tenant or the class, more than all others, accounts for a fault: 0 not at all, 1 fully.
-    pub fn excuse_ratio(&self, tenant: Option<usize>, class: usize, kind: FaultKind) -> f64 {
+    /// Returns the fraction of a fault that is due to the request, that is, to its tenant or class: 0 if
+    /// they have no more faults than the overall mean, and 1 if they account for the fault entirely.
+    pub fn request_fault_ratio(&self, tenant: Option<usize>, class: usize, kind: FaultKind) -> f64 {
         let of_tenant = tenant.map_or(0.0, |tenant| self.by_tenant[tenant].get(kind));
         let of_class = self.by_class[class].get(kind);
         let overall = self.overall.get(kind);
         (of_tenant.max(of_class) - overall).max(0.0) / (1.0 - overall).max(MIN_SERVED_RATIO)
     }
 
-    /// How far the tenant alone accounts for failures; below 0 where it fails less than the others.
+    /// Returns the fraction of a failure that is due to the tenant alone; negative if the tenant fails less
+    /// than the overall mean.
     pub fn tenant_excess_ratio(&self, tenant: Option<usize>) -> f64 {
         let overall = self.overall.failed;
         tenant.map_or(0.0, |tenant| {
--- a/balancer/src/ids.rs
+++ b/balancer/src/ids.rs
@@ -1,10 +1,10 @@
-//! Identifiers that the gateway assigns.
+//! Identifiers that the gateway assigns to requests and endpoints.
 
-/// A request, as numbered by the gateway. An id is used once.
+/// The identifier of a request; the gateway uses each one only once.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct RequestId(pub u64);
 
-/// An endpoint (a server), as numbered by the gateway. It stays the same when the server's process
+/// The identifier of an endpoint (a server). The identifier stays the same when the server's process
 /// restarts.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct EndpointId(pub u32);
--- a/balancer/src/lib.rs
+++ b/balancer/src/lib.rs
@@ -1,8 +1,9 @@
-//! The decisions of a load-balancing proxy, without I/O, clock or threads.
+//! The decisions of a load-balancing gateway, without I/O, clocks or threads.
 //!
-//! A gateway owns one [`Balancer`], hands it [`Event`]s with its own time, and carries out the [`Action`]s
-//! that come back. Everything the balancer may know is in [`Settings`] and [`Event`]. Each rule has a
-//! module of its own, with its state and constants; the `balancer` module hands events to them.
+//! A gateway owns one [`Balancer`], passes [`Event`]s to [`Balancer::handle`] together with the current
+//! time of the gateway's own clock, and carries out the returned [`Action`]s. A balancer's inputs are its
+//! [`Settings`], a random seed and these events; the same inputs lead to the same actions. Each rule has a
+//! module of its own, with its state and its constants; the `balancer` module passes events to the rules.
 #![forbid(unsafe_code)]
 #![deny(missing_docs, clippy::too_many_lines, clippy::cognitive_complexity)]
 
@@ -55,7 +56,7 @@
     DeduplicationScope, Idempotency, LoadReportDelivery, RequestClass, Settings, SettingsError, Tenant,
 };
 
-/// The README's example, compiled and run.
+/// Compiles and runs the example of the README as a doc test.
 #[cfg(doctest)]
 #[doc = include_str!("../../README.md")]
 struct Readme;
--- a/balancer/src/outlier_ejection.rs
+++ b/balancer/src/outlier_ejection.rs
@@ -1,49 +1,50 @@
-//! Ejection of outliers: endpoints that fail much more than the mean of the endpoints in use.
+//! Outlier ejection: endpoints that fail much more than the mean of the endpoints in use get only trial
+//! requests.
 //!
-//! Rule: an endpoint whose failure ratio lies [`EJECTION_MARGIN_RATIO`] above the mean is ejected. After an
-//! interval it gets one trial request, which must be idempotent where such requests exist. A failed trial
-//! doubles the interval. A response ends the ejection, be it an error or a rejection, unless its latency
-//! counts as a stall; so does a new start of the endpoint's process, unless it is in slow start already. Time
-//! alone only makes a trial due. Where everything fails or is slow at once, the mean rises too and few are
-//! ejected.
+//! Rule: an endpoint whose failure ratio exceeds the mean by [`EJECTION_MARGIN`] is ejected. After an
+//! interval the endpoint gets one trial request, which must be idempotent if there are such classes. A
+//! failed trial doubles the interval. A response ends the ejection, even an error or a rejection, unless
+//! its latency counts as a stall; a new start of the endpoint's process ends the ejection too, unless the
+//! endpoint is in slow start already. Time alone only makes a trial due. If all endpoints fail or are slow
+//! at once, the mean rises too and few are ejected.
 //!
-//! An endpoint that neither the list nor a response has confirmed is ejected by one failed connection. An
-//! unlisted endpoint whose interval reaches the maximum is removed.
+//! One failed connection ejects an endpoint that neither the list nor a response has confirmed. An unlisted
+//! endpoint whose interval reaches the maximum is removed.
 
 use crate::decaying::DecayingRatio;
-use crate::failure_ratios::FAILURE_GAIN_RATIO;
+use crate::failure_ratios::FAILURE_GAIN;
 
-/// An endpoint is ejected if its failure ratio exceeds the mean by more than this; three failures in a row
-/// do.
-const EJECTION_MARGIN_RATIO: f64 = 0.45;
+/// An endpoint is ejected if its failure ratio exceeds the mean by more than this margin; three failures in
+/// a row suffice.
+const EJECTION_MARGIN: f64 = 0.45;
 
-/// Lower bound of the mean served fraction that an excess is divided by.
+/// Lower bound of the mean served fraction by which the excess of an endpoint's failure ratio is divided.
 const MIN_MEAN_SERVED_RATIO: f64 = 0.5;
 
-/// Interval before an ejected endpoint's first trial, in shortest latency objectives.
+/// Interval from an ejection to the first trial, in shortest latency objectives.
 const FIRST_INTERVAL_OBJECTIVES: f64 = 1.25;
 
-/// The longest interval between trials, in shortest latency objectives.
+/// Upper bound of the interval between trials, in shortest latency objectives.
 pub(crate) const MAX_INTERVAL_OBJECTIVES: f64 = 5.0;
 
-/// Factor of the interval after a failed trial.
+/// Growth of the trial interval after a failed trial.
 const INTERVAL_GROWTH_FACTOR: f64 = 2.0;
 
-/// Half-life of a failure ratio's distance to the mean, in shortest latency objectives without outcomes: an
-/// endpoint that failed by chance gets requests again.
+/// Half-life of the distance of a failure ratio to the mean while there are no outcomes, in shortest
+/// latency objectives. The decay lets an endpoint that failed by chance get requests again.
 const FAILURE_HALF_LIFE_OBJECTIVES: f64 = 5.0;
 
-/// An ejection in force.
+/// The ejection of an endpoint.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) struct Ejection {
-    /// When the next trial request may be sent.
+    /// Time from which the next trial request may be sent, in ms.
     pub next_trial_at_ms: f64,
-    /// The time from one trial to the next.
+    /// Time between two trials, in ms.
     pub interval_ms: f64,
 }
 
 impl Ejection {
-    /// A trial has been sent: the next one follows after the interval.
+    /// Schedules the next trial after a trial has been sent.
     pub fn schedule_next_trial(&mut self, now_ms: f64) {
         self.next_trial_at_ms = now_ms + self.interval_ms;
     }
@@ -57,108 +58,110 @@
 }
 
 impl EndpointHealth {
-    /// The ejection in force.
+    /// Returns the current ejection of the endpoint, if any.
     pub fn ejection(&self) -> Option<Ejection> {
         self.ejection
     }
 
-    /// Whether the endpoint is ejected.
     pub fn is_ejected(&self) -> bool {
         self.ejection.is_some()
     }
 
-    /// The failure ratio as of the last outcome; none while ejected.
+    /// Returns the failure ratio as of the last outcome, or `None` while the endpoint is ejected.
     pub fn ratio_unless_ejected(&self) -> Option<f64> {
         self.ejection.is_none().then_some(self.failures.ratio)
     }
 
-    /// A request is sent there: if ejected, it is the trial.
+    /// Records that a request is sent to the endpoint, which is a trial if the endpoint is ejected.
     pub fn mark_sent(&mut self, now_ms: f64) {
         if let Some(ejection) = &mut self.ejection {
             ejection.schedule_next_trial(now_ms);
         }
     }
 
-    /// The endpoint works: counts a success.
+    /// Records a success of the endpoint.
     pub fn record_success(&mut self) {
-        self.failures.ratio -= FAILURE_GAIN_RATIO * self.failures.ratio;
+        self.failures.ratio -= FAILURE_GAIN * self.failures.ratio;
     }
 
-    /// Counts a failure, by the fraction that is the endpoint's fault.
-    pub fn record_failure(&mut self, excuse_ratio: f64) {
-        self.failures.ratio += FAILURE_GAIN_RATIO * (1.0 - excuse_ratio - self.failures.ratio);
+    /// Records a failure, reduced by the fraction `request_fault_ratio` that is due to the request's tenant
+    /// or class.
+    pub fn record_failure(&mut self, request_fault_ratio: f64) {
+        self.failures.ratio += FAILURE_GAIN * (1.0 - request_fault_ratio - self.failures.ratio);
     }
 
-    /// Ends an ejection; true if there was one.
+    /// Ends the ejection, and returns whether the endpoint was ejected.
     pub fn readmit(&mut self) -> bool {
         self.ejection.take().is_some()
     }
 
-    /// A restarted process begins without failures.
+    /// Clears the failure ratio and the ejection, for a restarted process.
     pub fn reset(&mut self) {
         self.failures.ratio = 0.0;
         self.ejection = None;
     }
 }
 
-/// The rule's times, from the shortest latency objective.
+/// The outlier ejection rule, whose times are multiples of the shortest latency objective.
 #[derive(Debug)]
 pub(crate) struct OutlierEjection {
-    objective_ms: f64,
+    shortest_objective_ms: f64,
 }
 
 impl OutlierEjection {
-    /// The rule for a shortest latency objective.
-    pub fn new(objective_ms: f64) -> Self {
-        OutlierEjection { objective_ms }
+    /// Creates the rule for the shortest latency objective, in ms.
+    pub fn new(shortest_objective_ms: f64) -> Self {
+        OutlierEjection { shortest_objective_ms }
     }
 
-    /// The longest interval between trials, in ms.
+    /// Returns the longest interval between trials, in ms.
     pub fn max_interval_ms(&self) -> f64 {
-        MAX_INTERVAL_OBJECTIVES * self.objective_ms
+        MAX_INTERVAL_OBJECTIVES * self.shortest_objective_ms
     }
 
-    /// The failure ratio now, between outcomes nearer to the mean as time passes.
+    /// Returns the failure ratio at `now_ms`; between outcomes the ratio approaches the mean.
     pub fn failure_ratio(&self, now_ms: f64, health: &EndpointHealth, mean_ratio: f64) -> f64 {
-        let half_life_ms = FAILURE_HALF_LIFE_OBJECTIVES * self.objective_ms;
+        let half_life_ms = FAILURE_HALF_LIFE_OBJECTIVES * self.shortest_objective_ms;
         health.failures.at(now_ms, mean_ratio, half_life_ms)
     }
 
-    /// Brings the failure ratio up to date before an outcome is counted.
+    /// Applies the decay since the last outcome to the failure ratio, before a new outcome is recorded.
     pub fn decay(&self, now_ms: f64, health: &mut EndpointHealth, mean_ratio: f64) {
         let ratio = self.failure_ratio(now_ms, health, mean_ratio);
         health.failures = DecayingRatio { ratio, updated_at_ms: now_ms };
     }
 
-    /// Whether an endpoint that has just failed must be ejected, or stays so after a failed trial.
+    /// Returns whether an endpoint that has just failed is to be ejected, or stays ejected after a failed
+    /// trial.
     pub fn must_eject(&self, health: &EndpointHealth, mean_ratio: f64) -> bool {
         let excess = health.failures.ratio - mean_ratio;
-        let is_outlier = excess / (1.0 - mean_ratio).max(MIN_MEAN_SERVED_RATIO) > EJECTION_MARGIN_RATIO;
+        let is_outlier = excess / (1.0 - mean_ratio).max(MIN_MEAN_SERVED_RATIO) > EJECTION_MARGIN;
         is_outlier || health.is_ejected()
     }
 
-    /// Ejects the endpoint, or extends its ejection after a failed trial; the interval from now on, in ms.
+    /// Ejects the endpoint, or extends its ejection after a failed trial. Returns the new trial interval,
+    /// in ms.
     pub fn eject(&self, now_ms: f64, health: &mut EndpointHealth) -> f64 {
         let interval_ms = match health.ejection {
-            None => FIRST_INTERVAL_OBJECTIVES * self.objective_ms,
+            None => FIRST_INTERVAL_OBJECTIVES * self.shortest_objective_ms,
             Some(ejection) => (ejection.interval_ms * INTERVAL_GROWTH_FACTOR).min(self.max_interval_ms()),
         };
         health.ejection = Some(Ejection { next_trial_at_ms: now_ms + interval_ms, interval_ms });
         interval_ms
     }
 
-    /// When an ejected endpoint's next trial is due, in ms.
+    /// Returns when the next trial of an ejected endpoint is due, in ms.
     ///
-    /// A gateway whose subset grew to replace lost endpoints, `subset_count` instead of `target_count`,
-    /// waits longer at an endpoint that has long been silent: all gateways together then send it no more
-    /// trials.
+    /// A gateway whose subset has grown from `target_count` to `subset_count` endpoints to replace ejected
+    /// ones waits longer at an endpoint that has long been silent, so that the trials of all gateways
+    /// together don't become more frequent.
     pub fn trial_due_at_ms(
         &self, now_ms: f64, ejection: Ejection, last_response_at_ms: f64, subset_count: usize,
         target_count: usize,
     ) -> f64 {
-        let is_lost = now_ms - last_response_at_ms > self.max_interval_ms();
-        let lost = f64::from(u8::from(is_lost));
+        let is_silent = now_ms - last_response_at_ms > self.max_interval_ms();
+        let silence_factor = f64::from(u8::from(is_silent));
         let excess_ratio = (subset_count as f64 / target_count as f64 - 1.0).max(0.0);
-        ejection.next_trial_at_ms + lost * ejection.interval_ms * excess_ratio
+        ejection.next_trial_at_ms + silence_factor * ejection.interval_ms * excess_ratio
     }
 }
--- a/balancer/src/pending_queue.rs
+++ b/balancer/src/pending_queue.rs
@@ -1,14 +1,16 @@
-//! Requests that wait for an endpoint with capacity.
+//! The queue of requests that wait for an endpoint with capacity.
 //!
-//! Rule: a request waits while it could still be in time. The one that stays useful longest goes first:
-//! one that is nearly past its useful time would take capacity and may still be of no use.
+//! Rule: a request waits while its response could still be useful. The request whose response stays useful
+//! longest is sent first, because one near its end would take capacity and might still get its response too
+//! late.
 
 use crate::ids::RequestId;
 use crate::request::Request;
 use std::collections::BTreeMap;
 
-/// Once this many requests have found no endpoint, the others stay pending untried.
-pub(crate) const MAX_MISSES_COUNT: u32 = 4;
+/// Number of requests that find no endpoint after which the other requests stay pending without being
+/// tried.
+pub(crate) const MAX_MISSES: u32 = 4;
 
 /// The pending requests.
 #[derive(Debug, Default)]
@@ -22,22 +24,21 @@
         self.requests.push(id);
     }
 
-    /// Removes a request, if it is pending.
+    /// Removes a request if it is pending.
     pub fn remove(&mut self, id: RequestId) {
         self.requests.retain(|pending| *pending != id);
     }
 
-    /// Whether nothing is pending.
     pub fn is_empty(&self) -> bool {
         self.requests.is_empty()
     }
 
-    /// Number of pending requests.
     pub fn len(&self) -> usize {
         self.requests.len()
     }
 
-    /// Empties the queue: the requests that are still open, the one that stays useful longest first.
+    /// Empties the queue, and returns the requests in `open`, the one whose response stays useful longest
+    /// first.
     pub fn drain(&mut self, open: &BTreeMap<RequestId, Request>) -> Vec<RequestId> {
         let mut pending = std::mem::take(&mut self.requests);
         pending.retain(|id| open.contains_key(id));
--- a/balancer/src/rejection_log.rs
+++ b/balancer/src/rejection_log.rs
@@ -1,11 +1,11 @@
-//! A log line that sums up rejections.
+//! The log line that summarizes rejections.
 
 use crate::action::RejectionReason;
 
-/// Rejections are summed up in a line at most this often.
+/// Shortest time between two log lines about rejections.
 const LOG_INTERVAL_MS: f64 = 5000.0;
 
-/// Rejections since the last line, by reason.
+/// The number of rejections since the last log line, by reason.
 #[derive(Debug, Default)]
 pub(crate) struct RejectionLog {
     quota_exceeded_count: u32,
@@ -15,22 +15,22 @@
     logged_at_ms: f64,
 }
 
-/// What a reader of the line needs to tell why requests were rejected.
+/// The state of the gateway that explains the rejections to a reader of the log line.
 pub(crate) struct RejectionContext {
-    /// How full the fleet is; 1 and more when full.
-    pub saturation_ratio: f64,
-    /// This gateway's share of the fleet's traffic.
-    pub traffic_share_ratio: f64,
-    /// The fraction of the requests that goes to other zones.
+    /// Saturation of the fleet; 1 or more if full.
+    pub saturation: f64,
+    /// This gateway's share of the fleet's traffic, from 0 to 1.
+    pub traffic_share: f64,
+    /// Fraction of the requests that is sent to other zones, from 0 to 1.
     pub spillover_ratio: f64,
-    /// Requests that wait for capacity.
+    /// Number of pending requests.
     pub pending_count: usize,
-    /// Endpoints in use that are ejected.
+    /// Number of endpoints in use that are ejected.
     pub ejected_count: usize,
 }
 
 impl RejectionLog {
-    /// Counts a rejection.
+    /// Records a rejection.
     pub fn record(&mut self, reason: RejectionReason) {
         let count = match reason {
             RejectionReason::QuotaExceeded => &mut self.quota_exceeded_count,
@@ -41,7 +41,7 @@
         *count += 1;
     }
 
-    /// Whether a line is due.
+    /// Returns whether a log line is due.
     pub fn is_due(&self, now_ms: f64) -> bool {
         let count = self.quota_exceeded_count
             + self.no_capacity_count
@@ -50,7 +50,7 @@
         now_ms - self.logged_at_ms >= LOG_INTERVAL_MS && count > 0
     }
 
-    /// The line; counting starts anew.
+    /// Returns the log line, and resets the numbers of rejections.
     pub fn take_line(&mut self, now_ms: f64, context: &RejectionContext) -> String {
         let line = format!(
             "rejected: {} quota exceeded, {} no capacity, {} too late, {} attempts failed; \
@@ -59,8 +59,8 @@
             self.no_capacity_count,
             self.too_late_count,
             self.attempts_failed_count,
-            context.saturation_ratio,
-            context.traffic_share_ratio,
+            context.saturation,
+            context.traffic_share,
             context.spillover_ratio,
             context.pending_count,
             context.ejected_count,
--- a/balancer/src/request.rs
+++ b/balancer/src/request.rs
@@ -6,50 +6,52 @@
 /// An attempt that has been sent.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Attempt {
-    /// Where it was sent.
+    /// Endpoint that the attempt was sent to.
     pub endpoint: EndpointId,
-    /// Where the endpoint was: a retry with an idempotency key stays within its scope.
+    /// Locality of the endpoint when the attempt was sent; a retry with an idempotency key stays within its
+    /// deduplication scope.
     pub locality: Locality,
-    /// When it was sent.
+    /// Time at which the attempt was sent, in ms.
     pub sent_at_ms: f64,
-    /// It has not ended yet.
+    /// Whether the attempt has not ended yet.
     pub in_flight: bool,
-    /// False once an outcome has proved that it never ran.
+    /// False once the outcome has proved that the attempt never ran.
     pub may_have_run: bool,
 }
 
-/// A request that has no final response yet.
+/// A request without a final response.
 #[derive(Debug)]
 pub(crate) struct Request {
-    /// Index of its class in the settings.
+    /// Index of the request's class in the settings.
     pub class: usize,
-    /// Index of its tenant in the settings.
+    /// Index of the request's tenant in the settings, if the request has one.
     pub tenant: Option<usize>,
-    /// When a response no longer has the full value.
+    /// Time from which a response no longer has its full value, in ms.
     pub useful_until_ms: f64,
-    /// When attempts are given up.
+    /// Time at which attempts are given up, in ms.
     pub give_up_at_ms: f64,
-    /// Its attempts, by number.
+    /// Attempts of the request; the index is the attempt's number.
     pub attempts: Vec<Attempt>,
 }
 
 impl Request {
-    /// The first attempt that may have run.
+    /// Returns the first attempt that may have run.
     pub fn first_possible_run(&self) -> Option<&Attempt> {
         self.attempts.iter().find(|attempt| attempt.may_have_run)
     }
 
-    /// Whether an attempt is in flight.
+    /// Returns whether any attempt is in flight.
     pub fn is_in_flight(&self) -> bool {
         self.attempts.iter().any(|attempt| attempt.in_flight)
     }
 
-    /// Whether an attempt has been sent to an endpoint.
+    /// Returns whether an attempt has been sent to `endpoint`.
     pub fn has_tried(&self, endpoint: EndpointId) -> bool {
         self.attempts.iter().any(|attempt| attempt.endpoint == endpoint)
     }
 
-    /// An attempt has ended.
+    /// Records the end of an attempt; `never_ran` says whether its outcome proves that the attempt never
+    /// ran.
     pub fn mark_ended(&mut self, attempt: u32, never_ran: bool) {
         if let Some(attempt) = self.attempts.get_mut(attempt as usize) {
             attempt.in_flight = false;
--- a/balancer/src/retry.rs
+++ b/balancer/src/retry.rs
@@ -1,39 +1,40 @@
-//! Which requests may be attempted again, where, and how many of them.
+//! Retries: which requests may be retried, at which endpoints, and how often.
 //!
-//! Rule: a request of which an attempt may have run is retried only if its class is idempotent, or if it
-//! has an idempotency key and the retry goes, within the deduplication window, to an endpoint that
-//! deduplicates it. Attempts that provably never ran don't count. All retries together stay within a
+//! Rule: a request with an attempt that may have run is retried only if its class is idempotent, or if the
+//! request has an idempotency key and the retry is sent, within the deduplication window, to an endpoint
+//! that deduplicates it. Attempts that provably never ran don't count. All retries together stay within a
 //! budget.
 //!
-//! The gateway checks each attempt again, independently of the balancer, before it sends it: `permit.rs` in
-//! `gateway/src/`.
+//! Before the gateway sends an attempt, it checks the same rule independently of the balancer, in
+//! `gateway/src/permit.rs`.
 
 use crate::request::Request;
 use crate::settings::{DeduplicationScope, Idempotency, RequestClass};
 use crate::token_budget::{TokenBudget, TokenRate};
 use crate::zone::Locality;
 
-/// Retries may be this fraction of the requests, plus a burst.
+/// Largest number of retries per request, in addition to a burst.
 const RETRY_RATIO: f64 = 0.15;
 
-/// The most retries that may be sent at once.
-const RETRY_BURST_COUNT: f64 = 10.0;
+/// Largest number of retries that may be sent at once.
+const RETRY_BURST: f64 = 10.0;
 
-/// A request is retried only if this fraction of its class's typical latency fits before it loses its
-/// value.
+/// Time that must remain for a retry until the response loses value, as a fraction of the class's typical
+/// latency.
 const RETRY_LATENCY_RATIO: f64 = 0.5;
 
-/// The budget of retries.
+/// Creates the full budget of retries.
 pub(crate) fn retry_budget() -> TokenBudget {
-    TokenBudget::new(TokenRate { tokens_per_request: RETRY_RATIO, burst_count: RETRY_BURST_COUNT })
+    TokenBudget::new(TokenRate { tokens_per_request: RETRY_RATIO, burst: RETRY_BURST })
 }
 
-/// Whether a retry sent now could be in time.
+/// Returns whether a retry that is sent now could get a response while the response is useful.
 pub(crate) fn is_in_time(now_ms: f64, request: &Request, typical_ms: f64) -> bool {
     now_ms + RETRY_LATENCY_RATIO * typical_ms < request.useful_until_ms
 }
 
-/// Whether another attempt does no harm, sent to an endpoint that [`is_in_scope`].
+/// Returns whether another attempt is safe, provided that it is sent to an endpoint for which
+/// [`is_in_scope`] holds.
 pub(crate) fn may_retry(now_ms: f64, class: &RequestClass, request: &Request) -> bool {
     let Some(first) = request.first_possible_run() else { return true };
     match class.idempotency {
@@ -43,7 +44,8 @@
     }
 }
 
-/// Whether an endpoint there deduplicates a retry of the request, where that is needed.
+/// Returns whether an endpoint at `locality` deduplicates a retry of the request, or no deduplication is
+/// needed.
 pub(crate) fn is_in_scope(class: &RequestClass, request: &Request, locality: Locality) -> bool {
     if class.idempotency != Idempotency::IdempotentWithKey {
         return true;
@@ -56,7 +58,8 @@
     }
 }
 
-/// Whether only some endpoints are in scope, so that the subset in use may hold none of them.
+/// Returns whether only the endpoints of one deduplication scope may get a retry, so that the subset in use
+/// may contain none of them.
 pub(crate) fn is_bound_to_scope(class: &RequestClass, request: &Request) -> bool {
     class.idempotency == Idempotency::IdempotentWithKey
         && class.deduplication_scope != DeduplicationScope::All
--- a/balancer/src/settings.rs
+++ b/balancer/src/settings.rs
@@ -1,53 +1,53 @@
-//! What a [`Balancer`](crate::Balancer) needs to know of its deployment, and the check of these values.
+//! The settings of a [`Balancer`](crate::Balancer), and their validation.
 
 use std::fmt;
 
 /// Whether a request of a class may be attempted again after an attempt that may have run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Idempotency {
-    /// May run any number of times.
+    /// The request may run any number of times.
     Idempotent,
-    /// Carries an idempotency key: the endpoints of one [`DeduplicationScope`] deduplicate retries for a
-    /// while.
+    /// The request carries an idempotency key: the endpoints of one [`DeduplicationScope`] deduplicate its
+    /// retries within the deduplication window.
     IdempotentWithKey,
-    /// Must never run twice.
+    /// The request must never run twice.
     NonIdempotent,
 }
 
-/// Which endpoints deduplicate retries of a request with an idempotency key.
+/// The endpoints that deduplicate retries of a request with an idempotency key.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DeduplicationScope {
-    /// All of them.
+    /// All endpoints.
     All,
-    /// Those in the zone of the endpoint that may have run it.
+    /// The endpoints in the zone of the endpoint that may have run the request.
     Zone,
-    /// Those in the cell of the endpoint that may have run it.
+    /// The endpoints in the cell of the endpoint that may have run the request.
     Cell,
 }
 
 /// A class of requests.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RequestClass {
-    /// Its name, for log lines only.
+    /// Name of the class, used only in log lines.
     pub name: String,
-    /// A response within this time, in ms, earns the full value of the request.
+    /// Latency objective, in ms: a response within this time has the full value of the request.
     pub latency_objective_ms: f64,
-    /// How long a client waits over all its attempts, in ms.
+    /// Time that a client waits in total over all its attempts, in ms.
     pub deadline_ms: f64,
-    /// Fraction of the value, from 0 to 1, that a response after the latency objective still earns.
+    /// Fraction of the value that a response after the latency objective still has, from 0 to 1.
     pub late_value_ratio: f64,
-    /// Whether it may be retried.
+    /// Whether a request may be retried after an attempt that may have run.
     pub idempotency: Idempotency,
-    /// With an idempotency key: which endpoints deduplicate retries.
+    /// Endpoints that deduplicate retries; used only with an idempotency key.
     pub deduplication_scope: DeduplicationScope,
-    /// With an idempotency key: how long retries are deduplicated, in ms from sending the first attempt
-    /// that may have run.
+    /// Time for which retries are deduplicated, in ms, from the time at which the first attempt that may
+    /// have run was sent; used only with an idempotency key.
     pub deduplication_window_ms: f64,
 }
 
 impl RequestClass {
-    /// Whether a client may be told that a retry of its own is harmless, given that an attempt may have
-    /// run.
+    /// Returns whether a request may be rejected, which tells the client that it may safely retry.
+    /// `may_have_run` says whether an attempt of the request may have run.
     pub fn may_reject(&self, may_have_run: bool) -> bool {
         let deduplicated_everywhere = self.idempotency == Idempotency::IdempotentWithKey
             && self.deduplication_scope == DeduplicationScope::All;
@@ -58,82 +58,84 @@
 /// A tenant and its quota.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Tenant {
-    /// Its name, for log lines only.
+    /// Name of the tenant, used only in log lines.
     pub name: String,
-    /// Requests a second over all gateways; 0 or less means no limit.
+    /// Quota in requests per second over all gateways; 0 or less means no limit.
     pub quota_per_s: f64,
 }
 
 /// How load reports reach the gateway.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LoadReportDelivery {
-    /// With every response and health check result.
+    /// With every response, including responses to health checks.
     Inline,
-    /// With health check results only.
+    /// With responses to health checks only.
     OnHealthCheck,
-    /// Not at all.
+    /// Never.
     Off,
 }
 
-/// What [`Balancer::new`](crate::Balancer::new) needs to know of the deployment.
+/// The settings of the deployment and of one gateway, for [`Balancer::new`](crate::Balancer::new).
 #[derive(Clone, Debug, PartialEq)]
 pub struct Settings {
-    /// The classes of requests; at least one.
+    /// Request classes; at least one.
     pub classes: Vec<RequestClass>,
-    /// The tenants; may be empty.
+    /// Tenants; may be empty.
     pub tenants: Vec<Tenant>,
-    /// Number of gateways, this one included.
+    /// Number of gateways in the deployment, including this one.
     pub gateway_count: u32,
-    /// Index of this gateway among them, from 0.
+    /// Index of this gateway among all gateways, from 0.
     pub gateway_index: u32,
     /// Zone of this gateway, in the gateway's own numbering.
     pub zone: u32,
     /// Shortest time between two batches of events, in ms.
     pub tick_ms: f64,
-    /// The endpoint list's weights are sizes divided by 1 + requests in flight a core.
+    /// Whether the weights of the endpoint list are endpoint sizes divided by 1 + requests in flight per
+    /// core.
     pub weights_reflect_load: bool,
     /// Cost of an attempt that crosses zones, as a fraction of the value of a request.
     pub cross_zone_cost_ratio: f64,
-    /// Endpoints close an idle connection after this time, in ms.
+    /// Time after which endpoints close an idle connection, in ms.
     pub connection_idle_timeout_ms: f64,
     /// How load reports reach the gateway.
     pub load_report_delivery: LoadReportDelivery,
-    /// The endpoint list must be polled for; otherwise discovery pushes it.
+    /// Whether the gateway has to poll for the endpoint list; otherwise discovery pushes updates.
     pub poll_discovery: bool,
-    /// Most attempts for a request.
+    /// Largest number of attempts of a request.
     pub max_attempts: u32,
-    /// Health checks are permitted.
+    /// Whether the deployment permits health checks.
     pub health_checks_allowed: bool,
-    /// Cancelling an attempt is permitted.
+    /// Whether the deployment permits cancelling attempts in flight.
     pub cancellation_allowed: bool,
-    /// Longest Retry-After that clients accept, in ms; 0 where they accept none.
+    /// Longest Retry-After that clients accept, in ms; 0 if they accept none.
     pub max_retry_after_ms: f64,
-    /// A watch, or a poll, of discovery must be at most this old, in ms.
+    /// Longest age of a watch or poll of discovery before the endpoint list counts as stale, in ms.
     pub max_discovery_age_ms: f64,
-    /// An endpoint starts with this fraction of its capacity or more, from 0 to 1. Key `safety.cold_share`.
+    /// Fraction of its full capacity that an endpoint has when its process starts, from 0 to 1. Key
+    /// `safety.cold_share`.
     pub slow_start_min_ratio: f64,
-    /// An endpoint has its full capacity after this time, in ms. Key `safety.cold_ms`.
+    /// Time from a process start until the endpoint has its full capacity, in ms. Key `safety.cold_ms`.
     pub slow_start_ms: f64,
-    /// An endpoint in slow start fails when sent more than this multiple of its capacity at that moment. Key
+    /// Multiple of its current capacity at which an endpoint in slow start fails. Key
     /// `safety.tip_multiple`.
     pub slow_start_overload_multiple: f64,
-    /// Only a drain that the endpoint list has shown binds: an endpoint that is removed without one may
-    /// still be sent to.
+    /// Whether an endpoint that is removed from the list may still be used, unless the list has shown it as
+    /// draining.
     pub removal_is_advisory: bool,
-    /// Weight of availability in the deployment's result, counted in nines of the served fraction. No rule
-    /// reads it: the deployment's settings have it, and it is checked with them.
+    /// Weight of availability in the deployment's result, where availability is counted in nines of the
+    /// served fraction. Validated, but not used by any rule.
     pub availability_weight: f64,
-    /// The nines that earn that weight in full, where the deployment gives them. Checked and not read, like
-    /// the weight.
+    /// Availability in nines that earns the full availability weight, if the deployment sets one.
+    /// Validated, but not used by any rule.
     pub availability_target_nines: Option<f64>,
 }
 
-/// A setting that cannot be used.
+/// The error for a setting whose value is invalid.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct SettingsError {
-    /// The setting, by its key in the deployment's settings.
+    /// Key of the invalid setting in the deployment's settings.
     pub setting: &'static str,
-    /// What is wrong with it.
+    /// Requirement that the value doesn't meet.
     pub problem: &'static str,
 }
 
@@ -145,7 +147,7 @@
 
 impl std::error::Error for SettingsError {}
 
-/// An error that names `setting` unless `valid`.
+/// Returns an error that names `setting` and `problem` unless `valid`.
 fn require(valid: bool, setting: &'static str, problem: &'static str) -> Result<(), SettingsError> {
     if valid {
         Ok(())
@@ -172,11 +174,11 @@
 }
 
 impl Settings {
-    /// Checks every value.
+    /// Validates all settings.
     ///
     /// # Errors
     ///
-    /// The first setting that cannot be used, by its key in the deployment's settings.
+    /// Returns the first setting whose value is invalid, by its key in the deployment's settings.
     pub fn check(&self) -> Result<(), SettingsError> {
         require(!self.classes.is_empty(), "classes", "at least one is needed")?;
         for class in &self.classes {
--- a/balancer/src/start_history.rs
+++ b/balancer/src/start_history.rs
@@ -1,10 +1,11 @@
 //! The process starts of an endpoint as reported by discovery.
 //!
-//! Rule: a start is new if it is neither of the last two. Clocks that are stepped may give a later start an
-//! earlier time, and discovery servers that disagree may alternate in their responses.
+//! Rule: a reported start is new if it differs from the last two. Start times cannot be compared by order,
+//! because a stepped clock may give a later start an earlier time, and discovery servers that disagree may
+//! alternate between two times.
 
-/// Whether a time of a process start is known. 0, or any time before it, means that the process started
-/// long ago, at a time that nobody has recorded.
+/// Returns whether the time of a process start is known. 0 or any time before means that the process
+/// started long ago, at an unknown time.
 pub(crate) fn is_known_start(started_at_ms: f64) -> bool {
     started_at_ms > 0.0
 }
@@ -17,13 +18,13 @@
 }
 
 impl StartHistory {
-    /// The last reported start.
+    /// Returns the last reported start, in ms.
     pub fn last_ms(&self) -> f64 {
         self.last_ms
     }
 
-    /// Records a reported start; true if it is new.
-    pub fn learn(&mut self, started_at_ms: f64) -> bool {
+    /// Records a reported start, and returns whether the start is new.
+    pub fn record(&mut self, started_at_ms: f64) -> bool {
         let is_new = is_known_start(started_at_ms)
             && started_at_ms != self.last_ms
             && started_at_ms != self.previous_ms;
--- a/balancer/src/subset.rs
+++ b/balancer/src/subset.rs
@@ -1,60 +1,60 @@
-//! The subset: which of the eligible endpoints this gateway uses.
+//! Subsetting: the choice of the eligible endpoints that this gateway uses.
 //!
-//! Rule: a gateway uses a number of endpoints, by its share of the traffic, with which each endpoint has
-//! about [`GATEWAYS_PER_ENDPOINT_COUNT`] gateways, and up to three times as many in a small fleet. New ones
-//! come from a low-discrepancy sequence over all gateways, which uses endpoints evenly; surplus ones go at
-//! random.
+//! Rule: a gateway uses as many endpoints, in proportion to its share of the traffic, as give each endpoint
+//! about [`GATEWAYS_PER_ENDPOINT`] gateways, and up to three times as many in a small fleet. Additional
+//! endpoints come from a low-discrepancy sequence over all gateways, so that all endpoints are used evenly;
+//! surplus endpoints are removed at random.
 
 use crate::endpoint_set::EndpointSet;
 use crate::ids::EndpointId;
 use crate::slow_start::SlowStart;
-use crate::traffic_share::{TrafficShare, GATEWAYS_PER_ENDPOINT_COUNT, MIN_SUBSET_COUNT};
+use crate::traffic_share::{TrafficShare, GATEWAYS_PER_ENDPOINT, MIN_SUBSET_SIZE};
 use crate::zone::ZoneSide;
 use oorandom::Rand64;
 
-/// Where gateways see enough of every endpoint, an endpoint has 1 + this times the usual number of
-/// gateways.
+/// Additional gateways per endpoint in a fleet with few gateways, as a multiple of
+/// [`GATEWAYS_PER_ENDPOINT`].
 const SMALL_FLEET_SURPLUS_FACTOR: f64 = 2.0;
 
-/// Step of the sequence from one gateway to the next: the golden ratio's fraction.
+/// Step of the low-discrepancy sequence from one gateway to the next: the fractional part of the golden
+/// ratio.
 const GATEWAY_STEP_RATIO: f64 = 0.618_033_988_75;
 
-/// Step of the sequence from one draw to the next: the fraction of the square root of 2.
+/// Step of the low-discrepancy sequence from one draw to the next: the fractional part of the square root
+/// of 2.
 const DRAW_STEP_RATIO: f64 = 0.414_213_562_37;
 
-/// Chooses the endpoints of the subset, which itself is kept in [`EndpointSet`]: the state of the draws,
-/// and which fraction of the requests of an endpoint in the subset comes from this gateway.
+/// The rule that chooses the endpoints of the subset, which [`EndpointSet`] stores. The state consists of
+/// the position in the sequence, and of the fraction of an endpoint's requests that this gateway sends.
 #[derive(Debug)]
 pub(crate) struct SubsetSelector {
     gateway_index: u32,
     draw_count: f64,
-    endpoint_share_ratio: f64,
+    endpoint_share: f64,
 }
 
 impl SubsetSelector {
-    /// No endpoint is in use yet.
+    /// Creates the rule before the first endpoint is used.
     pub fn new(gateway_index: u32, gateway_count: u32) -> Self {
-        SubsetSelector {
-            gateway_index,
-            draw_count: 0.0,
-            endpoint_share_ratio: 1.0 / f64::from(gateway_count),
-        }
+        SubsetSelector { gateway_index, draw_count: 0.0, endpoint_share: 1.0 / f64::from(gateway_count) }
     }
 
-    /// The fraction of an endpoint's requests that one of its gateways sends it.
-    pub fn endpoint_share_ratio(&self) -> f64 {
-        self.endpoint_share_ratio
+    /// Returns the fraction of an endpoint's requests that each gateway with this endpoint in its subset
+    /// sends.
+    pub fn endpoint_share(&self) -> f64 {
+        self.endpoint_share
     }
 
-    /// How many endpoints this gateway is to use on each side.
+    /// Returns the target number of endpoints in the subset, for each side.
     pub fn target_count(traffic_share: &TrafficShare, eligible_count: usize) -> usize {
-        let surplus = SMALL_FLEET_SURPLUS_FACTOR * traffic_share.visibility_ratio();
-        let gateways_per_endpoint = GATEWAYS_PER_ENDPOINT_COUNT * (1.0 + surplus);
-        let count = gateways_per_endpoint * eligible_count as f64 * traffic_share.traffic_share_ratio();
-        count.max(MIN_SUBSET_COUNT).ceil() as usize
+        let surplus = SMALL_FLEET_SURPLUS_FACTOR * traffic_share.visibility();
+        let gateways_per_endpoint = GATEWAYS_PER_ENDPOINT * (1.0 + surplus);
+        let count = gateways_per_endpoint * eligible_count as f64 * traffic_share.own_share();
+        count.max(MIN_SUBSET_SIZE).ceil() as usize
     }
 
-    /// Takes one more endpoint into use, if there is one that slow start doesn't leave to others.
+    /// Adds the next eligible endpoint of the sequence to the subset, and returns its id. Skips endpoints
+    /// that slow start leaves to other gateways; returns `None` if no endpoint is left.
     fn grow(
         &mut self, now_ms: f64, side: ZoneSide, endpoints: &mut EndpointSet, slow_start: &SlowStart,
     ) -> Option<EndpointId> {
@@ -75,8 +75,9 @@
         Some(id)
     }
 
-    /// Keeps enough endpoints in use that are neither ejected nor left to others, and those in slow start
-    /// that this gateway shares; then updates [`Self::endpoint_share_ratio`] to the target count.
+    /// Adds endpoints to the subset: those in slow start that this gateway shares, and others until enough
+    /// are neither ejected nor left to other gateways. Then updates [`Self::endpoint_share`] for the target
+    /// count.
     pub fn replenish(
         &mut self, now_ms: f64, endpoints: &mut EndpointSet, traffic_share: &TrafficShare,
         slow_start: &SlowStart,
@@ -96,16 +97,18 @@
         self.update_endpoint_share(traffic_share, endpoints.eligible_count(), target_count);
     }
 
-    /// An endpoint's requests come in equal shares from the gateways that use it.
+    /// Updates the endpoint share, on the assumption that the gateways of an endpoint send equal shares of
+    /// its requests.
     fn update_endpoint_share(
         &mut self, traffic_share: &TrafficShare, eligible_count: usize, target_count: usize,
     ) {
-        let even_share_ratio = traffic_share.even_share_ratio();
-        let endpoint_share_ratio = eligible_count as f64 * even_share_ratio / target_count as f64;
-        self.endpoint_share_ratio = endpoint_share_ratio.clamp(even_share_ratio, 1.0);
+        let even_share = traffic_share.even_share();
+        let endpoint_share = eligible_count as f64 * even_share / target_count as f64;
+        self.endpoint_share = endpoint_share.clamp(even_share, 1.0);
     }
 
-    /// Follows a changed list: drops at random what is more than the target, and replenishes the rest.
+    /// Updates the subset after a change of the endpoint list: removes surplus endpoints at random, and
+    /// replenishes.
     pub fn apply_update(
         &mut self, now_ms: f64, own_zone: u32, endpoints: &mut EndpointSet, traffic_share: &TrafficShare,
         slow_start: &SlowStart, rng: &mut Rand64,
@@ -122,26 +125,26 @@
     }
 }
 
-/// Takes the endpoints in slow start into use that this gateway shares.
+/// Adds the endpoints in slow start that this gateway shares to the subset of a side.
 fn add_shared_slow_starts(now_ms: f64, side: ZoneSide, endpoints: &mut EndpointSet, slow_start: &SlowStart) {
     let subset = endpoints.subset().get(side);
     let is_shared = |id: &EndpointId| {
         let endpoint = endpoints.get(*id);
-        let slow_start_share_ratio = endpoint.and_then(|endpoint| {
-            slow_start.slow_start_share_ratio(now_ms, endpoint, endpoints.eligible_count())
+        let own_share = endpoint.and_then(|endpoint| {
+            slow_start.own_slow_start_share(now_ms, endpoint, endpoints.eligible_count())
         });
-        slow_start_share_ratio.is_some_and(|slow_start_share_ratio| slow_start_share_ratio > 0.0)
+        own_share.is_some_and(|own_share| own_share > 0.0)
     };
     let eligible = endpoints.eligible().get(side).iter();
     let added: Vec<_> = eligible.filter(|id| is_shared(id) && !subset.contains(id)).copied().collect();
     endpoints.subset_mut().get_mut(side).extend(added);
 }
 
-/// How many endpoints of a side's subset are neither ejected nor left to others.
+/// Returns how many endpoints in the subset of a side are neither ejected nor left to other gateways.
 fn usable_count(now_ms: f64, side: ZoneSide, endpoints: &EndpointSet, slow_start: &SlowStart) -> usize {
     let eligible_count = endpoints.eligible_count();
     endpoints
-        .of(endpoints.subset().get(side).iter())
+        .get_all(endpoints.subset().get(side).iter())
         .filter(|endpoint| !slow_start.is_left_to_others(now_ms, endpoint, eligible_count))
         .filter(|endpoint| !endpoint.health.is_ejected())
         .count()
--- a/balancer/src/token_budget.rs
+++ b/balancer/src/token_budget.rs
@@ -1,42 +1,43 @@
-//! A budget of tokens that requests deposit and extra work withdraws.
+//! A token bucket that requests fill, and that retries and health checks draw on.
 
-/// How fast a budget fills, and how far.
+/// The rate at which a budget fills, and its size.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct TokenRate {
     /// Tokens that each request deposits.
     pub tokens_per_request: f64,
-    /// The most tokens that the budget holds.
-    pub burst_count: f64,
+    /// Largest number of tokens in the budget.
+    pub burst: f64,
 }
 
-/// A budget: each request deposits a fraction of a token, each piece of extra work withdraws one.
+/// A token budget: each request deposits a fraction of a token, and each retry or health check withdraws
+/// one token.
 #[derive(Debug)]
 pub(crate) struct TokenBudget {
-    tokens_count: f64,
+    tokens: f64,
     rate: TokenRate,
 }
 
 impl TokenBudget {
-    /// A full budget.
+    /// Creates a full budget.
     pub fn new(rate: TokenRate) -> Self {
-        TokenBudget { tokens_count: rate.burst_count, rate }
+        TokenBudget { tokens: rate.burst, rate }
     }
 
-    /// A request has arrived.
+    /// Deposits the tokens of one request.
     pub fn deposit(&mut self) {
-        self.tokens_count = (self.tokens_count + self.rate.tokens_per_request).min(self.rate.burst_count);
+        self.tokens = (self.tokens + self.rate.tokens_per_request).min(self.rate.burst);
     }
 
-    /// Whether a token is left.
+    /// Returns whether at least one token is left.
     pub fn has_token(&self) -> bool {
-        self.tokens_count >= 1.0
+        self.tokens >= 1.0
     }
 
-    /// Takes a token, if one is left; true if it did.
+    /// Withdraws a token if one is left, and returns whether one was.
     pub fn withdraw(&mut self) -> bool {
         let has_token = self.has_token();
         if has_token {
-            self.tokens_count -= 1.0;
+            self.tokens -= 1.0;
         }
         has_token
     }
--- a/balancer/src/zone.rs
+++ b/balancer/src/zone.rs
@@ -1,15 +1,15 @@
-//! Where endpoints are: localities, and the two sides of this gateway's zone boundary.
+//! Localities of endpoints, and the two sides of this gateway's zone boundary.
 
 /// The zone and the cell of an endpoint.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct Locality {
     /// Zone, in the gateway's own numbering.
     pub zone: u32,
-    /// Cell, a part of a zone.
+    /// Cell, a part of the zone.
     pub cell: u32,
 }
 
-/// A side of the zone boundary, seen from this gateway.
+/// A side of the zone boundary, as seen from this gateway.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum ZoneSide {
     /// This gateway's own zone.
@@ -19,10 +19,10 @@
 }
 
 impl ZoneSide {
-    /// Both sides, in the order in which they are worked on.
+    /// Both sides, in the order in which the rules process them.
     pub const BOTH: [ZoneSide; 2] = [ZoneSide::Local, ZoneSide::Remote];
 
-    /// The side on which `zone` lies for a gateway in `own_zone`.
+    /// Returns the side on which `zone` lies for a gateway in `own_zone`.
     pub fn of(zone: u32, own_zone: u32) -> Self {
         if zone == own_zone {
             ZoneSide::Local
@@ -35,14 +35,13 @@
 /// A value for each side of the zone boundary.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct PerZoneSide<T> {
-    /// Of this gateway's own zone.
+    /// Value for this gateway's own zone.
     pub local: T,
-    /// Of all other zones.
+    /// Value for all other zones.
     pub remote: T,
 }
 
 impl<T> PerZoneSide<T> {
-    /// The value of a side.
     pub fn get(&self, side: ZoneSide) -> &T {
         match side {
             ZoneSide::Local => &self.local,
@@ -50,7 +49,6 @@
         }
     }
 
-    /// The value of a side, to be changed.
     pub fn get_mut(&mut self, side: ZoneSide) -> &mut T {
         match side {
             ZoneSide::Local => &mut self.local,
@@ -60,12 +58,12 @@
 }
 
 impl<T> PerZoneSide<Vec<T>> {
-    /// All entries, the local ones first.
+    /// Iterates over all entries, local ones first.
     pub fn iter(&self) -> impl Iterator<Item = &T> {
         self.local.iter().chain(&self.remote)
     }
 
-    /// Number of entries on both sides.
+    /// Returns the number of entries on both sides.
     pub fn len(&self) -> usize {
         self.local.len() + self.remote.len()
     }
