--- a/balancer/tests/capacity.rs
+++ b/balancer/tests/capacity.rs
@@ -1,4 +1,4 @@
-//! Capacity: what an endpoint can serve, by its load reports.
+//! Capacity: the estimate of how many requests an endpoint can serve, from its load reports.
 
 mod common;
 
@@ -7,7 +7,8 @@
 
 #[test]
 fn an_idle_fleet_keeps_its_concurrency_limit() {
-    // 2 a second at 2% busy is an endpoint of 100 a second; the lower bound of utilization alone would say 10.
+    // 2 requests per second at a utilization of 2% mean a capacity of 100; with the lower bound for weights
+    // of 20% the capacity would seem to be 10.
     let mut gateway = TestGateway::new(settings(), 1);
     for _ in 0..100 {
         gateway.now_ms += 500.0;
@@ -17,23 +18,28 @@
     while sent_to(&gateway.request(2, None).1).is_some() {
         in_flight += 1;
     }
-    // No more than that either: endpoints with too many requests in flight slow down, and stay slow.
-    assert!((4..=5).contains(&in_flight), "{in_flight} sent at once");
+    // The limit has an upper bound too, because endpoints with too many requests in flight become slow and
+    // stay slow.
+    assert!((4..=5).contains(&in_flight), "{in_flight} requests are in flight");
 }
 
 #[test]
-fn a_new_endpoint_with_low_utilization_is_not_taken_for_a_large_one() {
+fn a_new_endpoint_with_low_utilization_gets_no_excess_of_requests() {
     let mut gateway = TestGateway::new(settings(), 3);
-    for n in 0..200 {
+    for index in 0..200 {
         gateway.now_ms += 10.0;
-        gateway.serve(&|_| report(160.0 + f64::from(n % 2), 0.8));
+        gateway.serve(&|_| report(160.0 + f64::from(index % 2), 0.8));
     }
     gateway.update(UpdateKind::Delta, vec![record(3)]);
-    let new = |endpoint: EndpointId| if endpoint.0 == 3 { report(20.0, 0.05) } else { report(160.0, 0.8) };
-    while gateway.serve(&new) != Some(EndpointId(3)) {
+    let reports =
+        |endpoint: EndpointId| if endpoint.0 == 3 { report(20.0, 0.05) } else { report(160.0, 0.8) };
+    while gateway.serve(&reports) != Some(EndpointId(3)) {
         gateway.now_ms += 10.0;
     }
     let mut in_flight = [0u32; 4];
-    saturate(&mut gateway).iter().for_each(|(_, to)| in_flight[to.0 as usize] += 1);
-    assert!(in_flight[3] > 0 && in_flight[3] <= in_flight[0] + 2, "{in_flight:?}");
+    saturate(&mut gateway).iter().for_each(|(_, endpoint)| in_flight[endpoint.0 as usize] += 1);
+    assert!(
+        in_flight[3] > 0 && in_flight[3] <= in_flight[0] + 2,
+        "the new endpoint gets about as many requests as the others: {in_flight:?}"
+    );
 }
--- a/balancer/tests/common/mod.rs
+++ b/balancer/tests/common/mod.rs
@@ -1,22 +1,22 @@
-//! A small deployment, and one gateway of it whose endpoints do as the test says.
-#![allow(dead_code, reason = "each test file uses only some of these")]
+//! Settings of a small deployment, and a gateway in it whose endpoints behave as the test specifies.
+#![allow(dead_code, reason = "each test file uses only some of these helpers")]
 
 use ternstack_balancer::*;
 
-pub fn class(effect: Idempotency) -> RequestClass {
+pub fn class(idempotency: Idempotency) -> RequestClass {
     RequestClass {
-        name: format!("{effect:?}"),
+        name: format!("{idempotency:?}"),
         latency_objective_ms: 200.0,
         deadline_ms: 600.0,
         late_value_ratio: 0.0,
-        idempotency: effect,
+        idempotency,
         deduplication_scope: DeduplicationScope::Cell,
         deduplication_window_ms: 300.0,
     }
 }
 
-/// Classes 0, 1, 2 are idempotent, idempotent with a key within a cell, and not idempotent; one tenant with a
-/// quota of 20 requests a second.
+/// Returns settings with three classes (0 is idempotent, 1 is idempotent with a key within a cell, 2 is not
+/// idempotent) and one tenant with a quota of 20 requests per second.
 pub fn settings() -> Settings {
     Settings {
         classes: vec![
@@ -48,26 +48,31 @@
     }
 }
 
-pub fn record(n: u32) -> EndpointRecord {
-    EndpointRecord { endpoint: EndpointId(n), cell: n / 2, ..EndpointRecord::default() }
+/// Returns the list entry of an active endpoint; each cell has two endpoints.
+pub fn record(id: u32) -> EndpointRecord {
+    EndpointRecord { endpoint: EndpointId(id), cell: id / 2, ..EndpointRecord::default() }
 }
 
-pub fn report(throughput: f64, utilization: f64) -> LoadReport {
-    LoadReport { throughput_per_s: Some(throughput), utilization: Some(utilization), queue_length: None }
+pub fn report(throughput_per_s: f64, utilization: f64) -> LoadReport {
+    LoadReport {
+        throughput_per_s: Some(throughput_per_s),
+        utilization: Some(utilization),
+        queue_length: None,
+    }
 }
 
-/// A gateway: a balancer with its clock.
+/// A balancer with the clock of its gateway.
 pub struct TestGateway {
     pub balancer: Balancer,
     pub now_ms: f64,
-    next: u64,
+    next_request: u64,
 }
 
 impl TestGateway {
     pub fn new(settings: Settings, endpoints: u32) -> Self {
         let seed = 7 + u64::from(settings.gateway_index);
-        let balancer = Balancer::new(settings, seed).expect("the settings are sound");
-        let mut gateway = TestGateway { balancer, now_ms: 1000.0, next: 0 };
+        let balancer = Balancer::new(settings, seed).expect("the settings are valid");
+        let mut gateway = TestGateway { balancer, now_ms: 1000.0, next_request: 0 };
         gateway.update(UpdateKind::Cached, (0..endpoints).map(record).collect());
         gateway
     }
@@ -83,8 +88,8 @@
     }
 
     pub fn request(&mut self, class: usize, tenant: Option<usize>) -> (RequestId, Vec<Action>) {
-        let request = RequestId(self.next);
-        self.next += 1;
+        let request = RequestId(self.next_request);
+        self.next_request += 1;
         let arrival = Arrival { request, class, tenant, client_timeout_ms: 600.0 };
         (request, self.handle(Event::Request(arrival)))
     }
@@ -111,7 +116,8 @@
         }))
     }
 
-    /// A request served at once wherever it goes, with a load report of its endpoint.
+    /// Sends a request of class 0 that any endpoint serves in 20 ms, with the load report that `reports`
+    /// gives for the endpoint. Returns the endpoint, if the request was forwarded.
     pub fn serve(&mut self, reports: &dyn Fn(EndpointId) -> LoadReport) -> Option<EndpointId> {
         let (request, actions) = self.request(0, None);
         let endpoint = sent_to(&actions)?;
@@ -119,14 +125,15 @@
         Some(endpoint)
     }
 
-    /// How long it takes, from the last actions, until discovery is called; that must be within `most_ms`.
-    pub fn time_until_watch(&mut self, mut actions: Vec<Action>, most_ms: f64) -> f64 {
-        let from = self.now_ms;
+    /// Returns the time in ms until the balancer watches discovery, given its latest actions; asserts that
+    /// the time is below `max_ms`.
+    pub fn time_until_watch_ms(&mut self, mut actions: Vec<Action>, max_ms: f64) -> f64 {
+        let start_ms = self.now_ms;
         while !actions.contains(&Action::WatchEndpoints) {
-            assert!(self.now_ms - from < most_ms, "asked well within the time allowed");
+            assert!(self.now_ms - start_ms < max_ms, "the balancer watches discovery within {max_ms} ms");
             actions = self.fire_timer_after(10.0);
         }
-        self.now_ms - from
+        self.now_ms - start_ms
     }
 
     pub fn fire_timer_after(&mut self, after_ms: f64) -> Vec<Action> {
@@ -135,13 +142,17 @@
     }
 }
 
+/// Returns the endpoint that the actions send an attempt to.
 pub fn sent_to(actions: &[Action]) -> Option<EndpointId> {
-    actions.iter().find_map(|a| if let Action::Send { endpoint, .. } = a { Some(*endpoint) } else { None })
+    actions
+        .iter()
+        .find_map(|action| if let Action::Send { endpoint, .. } = action { Some(*endpoint) } else { None })
 }
 
+/// Returns the Retry-After in ms if the actions reject a request.
 pub fn rejected(actions: &[Action]) -> Option<f64> {
-    actions.iter().find_map(|a| {
-        if let Action::Reject { retry_after_ms, .. } = a {
+    actions.iter().find_map(|action| {
+        if let Action::Reject { retry_after_ms, .. } = action {
             Some(*retry_after_ms)
         } else {
             None
@@ -150,48 +161,64 @@
 }
 
 pub fn failed(actions: &[Action]) -> bool {
-    actions.iter().any(|a| matches!(a, Action::Fail { .. }))
+    actions.iter().any(|action| matches!(action, Action::Fail { .. }))
 }
 
-/// Sends requests until every endpoint is at its concurrency limit.
+/// Sends requests until every endpoint is at its concurrency limit, and returns those that are in flight.
 pub fn saturate(gateway: &mut TestGateway) -> Vec<(RequestId, EndpointId)> {
-    let mut out = Vec::new();
+    let mut in_flight = Vec::new();
     loop {
-        let (id, actions) = gateway.request(2, None);
-        let Some(to) = sent_to(&actions) else { return out };
-        out.push((id, to));
+        let (request, actions) = gateway.request(2, None);
+        let Some(endpoint) = sent_to(&actions) else { return in_flight };
+        in_flight.push((request, endpoint));
     }
 }
 
-/// One of 200 gateways has requests for a few of 100 endpoints, one in `every` 10 ms, for 20 s. The first endpoint takes
-/// `slow` ms, the others `latency`: its mean requests in flight over the last 10 s, and the rejections in them.
-pub fn slow_first_endpoint(every: u32, utilization: f64, slow: f64, latency: f64) -> (f64, u32) {
+/// Simulates one of 200 gateways in front of 100 endpoints for 20 s, with a request every `request_every`
+/// ticks of 10 ms. The first endpoint that gets a request responds after `first_latency_ms`, and the others
+/// after `other_latency_ms`. Returns the mean number of requests in flight at the first endpoint and the
+/// number of rejections, both over the last 10 s.
+pub fn slow_first_endpoint(
+    request_every: u32, utilization: f64, first_latency_ms: f64, other_latency_ms: f64,
+) -> (f64, u32) {
     let mut gateway = TestGateway::new(Settings { gateway_count: 200, ..settings() }, 100);
-    let (mut in_flight, mut area, mut rejections) = (Vec::<(f64, RequestId, EndpointId, f64)>::new(), 0.0, 0);
-    let mut first = None;
-    for n in 0..2000 {
+    let (mut in_flight, mut mean_in_flight, mut rejections) =
+        (Vec::<(f64, RequestId, EndpointId, f64)>::new(), 0.0, 0);
+    let mut first_endpoint = None;
+    for tick in 0..2000 {
         let mut actions = gateway.fire_timer_after(10.0);
-        if n % every == 0 {
+        if tick % request_every == 0 {
             actions.extend(gateway.request(2, None).1);
         }
-        let (done, left) = in_flight.into_iter().partition(|(at, ..)| *at <= gateway.now_ms);
-        in_flight = left;
-        for (_, id, to, latency) in done {
-            let report = report(30.0 + f64::from(n % 7), utilization);
-            actions.extend(gateway.end_attempt_with(id, 0, to, Outcome::Served, latency, report));
+        let (ended, remaining) = in_flight.into_iter().partition(|(end_ms, ..)| *end_ms <= gateway.now_ms);
+        in_flight = remaining;
+        for (_, request, endpoint, latency_ms) in ended {
+            let report = report(30.0 + f64::from(tick % 7), utilization);
+            actions.extend(gateway.end_attempt_with(
+                request,
+                0,
+                endpoint,
+                Outcome::Served,
+                latency_ms,
+                report,
+            ));
         }
         for action in actions {
             match action {
                 Action::Send { request, endpoint, .. } => {
-                    let takes = if *first.get_or_insert(endpoint) == endpoint { slow } else { latency };
-                    in_flight.push((gateway.now_ms + takes, request, endpoint, takes));
+                    let latency_ms = if *first_endpoint.get_or_insert(endpoint) == endpoint {
+                        first_latency_ms
+                    } else {
+                        other_latency_ms
+                    };
+                    in_flight.push((gateway.now_ms + latency_ms, request, endpoint, latency_ms));
                 }
-                Action::Reject { .. } => rejections += u32::from(n >= 1000),
+                Action::Reject { .. } => rejections += u32::from(tick >= 1000),
                 _ => {}
             }
         }
-        let there = in_flight.iter().filter(|o| Some(o.2) == first).count();
-        area += if n >= 1000 { there as f64 / 1000.0 } else { 0.0 };
+        let at_first = in_flight.iter().filter(|attempt| Some(attempt.2) == first_endpoint).count();
+        mean_in_flight += if tick >= 1000 { at_first as f64 / 1000.0 } else { 0.0 };
     }
-    (area, rejections)
+    (mean_in_flight, rejections)
 }
--- a/balancer/tests/concurrency_limit.rs
+++ b/balancer/tests/concurrency_limit.rs
@@ -1,4 +1,4 @@
-//! Concurrency limits: how much a gateway may have in flight at an endpoint.
+//! Concurrency limits: how many requests a gateway may have in flight at an endpoint.
 
 mod common;
 
@@ -6,21 +6,22 @@
 use ternstack_balancer::*;
 
 #[test]
-fn a_fraction_of_a_request_is_rounded_up_only_among_few_gateways() {
-    for (gateway_count, second) in [(2, true), (100, false)] {
+fn a_fractional_limit_is_rounded_up_only_in_fleets_with_few_gateways() {
+    for (gateway_count, sends_second) in [(2, true), (100, false)] {
         let mut gateway = TestGateway::new(Settings { gateway_count, ..settings() }, 1);
         for _ in 0..100 {
             gateway.now_ms += 100.0;
-            gateway.serve(&|_| report(10.0, 0.3)).expect("there is capacity");
+            gateway.serve(&|_| report(10.0, 0.3)).expect("an endpoint below its limit takes the request");
         }
-        // It serves 33 a second, all for this gateway: 1.7 complete in a quarter of the objective of 200 ms.
+        // The endpoint serves 33 requests per second, all for this gateway: 1.7 within a quarter of the
+        // objective of 200 ms.
         assert!(sent_to(&gateway.request(2, None).1).is_some());
-        assert_eq!(sent_to(&gateway.request(2, None).1).is_some(), second, "{gateway_count} gateways");
+        assert_eq!(sent_to(&gateway.request(2, None).1).is_some(), sends_second, "{gateway_count} gateways");
     }
 }
 
 #[test]
-fn gateways_divide_the_limit_of_an_endpoint_that_has_not_reported() {
+fn gateways_share_the_limit_of_an_endpoint_without_load_reports() {
     let mut settings = settings();
     settings.gateway_count = 4;
     let mut gateway = TestGateway::new(settings, 1);
--- a/balancer/tests/decision_digests/adapter.rs
+++ b/balancer/tests/decision_digests/adapter.rs
@@ -1,4 +1,5 @@
-//! The only place of this test that names the balancer's interface: plain inputs in, plain outputs out.
+//! The conversion between the test's own inputs and outputs and the balancer's interface, which no other
+//! module of this test uses.
 
 use ternstack_balancer::{
     Action, Arrival, AttemptEnd, Balancer, DeduplicationScope, EndpointId, EndpointRecord, Event,
@@ -6,23 +7,23 @@
     RequestId, Settings, Tenant, UpdateKind,
 };
 
-/// A request class of a plan.
+/// The settings of a request class.
 #[derive(Clone, Debug)]
-pub struct PlanClass {
+pub struct StreamClass {
     pub objective_ms: f64,
     pub deadline_ms: f64,
-    pub late_value: f64,
-    /// 0 idempotent, 1 idempotent by key, 2 not idempotent.
+    pub late_value_ratio: f64,
+    /// 0: idempotent, 1: idempotent with key, 2: not idempotent.
     pub idempotency: u8,
-    /// Where repeats of a key are dropped: 0 everywhere, 1 in the zone, 2 in the cell.
-    pub scope: u8,
-    pub window_ms: f64,
+    /// Endpoints that deduplicate retries: 0: all, 1: those in the zone, 2: those in the cell.
+    pub deduplication_scope: u8,
+    pub deduplication_window_ms: f64,
 }
 
 /// The settings of one stream.
 #[derive(Clone, Debug)]
-pub struct Plan {
-    pub classes: Vec<PlanClass>,
+pub struct StreamSettings {
+    pub classes: Vec<StreamClass>,
     pub tenant_quotas_per_s: Vec<f64>,
     pub gateway_count: u32,
     pub gateway_index: u32,
@@ -31,8 +32,8 @@
     pub weights_reflect_load: bool,
     pub cross_zone_cost_ratio: f64,
     pub connection_idle_timeout_ms: f64,
-    /// 0 with every answer, 1 with health checks, 2 none.
-    pub reports: u8,
+    /// 0: with every response, 1: with health checks only, 2: never.
+    pub load_report_delivery: u8,
     pub poll_discovery: bool,
     pub max_attempts: u32,
     pub health_checks_allowed: bool,
@@ -47,14 +48,14 @@
     pub availability_target_nines: Option<f64>,
 }
 
-/// How an attempt ended, numbered.
+/// The result of an attempt or of a health check; the digest contains the number of the variant.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum End {
+pub enum AttemptResult {
     Served,
     ServerError,
     Rejected,
-    NoAnswer,
-    NoConnection,
+    ResponseTimeout,
+    ConnectFailed,
     ConnectionLost,
     Cancelled,
     NotSent,
@@ -62,32 +63,32 @@
 
 /// A load report.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Load {
+pub struct ReportedLoad {
     pub utilization: Option<f64>,
-    pub throughput: Option<f64>,
-    pub backlog: Option<f64>,
+    pub throughput_per_s: Option<f64>,
+    pub queue_length: Option<f64>,
 }
 
 /// An entry of an endpoint list.
 #[derive(Clone, Copy, Debug)]
-pub struct Entry {
+pub struct ListEntry {
     pub endpoint: u32,
     pub zone: u32,
     pub cell: u32,
     pub hash: u64,
     pub weight: f64,
-    /// 0 active, 1 draining, 2 gone.
+    /// 0: active, 1: draining, 2: removed.
     pub readiness: u8,
     pub started_at_ms: f64,
 }
 
-/// What is handed to the balancer.
+/// An event for the balancer.
 #[derive(Clone, Debug)]
 pub enum Input {
-    /// `kind`: 0 changes, 1 complete, 2 cached, 3 watch lost.
+    /// `kind` is 0 for changes, 1 for the complete list, 2 for the cached list, 3 for a lost watch.
     List {
         kind: u8,
-        entries: Vec<Entry>,
+        entries: Vec<ListEntry>,
     },
     Arrival {
         request: u64,
@@ -102,37 +103,37 @@
         request: u64,
         attempt: u32,
         endpoint: u32,
-        end: End,
+        result: AttemptResult,
         latency_ms: f64,
         complete: bool,
-        load: Load,
+        load: ReportedLoad,
     },
-    Disconnected {
+    ClientDisconnected {
         request: u64,
     },
     HealthCheckEnd {
         endpoint: u32,
-        end: End,
-        load: Load,
+        result: AttemptResult,
+        load: ReportedLoad,
     },
     Timer {
         token: u64,
     },
 }
 
-/// What the balancer asks for.
+/// An action of the balancer.
 #[derive(Clone, Debug)]
 pub enum Output {
     Send {
         request: u64,
         endpoint: u32,
-        until_ms: f64,
+        give_up_at_ms: f64,
     },
     Cancel {
         request: u64,
         attempt: u32,
     },
-    /// `reason`: 0 over the quota, 1 no capacity, 2 too late, 3 failed.
+    /// `reason` is 0 for an exceeded quota, 1 for no capacity, 2 for too late, 3 for failed attempts.
     Reject {
         request: u64,
         reason: u8,
@@ -153,14 +154,14 @@
 }
 
 /// The balancer under test.
-pub struct Subject {
+pub struct TestBalancer {
     balancer: Balancer,
 }
 
-impl Subject {
-    pub fn new(plan: &Plan, seed: u64) -> Self {
-        let balancer = Balancer::new(settings(plan), seed).expect("the plan's settings are sound");
-        Subject { balancer }
+impl TestBalancer {
+    pub fn new(stream: &StreamSettings, seed: u64) -> Self {
+        let balancer = Balancer::new(settings(stream), seed).expect("the stream's settings are valid");
+        TestBalancer { balancer }
     }
 
     pub fn handle(&mut self, now_ms: f64, input: &Input) -> Vec<Output> {
@@ -174,46 +175,46 @@
     }
 }
 
-fn settings(plan: &Plan) -> Settings {
-    let class = |class: &PlanClass| RequestClass {
+fn settings(stream: &StreamSettings) -> Settings {
+    let class = |class: &StreamClass| RequestClass {
         name: "class".into(),
         latency_objective_ms: class.objective_ms,
         deadline_ms: class.deadline_ms,
-        late_value_ratio: class.late_value,
+        late_value_ratio: class.late_value_ratio,
         idempotency: [Idempotency::Idempotent, Idempotency::IdempotentWithKey, Idempotency::NonIdempotent]
             [usize::from(class.idempotency)],
         deduplication_scope: [DeduplicationScope::All, DeduplicationScope::Zone, DeduplicationScope::Cell]
-            [usize::from(class.scope)],
-        deduplication_window_ms: class.window_ms,
+            [usize::from(class.deduplication_scope)],
+        deduplication_window_ms: class.deduplication_window_ms,
     };
     let tenant = |quota: &f64| Tenant { name: "tenant".into(), quota_per_s: *quota };
     Settings {
-        classes: plan.classes.iter().map(class).collect(),
-        tenants: plan.tenant_quotas_per_s.iter().map(tenant).collect(),
-        gateway_count: plan.gateway_count,
-        gateway_index: plan.gateway_index,
-        zone: plan.zone,
-        tick_ms: plan.tick_ms,
-        weights_reflect_load: plan.weights_reflect_load,
-        cross_zone_cost_ratio: plan.cross_zone_cost_ratio,
-        connection_idle_timeout_ms: plan.connection_idle_timeout_ms,
+        classes: stream.classes.iter().map(class).collect(),
+        tenants: stream.tenant_quotas_per_s.iter().map(tenant).collect(),
+        gateway_count: stream.gateway_count,
+        gateway_index: stream.gateway_index,
+        zone: stream.zone,
+        tick_ms: stream.tick_ms,
+        weights_reflect_load: stream.weights_reflect_load,
+        cross_zone_cost_ratio: stream.cross_zone_cost_ratio,
+        connection_idle_timeout_ms: stream.connection_idle_timeout_ms,
         load_report_delivery: [
             LoadReportDelivery::Inline,
             LoadReportDelivery::OnHealthCheck,
             LoadReportDelivery::Off,
-        ][usize::from(plan.reports)],
-        poll_discovery: plan.poll_discovery,
-        max_attempts: plan.max_attempts,
-        health_checks_allowed: plan.health_checks_allowed,
-        cancellation_allowed: plan.cancellation_allowed,
-        max_retry_after_ms: plan.max_retry_after_ms,
-        max_discovery_age_ms: plan.max_discovery_age_ms,
-        slow_start_min_ratio: plan.slow_start_min_ratio,
-        slow_start_ms: plan.slow_start_ms,
-        slow_start_overload_multiple: plan.slow_start_overload_multiple,
-        removal_is_advisory: plan.removal_is_advisory,
-        availability_weight: plan.availability_weight,
-        availability_target_nines: plan.availability_target_nines,
+        ][usize::from(stream.load_report_delivery)],
+        poll_discovery: stream.poll_discovery,
+        max_attempts: stream.max_attempts,
+        health_checks_allowed: stream.health_checks_allowed,
+        cancellation_allowed: stream.cancellation_allowed,
+        max_retry_after_ms: stream.max_retry_after_ms,
+        max_discovery_age_ms: stream.max_discovery_age_ms,
+        slow_start_min_ratio: stream.slow_start_min_ratio,
+        slow_start_ms: stream.slow_start_ms,
+        slow_start_overload_multiple: stream.slow_start_overload_multiple,
+        removal_is_advisory: stream.removal_is_advisory,
+        availability_weight: stream.availability_weight,
+        availability_target_nines: stream.availability_target_nines,
     }
 }
 
@@ -222,7 +223,7 @@
         Input::List { kind, entries } => Event::EndpointUpdate {
             kind: [UpdateKind::Delta, UpdateKind::Complete, UpdateKind::Cached, UpdateKind::WatchLost]
                 [usize::from(*kind)],
-            endpoints: entries.iter().map(member).collect(),
+            endpoints: entries.iter().map(endpoint_record).collect(),
         },
         Input::Arrival { request, class, tenant, timeout_ms } => Event::Request(Arrival {
             request: RequestId(*request),
@@ -231,28 +232,28 @@
             client_timeout_ms: *timeout_ms,
         }),
         Input::ResponseStarted { request } => Event::ResponseStarted { request: RequestId(*request) },
-        Input::AttemptEnd { request, attempt, endpoint, end, latency_ms, complete, load } => {
+        Input::AttemptEnd { request, attempt, endpoint, result, latency_ms, complete, load } => {
             Event::AttemptEnd(AttemptEnd {
                 request: RequestId(*request),
                 attempt: *attempt,
                 endpoint: EndpointId(*endpoint),
-                outcome: outcome(*end),
+                outcome: outcome(*result),
                 latency_ms: *latency_ms,
                 request_complete: *complete,
                 report: report(load),
             })
         }
-        Input::Disconnected { request } => Event::ClientDisconnected { request: RequestId(*request) },
-        Input::HealthCheckEnd { endpoint, end, load } => Event::HealthCheckEnd {
+        Input::ClientDisconnected { request } => Event::ClientDisconnected { request: RequestId(*request) },
+        Input::HealthCheckEnd { endpoint, result, load } => Event::HealthCheckEnd {
             endpoint: EndpointId(*endpoint),
-            outcome: outcome(*end),
+            outcome: outcome(*result),
             report: report(load),
         },
         Input::Timer { token } => Event::Timer { token: *token },
     }
 }
 
-fn member(entry: &Entry) -> EndpointRecord {
+fn endpoint_record(entry: &ListEntry) -> EndpointRecord {
     EndpointRecord {
         endpoint: EndpointId(entry.endpoint),
         zone: entry.zone,
@@ -264,35 +265,35 @@
     }
 }
 
-fn report(load: &Load) -> LoadReport {
+fn report(load: &ReportedLoad) -> LoadReport {
     LoadReport {
         utilization: load.utilization,
-        throughput_per_s: load.throughput,
-        queue_length: load.backlog,
+        throughput_per_s: load.throughput_per_s,
+        queue_length: load.queue_length,
     }
 }
 
-fn outcome(end: End) -> Outcome {
-    match end {
-        End::Served => Outcome::Served,
-        End::ServerError => Outcome::ServerError,
-        End::Rejected => Outcome::Rejected,
-        End::NoAnswer => Outcome::ResponseTimeout,
-        End::NoConnection => Outcome::ConnectFailed,
-        End::ConnectionLost => Outcome::ConnectionLost,
-        End::Cancelled => Outcome::Cancelled,
-        End::NotSent => Outcome::NotSent,
+fn outcome(result: AttemptResult) -> Outcome {
+    match result {
+        AttemptResult::Served => Outcome::Served,
+        AttemptResult::ServerError => Outcome::ServerError,
+        AttemptResult::Rejected => Outcome::Rejected,
+        AttemptResult::ResponseTimeout => Outcome::ResponseTimeout,
+        AttemptResult::ConnectFailed => Outcome::ConnectFailed,
+        AttemptResult::ConnectionLost => Outcome::ConnectionLost,
+        AttemptResult::Cancelled => Outcome::Cancelled,
+        AttemptResult::NotSent => Outcome::NotSent,
     }
 }
 
 fn output(action: &Action) -> Output {
     match action {
-        Action::Send { request, endpoint: server, give_up_at_ms: until } => {
-            Output::Send { request: request.0, endpoint: server.0, until_ms: *until }
+        Action::Send { request, endpoint, give_up_at_ms } => {
+            Output::Send { request: request.0, endpoint: endpoint.0, give_up_at_ms: *give_up_at_ms }
         }
         Action::Cancel { request, attempt } => Output::Cancel { request: request.0, attempt: *attempt },
-        Action::Reject { request, reason: cause, retry_after_ms } => {
-            let reason = match cause {
+        Action::Reject { request, reason, retry_after_ms } => {
+            let reason = match reason {
                 RejectionReason::QuotaExceeded => 0,
                 RejectionReason::NoCapacity => 1,
                 RejectionReason::TooLate => 2,
@@ -301,8 +302,8 @@
             Output::Reject { request: request.0, reason, retry_after_ms: *retry_after_ms }
         }
         Action::Fail { request } => Output::Fail { request: request.0 },
-        Action::Timer { at_ms: at, token } => Output::Timer { at_ms: *at, token: *token },
-        Action::HealthCheck { endpoint: server } => Output::HealthCheck { endpoint: server.0 },
+        Action::Timer { at_ms, token } => Output::Timer { at_ms: *at_ms, token: *token },
+        Action::HealthCheck { endpoint } => Output::HealthCheck { endpoint: endpoint.0 },
         Action::WatchEndpoints => Output::Watch,
         Action::Log(_) => Output::Log,
     }
--- a/balancer/tests/decision_digests/digest.rs
+++ b/balancer/tests/decision_digests/digest.rs
@@ -1,32 +1,33 @@
-//! FNV-1a over little-endian numbers: an encoding that hangs on no name.
+//! An FNV-1a digest over little-endian numbers, which doesn't depend on any name.
 
 use crate::adapter::{Input, Output};
 
-/// A running digest.
+/// The digest of the events and actions of one stream.
 pub struct Digest {
     hash: u64,
 }
 
 impl Digest {
-    /// The digest of nothing.
+    /// Creates the digest of an empty stream.
     pub fn new() -> Self {
         Digest { hash: 0xcbf2_9ce4_8422_2325 }
     }
 
-    /// Takes in an event's time and kind.
+    /// Adds the time and the kind of an event.
     pub fn event(&mut self, now_ms: f64, input: &Input) {
         self.float(now_ms);
         self.number(event_number(input));
     }
 
-    /// Takes in an action and its numbers; of a log line only that there was one.
+    /// Adds the kind and the numbers of an action. The text of a log line is left out, so that it may be
+    /// reworded.
     pub fn output(&mut self, output: &Output) {
         match *output {
-            Output::Send { request, endpoint, until_ms } => {
+            Output::Send { request, endpoint, give_up_at_ms } => {
                 self.number(101);
                 self.number(request);
                 self.number(u64::from(endpoint));
-                self.float(until_ms);
+                self.float(give_up_at_ms);
             }
             Output::Cancel { request, attempt } => {
                 self.number(102);
@@ -57,31 +58,32 @@
         }
     }
 
-    /// Takes in a whole number.
+    /// Adds an integer.
     pub fn number(&mut self, value: u64) {
         for byte in value.to_le_bytes() {
             self.hash = (self.hash ^ u64::from(byte)).wrapping_mul(0x0100_0000_01b3);
         }
     }
 
-    /// Takes in a float, bit by bit.
+    /// Adds a float by its bits.
     pub fn float(&mut self, value: f64) {
         self.number(value.to_bits());
     }
 
-    /// The digest of all that was taken in.
+    /// Returns the digest of everything that was added.
     pub fn value(&self) -> u64 {
         self.hash
     }
 }
 
+/// Returns the number that stands for the kind of an event in the digest.
 fn event_number(input: &Input) -> u64 {
     match input {
         Input::List { kind, .. } => 1 + u64::from(*kind),
         Input::Arrival { .. } => 5,
         Input::ResponseStarted { .. } => 6,
-        Input::AttemptEnd { end, .. } => 10 + *end as u64,
-        Input::Disconnected { .. } => 7,
+        Input::AttemptEnd { result, .. } => 10 + *result as u64,
+        Input::ClientDisconnected { .. } => 7,
         Input::HealthCheckEnd { .. } => 8,
         Input::Timer { .. } => 9,
     }
--- a/balancer/tests/decision_digests/main.rs
+++ b/balancer/tests/decision_digests/main.rs
@@ -1,43 +1,46 @@
-//! The balancer's decisions, bit by bit: drawn event streams whose actions must never change.
+//! Bit-exact digests of the balancer's decisions for random event streams, compared with a recorded
+//! fixture.
 //!
-//! Each stream is a seeded world that carries out the balancer's own actions. Its digest covers every event's
-//! time and kind and every action's numbers, floats by their bits, and hangs on no name. To write the fixture
-//! after a wanted change of a decision, run with `DECISION_DIGESTS=print` and keep the lines that start with
-//! a number.
+//! Each stream is a seeded simulation that carries out the balancer's actions. A stream's digest covers the
+//! time and kind of each event and the numbers of each action, floats by their bits, and doesn't depend on
+//! any name. To update the fixture after an intended change of a decision, run the test with
+//! `DECISION_DIGESTS=print` and copy the printed lines that start with a number.
 
 mod adapter;
 mod digest;
 mod fleet;
-mod plan;
 mod random;
-mod world;
+mod scenario;
+mod simulation;
 
+use simulation::{Simulation, StreamResult};
 use std::fmt::Write as _;
-use world::{Played, World};
 
-const STREAM_COUNT: u64 = plan::FIRST_KEYED_STREAM + 30;
+const STREAM_COUNT: u64 = scenario::FIRST_KEYED_STREAM + 30;
 const FIXTURE: &str = include_str!("../fixtures/decision_digests.txt");
 
-fn line(stream: u64, played: &Played) -> String {
-    format!("{stream} {} {} {:016x}", played.events, played.actions, played.digest)
+/// Returns the line of the fixture for a stream.
+fn fixture_line(stream: u64, result: &StreamResult) -> String {
+    format!("{stream} {} {} {:016x}", result.events, result.actions, result.digest)
 }
 
 #[test]
-fn every_stream_leads_to_the_decisions_on_record() {
-    let played: Vec<Played> = (0..STREAM_COUNT).map(World::play).collect();
-    let lines: Vec<String> = (0..).zip(&played).map(|(stream, played)| line(stream, played)).collect();
-    let events: usize = played.iter().map(|played| played.events).sum();
-    let actions: usize = played.iter().map(|played| played.actions).sum();
-    if std::env::var("DECISION_DIGESTS").is_ok_and(|wanted| wanted == "print") {
+fn every_stream_leads_to_the_recorded_decisions() {
+    let results: Vec<StreamResult> = (0..STREAM_COUNT).map(Simulation::run).collect();
+    let lines: Vec<String> =
+        (0..).zip(&results).map(|(stream, result)| fixture_line(stream, result)).collect();
+    let events: usize = results.iter().map(|result| result.events).sum();
+    let actions: usize = results.iter().map(|result| result.actions).sum();
+    if std::env::var("DECISION_DIGESTS").is_ok_and(|value| value == "print") {
         println!("{}\n{events} events, {actions} actions", lines.join("\n"));
     }
-    assert!(events >= 100_000, "only {events} events");
+    assert!(events >= 100_000, "at least 100000 events are handled, not {events}");
     let recorded: Vec<&str> = FIXTURE.lines().filter(|line| !line.starts_with('#')).collect();
-    assert_eq!(recorded.len(), lines.len(), "the fixture has a line for each stream");
+    assert_eq!(recorded.len(), lines.len(), "the fixture has one line for each stream");
     let mut differing = String::new();
-    for (recorded, seen) in recorded.iter().zip(&lines) {
-        if recorded != seen {
-            let _ = writeln!(differing, "recorded {recorded}, seen {seen}");
+    for (expected, actual) in recorded.iter().zip(&lines) {
+        if expected != actual {
+            let _ = writeln!(differing, "expected {expected}, got {actual}");
         }
     }
     let count = differing.lines().count();
@@ -45,6 +48,6 @@
 }
 
 #[test]
-fn a_stream_repeats_itself() {
-    assert_eq!(World::play(3), World::play(3));
+fn the_same_stream_leads_to_the_same_decisions() {
+    assert_eq!(Simulation::run(3), Simulation::run(3));
 }
--- a/balancer/tests/endpoint_updates.rs
+++ b/balancer/tests/endpoint_updates.rs
@@ -1,4 +1,4 @@
-//! Endpoint updates: what the list binds, and when an endpoint is forgotten.
+//! Endpoint updates: which endpoints may get requests, and when an endpoint is forgotten.
 
 mod common;
 
@@ -20,7 +20,7 @@
 }
 
 #[test]
-fn a_complete_list_replaces_the_old_one() {
+fn a_complete_list_replaces_the_previous_list() {
     let mut gateway = TestGateway::new(settings(), 4);
     gateway.update(UpdateKind::Complete, vec![record(9)]);
     for _ in 0..20 {
@@ -29,11 +29,11 @@
     }
 }
 
-/// Endpoints that have served and that the list removes, where removal is advisory or not; how many of them
-/// are still used.
-fn endpoints_still_used(advisory: bool, kind: UpdateKind, readiness: Readiness) -> usize {
+/// Returns how many of three endpoints from the cached list still get requests after an update that removes
+/// or drains them.
+fn endpoints_still_used(removal_is_advisory: bool, kind: UpdateKind, readiness: Readiness) -> usize {
     let mut settings = settings();
-    settings.removal_is_advisory = advisory;
+    settings.removal_is_advisory = removal_is_advisory;
     let mut gateway = TestGateway::new(settings, 4);
     gateway.update(UpdateKind::Delta, vec![EndpointRecord { readiness: Readiness::Draining, ..record(3) }]);
     let removed = (0..3).map(|n| EndpointRecord { readiness, ..record(n) }).collect();
@@ -43,61 +43,65 @@
         gateway.now_ms += 10.0;
         used.extend(gateway.serve(&|_| LoadReport::default()));
     }
-    assert!(!used.contains(&EndpointId(3)), "a draining endpoint is never used");
+    assert!(!used.contains(&EndpointId(3)), "a draining endpoint gets no requests");
     used.len()
 }
 
 #[test]
-fn removal_of_running_endpoints_is_ignored_where_it_is_advisory() {
+fn advisory_removal_of_running_endpoints_is_ignored() {
     assert_eq!(endpoints_still_used(true, UpdateKind::Delta, Readiness::Removed), 3);
     assert_eq!(endpoints_still_used(true, UpdateKind::Complete, Readiness::Removed), 3);
     assert_eq!(endpoints_still_used(false, UpdateKind::Delta, Readiness::Removed), 0);
     assert_eq!(endpoints_still_used(false, UpdateKind::Complete, Readiness::Removed), 0);
-    assert_eq!(endpoints_still_used(true, UpdateKind::Delta, Readiness::Draining), 0, "drains bind");
+    assert_eq!(
+        endpoints_still_used(true, UpdateKind::Delta, Readiness::Draining),
+        0,
+        "draining endpoints get no requests even where removal is advisory"
+    );
 }
 
 #[test]
-fn nonexistent_endpoints_are_tried_once_and_forgotten_once_unlisted() {
-    const ROUND_COUNT: u32 = 20;
+fn nonexistent_endpoints_are_forgotten_once_unlisted() {
+    const ROUNDS: u32 = 20;
     let mut settings = settings();
     settings.removal_is_advisory = true;
     let mut gateway = TestGateway::new(settings, 4);
-    let mut failed = 0;
-    for round in 0..ROUND_COUNT {
+    let mut failed_attempts = 0;
+    for round in 0..ROUNDS {
         let nonexistent = (0..200).map(|n| record(100 + 200 * round + n));
         gateway.update(UpdateKind::Complete, (0..4).map(record).chain(nonexistent).collect());
         for _ in 0..50 {
             gateway.now_ms += 5.0;
-            let (id, actions) = gateway.request(0, None);
-            let mut to = sent_to(&actions);
+            let (request, actions) = gateway.request(0, None);
+            let mut target = sent_to(&actions);
             let mut attempt = 0;
-            while let Some(endpoint) = to {
+            while let Some(endpoint) = target {
                 let is_nonexistent = endpoint.0 >= 100;
-                failed += u32::from(is_nonexistent);
+                failed_attempts += u32::from(is_nonexistent);
                 let outcome = if is_nonexistent { Outcome::ConnectFailed } else { Outcome::Served };
-                to = sent_to(&gateway.end_attempt(id, attempt, endpoint, outcome));
+                target = sent_to(&gateway.end_attempt(request, attempt, endpoint, outcome));
                 attempt += 1;
             }
         }
         gateway.update(UpdateKind::Complete, (0..4).map(record).collect());
-        let all_ids = 0..100 + 200 * ROUND_COUNT;
+        let all_ids = 0..100 + 200 * ROUNDS;
         let kept = all_ids.filter(|id| gateway.balancer.knows(EndpointId(*id))).count();
-        assert!(kept <= 4, "{kept} endpoints are remembered");
+        assert!(kept <= 4, "at most the 4 listed endpoints are known, not {kept}");
     }
-    assert!(failed > 0, "some were tried");
+    assert!(failed_attempts > 0, "some nonexistent endpoints get attempts");
 }
 
 #[test]
-fn a_removed_endpoint_is_forgotten_once_nothing_is_in_flight() {
+fn a_removed_endpoint_is_forgotten_after_its_last_attempt() {
     let mut gateway = TestGateway::new(settings(), 2);
     let removed = EndpointRecord { readiness: Readiness::Removed, ..record(0) };
     let (request, actions) = gateway.request(2, None);
-    let busy = sent_to(&actions).expect("sent");
+    let busy = sent_to(&actions).expect("the request is sent");
     gateway.update(
         UpdateKind::Delta,
         vec![removed, EndpointRecord { readiness: Readiness::Removed, ..record(1) }],
     );
-    assert!(gateway.balancer.knows(busy), "a request is still in flight");
+    assert!(gateway.balancer.knows(busy), "an endpoint with an attempt in flight is kept");
     gateway.end_attempt(request, 0, busy, Outcome::Served);
     gateway.update(UpdateKind::Delta, vec![record(2)]);
     assert!(!gateway.balancer.knows(EndpointId(0)) && !gateway.balancer.knows(EndpointId(1)));
--- a/balancer/tests/invariants.rs
+++ b/balancer/tests/invariants.rs
@@ -1,4 +1,4 @@
-//! Invariants of the balancer's actions, on drawn sequences of legal events with fixed seeds.
+//! Invariants of the balancer's actions for random sequences of valid events, with fixed seeds.
 
 mod common;
 use common::*;
@@ -6,11 +6,13 @@
 use std::collections::BTreeMap;
 use ternstack_balancer::*;
 
+/// A request that has arrived, with what the balancer and the endpoints did with it.
 #[derive(Default)]
-struct SeenRequest {
+struct TrackedRequest {
     class: usize,
     deadline_ms: f64,
-    answers: u32,
+    /// Final responses to the client, including rejections and failures.
+    responses: u32,
     attempts: Vec<SentAttempt>,
 }
 
@@ -18,23 +20,26 @@
 struct SentAttempt {
     endpoint: EndpointId,
     sent_at_ms: f64,
-    /// Once known.
+    /// Outcome of the attempt; `None` while in flight.
     outcome: Option<Outcome>,
 }
 
-impl SeenRequest {
-    fn first_that_may_have_run(&self) -> Option<SentAttempt> {
+impl TrackedRequest {
+    fn first_possible_run(&self) -> Option<SentAttempt> {
         let may_have_run =
             |attempt: &&SentAttempt| attempt.outcome.is_none_or(|outcome| !outcome.never_ran());
         self.attempts.iter().find(may_have_run).copied()
     }
 }
 
-struct Run {
+/// A simulation of one gateway whose clients and endpoints behave at random.
+struct Simulation {
     rng: Rand64,
     gateway: TestGateway,
-    seen: BTreeMap<RequestId, SeenRequest>,
+    requests: BTreeMap<RequestId, TrackedRequest>,
+    /// Whether each listed endpoint is draining.
     draining: BTreeMap<EndpointId, bool>,
+    /// Times of the requested timers that have not fired yet, in ms.
     timers: Vec<f64>,
     log: String,
 }
@@ -49,68 +54,89 @@
     Outcome::NotSent,
 ];
 
-impl Run {
+impl Simulation {
+    /// Checks the invariants for actions of the balancer, and records the actions.
     fn check(&mut self, actions: Vec<Action>) {
-        let now = self.gateway.now_ms;
+        let now_ms = self.gateway.now_ms;
         for action in actions {
-            self.log.push_str(&format!("{now} {action:?}\n"));
+            self.log.push_str(&format!("{now_ms} {action:?}\n"));
             match action {
                 Action::Send { request, endpoint, .. } => {
                     assert_eq!(
                         self.draining.get(&endpoint),
                         Some(&false),
-                        "sent to a draining or unknown endpoint"
+                        "an attempt is sent only to a listed endpoint that is not draining"
                     );
-                    let seen = self.seen.get_mut(&request).expect("known");
-                    assert_eq!(seen.answers, 0, "sent after the final answer");
-                    assert!(seen.attempts.len() < 4, "too many attempts");
-                    assert!(seen.attempts.iter().all(|a| a.outcome.is_some()), "two attempts at once");
-                    match (seen.class, seen.first_that_may_have_run()) {
+                    let tracked = self.requests.get_mut(&request).expect("the request has arrived");
+                    assert_eq!(tracked.responses, 0, "no attempt is sent after the final response");
+                    assert!(tracked.attempts.len() < 4, "at most 4 attempts are sent");
+                    assert!(
+                        tracked.attempts.iter().all(|attempt| attempt.outcome.is_some()),
+                        "at most one attempt is in flight"
+                    );
+                    match (tracked.class, tracked.first_possible_run()) {
                         (1, Some(first)) => {
-                            assert_eq!(first.endpoint.0 / 2, endpoint.0 / 2, "left its cell");
-                            assert!(now <= first.sent_at_ms + 300.0, "left its window");
+                            assert_eq!(first.endpoint.0 / 2, endpoint.0 / 2, "the retry stays in its cell");
+                            assert!(
+                                now_ms <= first.sent_at_ms + 300.0,
+                                "the retry is sent within the deduplication window"
+                            );
                         }
-                        (2, ran) => {
-                            assert!(ran.is_none(), "a request that is not idempotent could run twice")
+                        (2, possible_run) => {
+                            assert!(possible_run.is_none(), "a non-idempotent request runs at most once")
                         }
                         _ => {}
                     }
-                    seen.attempts.push(SentAttempt { endpoint, sent_at_ms: now, outcome: None });
+                    tracked.attempts.push(SentAttempt { endpoint, sent_at_ms: now_ms, outcome: None });
                 }
                 Action::Reject { request, .. } => {
-                    let seen = self.seen.get_mut(&request).expect("known");
+                    let tracked = self.requests.get_mut(&request).expect("the request has arrived");
+                    assert!(
+                        tracked.class == 0 || tracked.first_possible_run().is_none(),
+                        "a request is rejected only if its client may safely retry"
+                    );
+                    tracked.responses += 1;
                     assert!(
-                        seen.class == 0 || seen.first_that_may_have_run().is_none(),
-                        "rejected though a retry may do harm"
+                        now_ms <= tracked.deadline_ms + 20.0,
+                        "a request is rejected at most 20 ms after its deadline"
                     );
-                    seen.answers += 1;
-                    assert!(now <= seen.deadline_ms + 20.0, "late");
                 }
                 Action::Fail { request } => {
-                    let seen = self.seen.get_mut(&request).expect("known");
-                    seen.answers += 1;
-                    assert!(now <= seen.deadline_ms + 20.0, "late");
+                    let tracked = self.requests.get_mut(&request).expect("the request has arrived");
+                    tracked.responses += 1;
+                    assert!(
+                        now_ms <= tracked.deadline_ms + 20.0,
+                        "a request fails at most 20 ms after its deadline"
+                    );
                 }
-                Action::Timer { at_ms: at, .. } => self.timers.push(at),
+                Action::Timer { at_ms, .. } => self.timers.push(at_ms),
                 _ => {}
             }
         }
-        assert!(self.seen.values().all(|s| s.answers <= 1), "two final answers");
+        assert!(
+            self.requests.values().all(|tracked| tracked.responses <= 1),
+            "each request has at most one final response"
+        );
     }
 
-    fn step(&mut self, arrivals: bool) {
+    /// Advances the clock by 5 ms: requests arrive if `has_arrivals`, attempts end, and timers fire.
+    fn step(&mut self, has_arrivals: bool) {
         self.gateway.now_ms += 5.0;
-        let now = self.gateway.now_ms;
-        if arrivals {
+        let now_ms = self.gateway.now_ms;
+        if has_arrivals {
             for _ in 0..self.rng.rand_range(0..4) {
                 let class = self.rng.rand_range(0..3) as usize;
                 let tenant = if self.rng.rand_range(0..2) == 0 { Some(0) } else { None };
                 let actions = {
-                    let id = RequestId(self.seen.len() as u64);
+                    let id = RequestId(self.requests.len() as u64);
                     let client_timeout_ms = 560.0 + 40.0 * self.rng.rand_float();
-                    self.seen.insert(
+                    self.requests.insert(
                         id,
-                        SeenRequest { class, deadline_ms: now + client_timeout_ms, ..SeenRequest::default() },
+                        TrackedRequest {
+                            class,
+                            deadline_ms: now_ms + client_timeout_ms,
+                            ..TrackedRequest::default()
+                        },
                     );
                     let arrival = Arrival { request: id, class, tenant, client_timeout_ms };
                     self.gateway.handle(Event::Request(arrival))
@@ -118,56 +144,51 @@
                 self.check(actions);
             }
             if self.rng.rand_range(0..40) == 0 {
-                let endpoint = self.rng.rand_range(0..8) as u32;
+                let id = self.rng.rand_range(0..8) as u32;
                 let draining = self.rng.rand_range(0..2) == 0;
                 let readiness = if draining { Readiness::Draining } else { Readiness::Active };
-                self.draining.insert(EndpointId(endpoint), draining);
-                let started_at = if self.rng.rand_range(0..2) == 0 { now } else { 0.0 };
-                let changed = EndpointRecord { readiness, started_at_ms: started_at, ..record(endpoint) };
+                self.draining.insert(EndpointId(id), draining);
+                let started_at_ms = if self.rng.rand_range(0..2) == 0 { now_ms } else { 0.0 };
+                let changed = EndpointRecord { readiness, started_at_ms, ..record(id) };
                 let actions = self.gateway.update(UpdateKind::Delta, vec![changed]);
                 self.check(actions);
             }
         }
         let mut ends = Vec::new();
-        for (&id, seen) in &self.seen {
-            for (n, &SentAttempt { endpoint, sent_at_ms, outcome }) in seen.attempts.iter().enumerate() {
+        for (&id, tracked) in &self.requests {
+            for (number, &SentAttempt { endpoint, sent_at_ms, outcome }) in
+                tracked.attempts.iter().enumerate()
+            {
                 if outcome.is_none() {
-                    let over = now >= seen.deadline_ms;
-                    if over || self.rng.rand_range(0..10) == 0 {
+                    let is_expired = now_ms >= tracked.deadline_ms;
+                    if is_expired || self.rng.rand_range(0..10) == 0 {
                         let pick = self.rng.rand_range(0..OUTCOMES.len() as u64) as usize;
                         ends.push((
                             id,
-                            n,
+                            number,
                             endpoint,
                             sent_at_ms,
-                            if over { Outcome::ResponseTimeout } else { OUTCOMES[pick] },
+                            if is_expired { Outcome::ResponseTimeout } else { OUTCOMES[pick] },
                         ));
                     }
                 }
             }
         }
-        for (request, n, endpoint, sent_at_ms, outcome) in ends {
-            let seen = self.seen.get_mut(&request).expect("known");
-            seen.attempts[n].outcome = Some(outcome);
-            seen.answers += u32::from(outcome == Outcome::Served && seen.answers == 0);
-            let complete = seen.answers > 0;
+        for (request, number, endpoint, sent_at_ms, outcome) in ends {
+            let tracked = self.requests.get_mut(&request).expect("the request has arrived");
+            tracked.attempts[number].outcome = Some(outcome);
+            tracked.responses += u32::from(outcome == Outcome::Served && tracked.responses == 0);
+            let request_complete = tracked.responses > 0;
             let report = report(200.0 * self.rng.rand_float(), self.rng.rand_float());
-            let attempt = n as u32;
-            let latency_ms = now - sent_at_ms;
-            let end = AttemptEnd {
-                request,
-                attempt,
-                endpoint,
-                outcome,
-                latency_ms,
-                request_complete: complete,
-                report,
-            };
+            let attempt = number as u32;
+            let latency_ms = now_ms - sent_at_ms;
+            let end =
+                AttemptEnd { request, attempt, endpoint, outcome, latency_ms, request_complete, report };
             let actions = self.gateway.handle(Event::AttemptEnd(end));
             self.check(actions);
         }
-        let due = self.timers.iter().filter(|at| **at <= now).count();
-        self.timers.retain(|at| *at > now);
+        let due = self.timers.iter().filter(|at_ms| **at_ms <= now_ms).count();
+        self.timers.retain(|at_ms| *at_ms > now_ms);
         for _ in 0..due {
             let actions = self.gateway.handle(Event::Timer { token: 0 });
             self.check(actions);
@@ -175,31 +196,41 @@
     }
 }
 
-fn run(seed: u64) -> String {
-    let draining = (0..8).map(|n| (EndpointId(n), false)).collect();
+/// Simulates 600 steps with arrivals and 200 without, and returns the log of all actions.
+fn simulate(seed: u64) -> String {
+    let draining = (0..8).map(|id| (EndpointId(id), false)).collect();
     let (rng, gateway) = (Rand64::new(u128::from(seed)), TestGateway::new(settings(), 8));
-    let mut run =
-        Run { rng, gateway, seen: BTreeMap::new(), draining, timers: Vec::new(), log: String::new() };
+    let mut simulation = Simulation {
+        rng,
+        gateway,
+        requests: BTreeMap::new(),
+        draining,
+        timers: Vec::new(),
+        log: String::new(),
+    };
     for _ in 0..600 {
-        run.step(true);
+        simulation.step(true);
     }
     for _ in 0..200 {
-        run.step(false);
+        simulation.step(false);
     }
-    let open = run.seen.values().filter(|s| s.answers != 1).count();
-    assert_eq!(open, 0, "requests without a final answer");
-    assert!(run.seen.values().filter(|s| !s.attempts.is_empty()).count() > 300, "requests were sent");
-    run.log
+    let open = simulation.requests.values().filter(|tracked| tracked.responses != 1).count();
+    assert_eq!(open, 0, "each request has exactly one final response");
+    assert!(
+        simulation.requests.values().filter(|tracked| !tracked.attempts.is_empty()).count() > 300,
+        "more than 300 requests are sent to endpoints"
+    );
+    simulation.log
 }
 
 #[test]
-fn the_invariants_hold_on_drawn_events() {
+fn invariants_hold_for_random_events() {
     for seed in 0..40 {
-        run(seed);
+        simulate(seed);
     }
 }
 
 #[test]
-fn the_same_events_give_the_same_actions() {
-    assert_eq!(run(3), run(3));
+fn the_same_seed_and_events_lead_to_the_same_actions() {
+    assert_eq!(simulate(3), simulate(3));
 }
--- a/balancer/tests/pick.rs
+++ b/balancer/tests/pick.rs
@@ -1,4 +1,4 @@
-//! The weighted random pick.
+//! The weighted random pick of an endpoint.
 
 mod common;
 
@@ -10,14 +10,14 @@
     settings.connection_idle_timeout_ms = 1000.0;
     let mut gateway = TestGateway::new(settings, 8);
     gateway.now_ms += 5000.0;
-    let mut again = 0;
+    let mut picked_again = 0;
     let mut last = gateway.serve(&|_| report(30.0, 0.6));
     for _ in 0..400 {
-        gateway.now_ms += 900.0; // Only the last endpoint's connection is open.
+        gateway.now_ms += 900.0; // Only the connection to the endpoint of the last request is open.
         let next = gateway.serve(&|_| report(30.0, 0.6));
-        again += u32::from(next == last);
+        picked_again += u32::from(next == last);
         last = next;
     }
-    // 1 of 1 + 7 / 4 draws, where an even draw would give 50 of 400.
-    assert!((115..180).contains(&again), "{again} of 400");
+    // The expected fraction is 1 / (1 + 7 / 4), about 145 of 400; equal weights would give 50.
+    assert!((115..180).contains(&picked_again), "{picked_again} of 400 picks repeat the last endpoint");
 }
--- a/balancer/tests/request.rs
+++ b/balancer/tests/request.rs
@@ -1,4 +1,4 @@
-//! The life of a request: disconnects and late news.
+//! The life cycle of a request: client disconnects, and events of unknown requests.
 
 mod common;
 
@@ -6,7 +6,7 @@
 use ternstack_balancer::*;
 
 #[test]
-fn a_client_disconnect_cancels_the_attempt() {
+fn a_client_disconnect_cancels_the_attempt_in_flight() {
     let mut gateway = TestGateway::new(settings(), 1);
     let (request, _) = gateway.request(0, None);
     assert_eq!(
@@ -17,10 +17,10 @@
 }
 
 #[test]
-fn events_of_unknown_requests_and_endpoints_do_nothing() {
+fn events_of_unknown_requests_and_endpoints_lead_to_no_actions() {
     let mut gateway = TestGateway::new(settings(), 1);
-    let stranger = RequestId(77);
-    assert!(gateway.end_attempt(stranger, 3, EndpointId(99), Outcome::Served).is_empty());
-    assert!(gateway.handle(Event::ClientDisconnected { request: stranger }).is_empty());
+    let unknown = RequestId(77);
+    assert!(gateway.end_attempt(unknown, 3, EndpointId(99), Outcome::Served).is_empty());
+    assert!(gateway.handle(Event::ClientDisconnected { request: unknown }).is_empty());
     assert!(gateway.handle(Event::Timer { token: 5 }).is_empty());
 }
--- a/balancer/tests/subset.rs
+++ b/balancer/tests/subset.rs
@@ -1,35 +1,45 @@
-//! Subsetting: which endpoints a gateway uses.
+//! Subsetting: which endpoints each gateway uses.
 
 mod common;
 
 use common::*;
 use ternstack_balancer::*;
 
-/// How many gateways of a fleet use each endpoint, when each of them serves 120 requests.
-fn gateways_by_endpoint(gateways: u32, endpoints: u32) -> std::collections::BTreeMap<EndpointId, u32> {
-    let mut users = std::collections::BTreeMap::new();
-    for gateway_index in 0..gateways {
+/// Returns how many gateways use each endpoint, where each gateway has 120 requests.
+fn gateways_by_endpoint(gateway_count: u32, endpoints: u32) -> std::collections::BTreeMap<EndpointId, u32> {
+    let mut gateways = std::collections::BTreeMap::new();
+    for gateway_index in 0..gateway_count {
         let mut settings = settings();
-        (settings.gateway_count, settings.gateway_index) = (gateways, gateway_index);
+        (settings.gateway_count, settings.gateway_index) = (gateway_count, gateway_index);
         let mut gateway = TestGateway::new(settings, endpoints);
         let mut used = std::collections::BTreeSet::new();
         for _ in 0..120 {
             gateway.now_ms += 150.0;
             used.extend(gateway.serve(&|_| report(30.0, 0.6)));
         }
-        used.into_iter().for_each(|id| *users.entry(id).or_default() += 1);
+        used.into_iter().for_each(|id| *gateways.entry(id).or_default() += 1);
     }
-    users
+    gateways
 }
 
 #[test]
-fn many_gateways_use_few_endpoints_each_and_all_evenly() {
-    let users = gateways_by_endpoint(400, 50);
-    assert_eq!(users.len(), 50, "every endpoint is used");
-    let (least, most) = (users.values().min().expect("some"), users.values().max().expect("some"));
+fn gateways_of_a_large_fleet_use_small_subsets_that_cover_endpoints_evenly() {
+    let gateways = gateways_by_endpoint(400, 50);
+    assert_eq!(gateways.len(), 50, "every endpoint is used");
+    let (least, most) = (
+        gateways.values().min().expect("some endpoint is used"),
+        gateways.values().max().expect("some endpoint is used"),
+    );
     assert!(*least >= 11 && *most <= 22, "an endpoint has {least} to {most} gateways");
-    assert!(gateways_by_endpoint(4, 12).values().all(|n| *n == 4), "few gateways use all endpoints");
-    // So few that each hears of its own often, and one request in flight from each of them is no overload.
-    let users = gateways_by_endpoint(100, 60);
-    assert!(users.len() == 60 && users.values().all(|n| *n <= 8), "shared by too many: {users:?}");
+    assert!(
+        gateways_by_endpoint(4, 12).values().all(|count| *count == 4),
+        "in a small fleet every gateway uses all endpoints"
+    );
+    // With few gateways per endpoint, each gateway gets frequent reports from its endpoints, and one
+    // request in flight from each gateway doesn't overload an endpoint.
+    let gateways = gateways_by_endpoint(100, 60);
+    assert!(
+        gateways.len() == 60 && gateways.values().all(|count| *count <= 8),
+        "every endpoint has at most 8 gateways: {gateways:?}"
+    );
 }
