--- a/balancer/src/discovery.rs
+++ b/balancer/src/discovery.rs
@@ -16,10 +16,12 @@
 /// Upper bound of the time over which the polls of all gateways are spread.
 const MAX_SPREAD_MS: f64 = 2000.0;
 
-/// Upper bound of the same time, as a fraction of the age that the list may have.
+/// Upper bound of the time over which the polls of all gateways are spread, as a fraction of the age that
+/// the endpoint list may have.
 const MAX_SPREAD_AGE_RATIO: f64 = 0.5;
 
-/// Lower bound of the random factor that a delay is multiplied by; the upper bound is 1.
+/// Lower bound of the random factor that the delay before a lost watch is started again is multiplied by;
+/// the upper bound is 1.
 const MIN_JITTER_RATIO: f64 = 0.5;
 
 /// The time of the next watch or poll, and whether discovery has sent a list.
--- a/balancer/src/endpoint.rs
+++ b/balancer/src/endpoint.rs
@@ -17,15 +17,15 @@
 pub(crate) struct Endpoint {
     /// Latest list entry of the endpoint.
     pub record: EndpointRecord,
-    /// Load reports, capacity and weight.
+    /// Load reports, capacity and weight of the endpoint.
     pub load: EndpointLoad,
-    /// Failure ratio and ejection.
+    /// Failure ratio and ejection of the endpoint.
     pub health: EndpointHealth,
-    /// Error ratios by request class.
+    /// Error ratios of the endpoint by request class.
     pub class_errors: ClassErrorRatios,
     /// AIMD factor of the endpoint's concurrency limit.
     pub concurrency: ConcurrencyFactor,
-    /// Process starts that discovery has reported.
+    /// Starts of the endpoint's process that discovery has reported.
     pub starts: StartHistory,
     /// Time at which the last slow start began, in ms; see [`Endpoint::slow_start_since_ms`].
     slow_start_at_ms: Option<f64>,
--- a/balancer/src/outlier_ejection.rs
+++ b/balancer/src/outlier_ejection.rs
@@ -152,7 +152,7 @@
 
     /// Returns when the next trial of an ejected endpoint is due, in ms.
     ///
-    /// A gateway whose subset has grown from `target_count` to `subset_count` endpoints to replace ejected
+    /// A gateway whose subset has grown from `target_count` to `subset_count` endpoints to replace unusable
     /// ones waits longer at an endpoint that has long been silent, so that the trials of all gateways
     /// together don't become more frequent.
     pub fn trial_due_at_ms(
--- a/balancer/src/pick.rs
+++ b/balancer/src/pick.rs
@@ -26,12 +26,12 @@
 /// typical latencies of the slowest class.
 const UNRESPONSIVE_LATENCIES: f64 = 3.0;
 
-/// Factor of the weight of an endpoint whose idle connections have closed, because a request there needs a
-/// handshake first.
+/// Factor that lowers the weight of an endpoint whose idle connections have closed, because a request there
+/// needs a handshake first.
 const CLOSED_CONNECTIONS_FACTOR: f64 = 0.25;
 
-/// Factor of the weight of an endpoint that fails another class, so that endpoints that serve all classes
-/// keep capacity for the failing class.
+/// Factor that raises the weight of an endpoint that fails another class, so that endpoints that serve all
+/// classes keep capacity for the failing class.
 const FAILS_OTHER_CLASS_FACTOR: f64 = 4.0;
 
 /// Exponent of the served fraction of an endpoint's requests in the endpoint's weight.
@@ -178,7 +178,8 @@
         let silence_ms = self.now_ms - endpoint.last_activity_at_ms;
         let is_unresponsive =
             endpoint.in_flight_count > 0 && silence_ms > UNRESPONSIVE_LATENCIES * self.slowest_class_ms;
-        // Each of many gateways would otherwise round a fraction of a request up to a whole request.
+        // In a large fleet, each gateway would otherwise round a limit of a fraction of a request up to a
+        // whole request, and all gateways together would overload the endpoint.
         let rounding_ratio = (1.0 - self.fleet.traffic_share.visibility()) / limit;
         let is_full = saturation + rounding_ratio >= 1.0;
         let is_paused = self.now_ms < endpoint.next_send_at_ms;
--- a/balancer/tests/decision_digests/adapter.rs
+++ b/balancer/tests/decision_digests/adapter.rs
@@ -105,7 +105,7 @@
         endpoint: u32,
         result: AttemptResult,
         latency_ms: f64,
-        complete: bool,
+        request_complete: bool,
         load: ReportedLoad,
     },
     ClientDisconnected {
@@ -232,14 +232,14 @@
             client_timeout_ms: *timeout_ms,
         }),
         Input::ResponseStarted { request } => Event::ResponseStarted { request: RequestId(*request) },
-        Input::AttemptEnd { request, attempt, endpoint, result, latency_ms, complete, load } => {
+        Input::AttemptEnd { request, attempt, endpoint, result, latency_ms, request_complete, load } => {
             Event::AttemptEnd(AttemptEnd {
                 request: RequestId(*request),
                 attempt: *attempt,
                 endpoint: EndpointId(*endpoint),
                 outcome: outcome(*result),
                 latency_ms: *latency_ms,
-                request_complete: *complete,
+                request_complete: *request_complete,
                 report: report(load),
             })
         }
--- a/balancer/tests/decision_digests/simulation.rs
+++ b/balancer/tests/decision_digests/simulation.rs
@@ -45,7 +45,7 @@
     tenant: Option<usize>,
     deadline_at_ms: f64,
     /// Whether a client still waits for the response.
-    open: bool,
+    is_open: bool,
     attempts: Vec<Attempt>,
 }
 
@@ -137,7 +137,7 @@
         let event = self.scheduled.remove(&number).expect("each scheduled event occurs once");
         match event {
             Scheduled::NextArrival => self.next_arrival(),
-            Scheduled::Retry { class, tenant, timeout_ms } => self.arrive(class, tenant, timeout_ms),
+            Scheduled::Retry { class, tenant, timeout_ms } => self.start_request(class, tenant, timeout_ms),
             Scheduled::AttemptEnd { request, attempt, result } => self.end_attempt(request, attempt, result),
             Scheduled::ResponseStarted { request } => self.handle(Input::ResponseStarted { request }),
             Scheduled::ClientDisconnect { request } => self.disconnect(request),
@@ -182,8 +182,8 @@
                     Scheduled::AttemptEnd { request, attempt, result: AttemptResult::Cancelled },
                 );
             }
-            Output::Reject { request, retry_after_ms, .. } => self.close(request, retry_after_ms),
-            Output::Fail { request } => self.close(request, 0.0),
+            Output::Reject { request, retry_after_ms, .. } => self.end_request(request, retry_after_ms),
+            Output::Fail { request } => self.end_request(request, 0.0),
             Output::Timer { at_ms, token } => {
                 let tick_ms = self.scenario.settings.tick_ms;
                 let error_ms = if self.random.chance(0.3) { self.random.range(-0.9, 1.5) } else { 0.0 };
@@ -217,23 +217,23 @@
         };
         let after_ms = self.random.exponential(1000.0 / own_per_s);
         self.schedule(after_ms, Scheduled::NextArrival);
-        self.arrive(class, tenant, timeout_ms);
+        self.start_request(class, tenant, timeout_ms);
     }
 
-    fn arrive(&mut self, class: usize, tenant: Option<usize>, timeout_ms: f64) {
+    fn start_request(&mut self, class: usize, tenant: Option<usize>, timeout_ms: f64) {
         let request = self.next_request;
         self.next_request += 1;
         let deadline_at_ms = self.now_ms + timeout_ms;
-        let record = Request { class, tenant, deadline_at_ms, open: true, attempts: Vec::new() };
+        let record = Request { class, tenant, deadline_at_ms, is_open: true, attempts: Vec::new() };
         self.requests.insert(request, record);
         let disconnect_ratio = if self.random.chance(0.05) { self.random.unit() } else { 1.0 };
         self.schedule(timeout_ms * disconnect_ratio, Scheduled::ClientDisconnect { request });
         self.handle(Input::Arrival { request, class, tenant, timeout_ms });
     }
 
-    fn close(&mut self, request: u64, retry_after_ms: f64) {
+    fn end_request(&mut self, request: u64, retry_after_ms: f64) {
         let Some(record) = self.requests.get_mut(&request) else { return };
-        record.open = false;
+        record.is_open = false;
         let (class, tenant) = (record.class, record.tenant);
         let deadline_ms = self.scenario.settings.classes[class].deadline_ms;
         if self.scenario.clients_retry && self.random.chance(0.6) {
@@ -246,8 +246,8 @@
 
     fn disconnect(&mut self, request: u64) {
         let Some(record) = self.requests.get_mut(&request) else { return };
-        if record.open {
-            record.open = false;
+        if record.is_open {
+            record.is_open = false;
             self.handle(Input::ClientDisconnected { request });
         }
     }
@@ -296,13 +296,14 @@
 
     fn end_attempt(&mut self, request: u64, attempt: u32, result: AttemptResult) {
         let Some(record) = self.requests.get_mut(&request) else { return };
-        let open = record.open;
+        let is_open = record.is_open;
         let Some(sent) = record.attempts.get_mut(attempt as usize).filter(|sent| !sent.ended) else { return };
         sent.ended = true;
         let (endpoint, latency_ms) = (sent.endpoint, self.now_ms - sent.sent_at_ms);
-        let complete = result == AttemptResult::Served || !open || self.now_ms >= record.deadline_at_ms;
-        if complete {
-            record.open = false;
+        let request_complete =
+            result == AttemptResult::Served || !is_open || self.now_ms >= record.deadline_at_ms;
+        if request_complete {
+            record.is_open = false;
         }
         let has_responded =
             matches!(result, AttemptResult::Served | AttemptResult::ServerError | AttemptResult::Rejected);
@@ -314,7 +315,15 @@
             }
         }
         let endpoint = endpoint as u32;
-        self.handle(Input::AttemptEnd { request, attempt, endpoint, result, latency_ms, complete, load });
+        self.handle(Input::AttemptEnd {
+            request,
+            attempt,
+            endpoint,
+            result,
+            latency_ms,
+            request_complete,
+            load,
+        });
     }
 
     // Health checks, endpoint lists and faults.
@@ -410,7 +419,7 @@
                     AttemptResult::ServerError,
                 ]),
                 latency_ms: self.random.range(0.0, 900.0),
-                complete: true,
+                request_complete: true,
                 load: ReportedLoad::default(),
             },
         };
--- a/balancer/tests/endpoint_updates.rs
+++ b/balancer/tests/endpoint_updates.rs
@@ -36,7 +36,7 @@
     settings.removal_is_advisory = removal_is_advisory;
     let mut gateway = TestGateway::new(settings, 4);
     gateway.update(UpdateKind::Delta, vec![EndpointRecord { readiness: Readiness::Draining, ..record(3) }]);
-    let removed = (0..3).map(|n| EndpointRecord { readiness, ..record(n) }).collect();
+    let removed = (0..3).map(|id| EndpointRecord { readiness, ..record(id) }).collect();
     gateway.update(kind, if kind == UpdateKind::Complete { Vec::new() } else { removed });
     let mut used = std::collections::BTreeSet::new();
     for _ in 0..100 {
@@ -68,7 +68,7 @@
     let mut gateway = TestGateway::new(settings, 4);
     let mut failed_attempts = 0;
     for round in 0..ROUNDS {
-        let nonexistent = (0..200).map(|n| record(100 + 200 * round + n));
+        let nonexistent = (0..200).map(|offset| record(100 + 200 * round + offset));
         gateway.update(UpdateKind::Complete, (0..4).map(record).chain(nonexistent).collect());
         for _ in 0..50 {
             gateway.now_ms += 5.0;
--- a/balancer/tests/slow_start.rs
+++ b/balancer/tests/slow_start.rs
@@ -76,7 +76,7 @@
 
 #[test]
 fn the_first_endpoint_of_a_recovered_zone_is_shared_by_few_gateways() {
-    // All endpoints of a zone were removed from the list, and the first one has started again.
+    // All endpoints of a zone were removed from the list, and the first one has has_started again.
     let recovered = |endpoints: u32, started_at_ms: f64| -> Vec<EndpointRecord> {
         (0..endpoints)
             .map(|id| EndpointRecord { hash: u64::from(id) << 40, started_at_ms, ..record(id) })
@@ -159,18 +159,18 @@
 fn a_restart_begins_slow_start_even_if_wall_clocks_were_stepped() {
     const HOUR_MS: f64 = 3_600_000.0;
     // Returns how many of 100 requests an endpoint gets after an update, which reports a process start if
-    // `started`; `known` says whether the endpoint was listed before, and `clock_offset_ms` how far its wall
-    // clock is ahead.
-    let sent_after = |known: bool, kind: UpdateKind, clock_offset_ms: f64, started: bool| -> usize {
+    // `has_started`; `is_known` says whether the endpoint was listed before, and `clock_offset_ms` how far
+    // its wall clock is ahead.
+    let sent_after = |is_known: bool, kind: UpdateKind, clock_offset_ms: f64, has_started: bool| -> usize {
         let mut settings = settings();
         (settings.slow_start_min_ratio, settings.slow_start_ms) = (0.1, 8000.0);
-        let mut gateway = TestGateway::new(settings, if known { 2 } else { 1 });
+        let mut gateway = TestGateway::new(settings, if is_known { 2 } else { 1 });
         gateway.now_ms = 10.0 * HOUR_MS;
         gateway.update(UpdateKind::Delta, vec![]);
         for _ in 0..40 {
             gateway.serve(&|_| report(100.0, 0.5));
         }
-        let started_at_ms = if started { gateway.now_ms + clock_offset_ms } else { 0.0 };
+        let started_at_ms = if has_started { gateway.now_ms + clock_offset_ms } else { 0.0 };
         let records = vec![EndpointRecord { started_at_ms, ..record(1) }, record(0)];
         gateway.update(kind, records);
         let mut sent = 0;
@@ -182,17 +182,17 @@
     };
     for kind in [UpdateKind::Delta, UpdateKind::Complete] {
         let warm = sent_after(true, kind, 0.0, false);
-        for known in [true, false] {
-            let in_slow_start = sent_after(known, kind, 0.0, true);
+        for is_known in [true, false] {
+            let in_slow_start = sent_after(is_known, kind, 0.0, true);
             assert!(
                 in_slow_start * 3 < warm * 2,
-                "{kind:?}, known {known}: {in_slow_start} requests in slow start, {warm} when warm"
+                "{kind:?}, listed before {is_known}: {in_slow_start} in slow start, {warm} when warm"
             );
             for clock_offset_ms in [-5000.0, 5000.0, -HOUR_MS, HOUR_MS] {
-                let sent = sent_after(known, kind, clock_offset_ms, true);
+                let sent = sent_after(is_known, kind, clock_offset_ms, true);
                 assert_eq!(
                     sent, in_slow_start,
-                    "{kind:?}, known {known}, clock offset {clock_offset_ms} ms; {warm} requests when warm"
+                    "{kind:?}, listed before {is_known}, clock offset {clock_offset_ms} ms; {warm} when warm"
                 );
             }
         }
