--- a/balancer/src/endpoint_set.rs
+++ b/balancer/src/endpoint_set.rs
@@ -137,8 +137,8 @@
         self.mean(|endpoint| endpoint.health.ratio_unless_ejected()).unwrap_or(0.0)
     }
 
-    /// Returns the lowest error ratio of a class among the endpoints in use. Ratios are compared with this
-    /// one, so that no endpoint is excluded where all endpoints fail the class.
+    /// Returns the lowest error ratio of a class among the endpoints in use. A class is excluded by the
+    /// distance to this ratio, so that no endpoint is excluded where all endpoints fail the class.
     pub fn least_error_ratio(&self, class: usize) -> f64 {
         self.in_use().map(|endpoint| endpoint.class_errors.error_ratio(class)).fold(1.0, f64::min)
     }
--- a/balancer/src/fleet.rs
+++ b/balancer/src/fleet.rs
@@ -38,7 +38,8 @@
 }
 
 impl Fleet {
-    /// Creates a fleet without endpoints.
+    /// Creates a fleet without endpoints; `shortest_objective_ms` is the shortest latency objective of all
+    /// classes.
     pub fn new(settings: &Settings, shortest_objective_ms: f64) -> Self {
         Fleet {
             endpoints: EndpointSet::default(),
@@ -102,7 +103,8 @@
         }
     }
 
-    /// Applies a load report of an endpoint.
+    /// Applies a load report of an endpoint. The fleet load counts as known from the first report that
+    /// shows it.
     pub fn apply_report(&mut self, id: EndpointId, report: LoadReport) {
         let mean_capacity_per_s = self.endpoints.mean(|endpoint| endpoint.load.capacity_per_s);
         let queue_shows_fleet_load = !self.weights_reflect_load;
--- a/balancer/src/health_checks.rs
+++ b/balancer/src/health_checks.rs
@@ -11,8 +11,8 @@
 /// Interval between two health checks of an endpoint.
 pub(crate) const HEALTH_CHECK_INTERVAL_MS: f64 = 1500.0;
 
-/// Largest number of health checks per request, so that the checks of many gateways don't overload
-/// endpoints.
+/// Upper bound of the mean number of health checks per request, apart from a burst, so that the checks of
+/// many gateways don't overload endpoints.
 const HEALTH_CHECK_RATIO: f64 = 0.15;
 
 /// Largest number of health checks that may be sent at once.
--- a/balancer/src/retry.rs
+++ b/balancer/src/retry.rs
@@ -13,7 +13,7 @@
 use crate::token_budget::{TokenBudget, TokenRate};
 use crate::zone::Locality;
 
-/// Largest number of retries per request, in addition to a burst.
+/// Upper bound of the mean number of retries per request, apart from a burst.
 const RETRY_RATIO: f64 = 0.15;
 
 /// Largest number of retries that may be sent at once.
--- a/balancer/src/spillover.rs
+++ b/balancer/src/spillover.rs
@@ -49,8 +49,8 @@
         self.ratio
     }
 
-    /// Adjusts the ratio by how busy the zones are, with a gain that grows with the time since the last
-    /// update.
+    /// Adjusts the spillover ratio by how busy the zones are, with a gain that grows with the time since
+    /// the last update.
     pub fn update(&mut self, now_ms: f64, fleet: &Fleet) {
         let Some(local_ratio) = busy_ratio(fleet, ZoneSide::Local) else { return };
         let remote_ratio = busy_ratio(fleet, ZoneSide::Remote).unwrap_or(LOCAL_SATURATION_LIMIT);
