--- a/gateway/src/budget.rs
+++ b/gateway/src/budget.rs
@@ -1,60 +1,66 @@
-//! The descriptor budget: how many connections of clients and servers may be open, and which client's connection is evicted
-//! where descriptors are short.
+//! The descriptor budget: how many client and upstream connections may be open, and which client connection
+//! is evicted when descriptors run short. An upstream connection is a connection to an endpoint.
 //!
-//! No I/O, clock or threads: `listener` and [`upstream`](crate::upstream) say what happens and when, and
-//! are told which connection to end. A shortage must not shut out usual clients in favour of those that send nothing,
-//! send slowly, or keep connections that they do not use.
+//! This module does no I/O and has no clock or threads. The `listener` and [`upstream`](crate::upstream)
+//! report what happens at which time, and close the connections that the budget evicts. Clients that send
+//! nothing, send slowly or keep unused connections are evicted first, so that a shortage does not shut out
+//! clients that send requests.
 use std::collections::{BTreeSet, HashMap};
 
-/// A client's connection, as numbered by [`DescriptorBudget::admit`].
+/// The number of a client connection, assigned by [`DescriptorBudget::admit`].
 pub type ClientId = u64;
 
-/// Clients and servers may each have at least this part of the budget.
-const MIN_SIDE_RATIO: f64 = 0.25;
-/// This part of the budget is kept free of clients, for the next connections to servers.
-const SERVER_HEADROOM_RATIO: f64 = 0.125;
-/// A client that has sent nothing for this long is evicted first: a usual request follows its connection at once.
+/// The share of the budget that client connections, and likewise upstream connections, may always use.
+const MIN_SIDE_SHARE: f64 = 0.25;
+/// The share of the budget that is kept free of client connections, for the next upstream connections.
+const UPSTREAM_HEADROOM_SHARE: f64 = 0.125;
+/// A new connection that has received nothing for this long is evicted first, because clients usually send a
+/// request as soon as they have connected.
 const MAX_SILENT_MS: f64 = 250.0;
-/// A request that has been arriving for this long is evicted next: a usual request arrives in one piece.
+/// A connection that has been receiving one request for this long is evicted next, because a request usually
+/// arrives in one piece.
 const MAX_READING_MS: f64 = 500.0;
-/// Once new connections, or half-read requests, hold this part of the clients' descriptors, the oldest of them is evicted:
-/// a flood then evicts itself, and not the connections that usual clients keep.
-const CROWDED_RATIO: f64 = 0.5;
-/// At most this part of the budget may be held by idle clients.
-const MAX_IDLE_RATIO: f64 = 0.125;
-/// Beyond that, clients that have been idle for less are not evicted: their next request may be on its way.
-const MIN_IDLE_MS: f64 = 100.0;
-
-/// The state of a client's connection.
+/// Once new connections, or connections with incomplete requests, hold this share of the clients'
+/// descriptors, the oldest of them is evicted. A flood then evicts its own connections instead of idle
+/// connections that clients reuse.
+const CROWDED_SHARE: f64 = 0.5;
+/// The largest share of the budget that idle client connections may hold.
+const MAX_IDLE_SHARE: f64 = 0.125;
+/// A surplus idle connection is not evicted before it has been idle for this long, because the client's next
+/// request may be on the way.
+const MIN_EVICTABLE_IDLE_MS: f64 = 100.0;
+
+/// The state of a client connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum ConnectionState {
-    /// Accepted; nothing has been received.
+    /// The connection has been accepted and has received nothing.
     New,
-    /// A request is incomplete.
+    /// The connection has received a part of a request.
     Reading,
-    /// A request is open, or its response is being written.
+    /// The connection has an open request, or a response is being written.
     Open,
-    /// Waiting for the next request.
+    /// The connection waits for the client's next request.
     Idle,
 }
 
-/// What becomes of a new connection.
+/// The budget's decision on a new client connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DescriptorGrant {
-    /// It has a free descriptor.
+    /// The connection is admitted on a free descriptor.
     Admitted(ClientId),
-    /// It has the descriptor of a connection that is to be ended.
+    /// The connection is admitted in place of another one, which the caller must close.
     Evicting {
         /// The new connection.
         admitted: ClientId,
-        /// The connection to end.
+        /// The connection to close.
         evicted: ClientId,
     },
-    /// No descriptor is free and none can be freed.
+    /// The connection is not admitted: no descriptor is free and no connection can be evicted.
     Full,
 }
 
-/// A connection in the order of eviction within its state.
+/// A client connection's state and the time of its last state change. Entries sort by state, then by age, so
+/// that the first entry of a state is the next one to evict.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct StateEntry {
     state: ConnectionState,
@@ -62,11 +68,11 @@
     id: ClientId,
 }
 
-/// The descriptor budget. Times are milliseconds on any clock that only moves forward.
+/// The descriptor budget. All times are milliseconds on one clock that never goes back.
 #[derive(Debug)]
 pub struct DescriptorBudget {
     descriptor_count: usize,
-    server_count: usize,
+    upstream_count: usize,
     last_id: ClientId,
     clients: HashMap<ClientId, StateEntry>,
     by_state: BTreeSet<StateEntry>,
@@ -78,11 +84,11 @@
 }
 
 impl DescriptorBudget {
-    /// A budget of `descriptor_count` connections of clients and servers together.
+    /// Returns a budget for `descriptor_count` client and upstream connections together.
     pub fn new(descriptor_count: usize) -> Self {
         DescriptorBudget {
             descriptor_count,
-            server_count: 0,
+            upstream_count: 0,
             last_id: 0,
             clients: HashMap::new(),
             by_state: BTreeSet::new(),
@@ -94,59 +100,62 @@
         (self.descriptor_count as f64 * ratio) as usize
     }
 
-    /// How many clients may hold a descriptor now.
+    /// Returns how many client connections may be open now, given the number of upstream connections.
     pub fn max_clients(&self) -> usize {
-        let min_side = self.share(MIN_SIDE_RATIO);
-        let kept_for_servers = (self.server_count + self.share(SERVER_HEADROOM_RATIO)).max(min_side);
-        self.descriptor_count.saturating_sub(kept_for_servers).max(min_side).max(1)
+        let min_side = self.share(MIN_SIDE_SHARE);
+        let kept_for_upstream = (self.upstream_count + self.share(UPSTREAM_HEADROOM_SHARE)).max(min_side);
+        self.descriptor_count.saturating_sub(kept_for_upstream).max(min_side).max(1)
     }
 
-    /// How many clients hold a descriptor.
-    pub fn clients(&self) -> usize {
+    /// Returns the number of admitted client connections.
+    pub fn client_count(&self) -> usize {
         self.clients.len()
     }
 
-    /// How many clients' connections are in a state.
-    pub fn count(&self, state: ConnectionState) -> usize {
+    /// Returns the number of client connections in `state`.
+    pub fn count_in(&self, state: ConnectionState) -> usize {
         self.state_counts[state as usize]
     }
 
-    /// The connection that has been in a state for longest, if that is at least `min_ms`.
+    /// Returns the connection that has been in `state` for longest, if that is at least `min_ms`
+    /// milliseconds.
     fn oldest(&self, state: ConnectionState, now_ms: f64, min_ms: f64) -> Option<ClientId> {
         let first = StateEntry { state, since_us: 0, id: 0 };
         let oldest = self.by_state.range(first..).next().filter(|entry| entry.state == state)?;
         (oldest.since_us + to_us(min_ms) <= to_us(now_ms)).then_some(oldest.id)
     }
 
-    /// The connection to evict for a new client, if any may be. One with an open request never is.
+    /// Returns the client connection to evict for a new client. A connection with an open request is never
+    /// evicted.
     fn eviction_candidate(&self, now_ms: f64) -> Option<ClientId> {
         use ConnectionState::{Idle, New, Reading};
-        let crowded_count = CROWDED_RATIO * self.max_clients() as f64;
+        let min_crowded = CROWDED_SHARE * self.max_clients() as f64;
         let oldest_if_crowded = |state| {
-            let is_crowded = self.count(state) as f64 >= crowded_count;
+            let is_crowded = self.count_in(state) as f64 >= min_crowded;
             if is_crowded {
                 self.oldest(state, now_ms, 0.0)
             } else {
                 None
             }
         };
-        let larger = if self.count(New) > self.count(Reading) { New } else { Reading };
+        let larger_state = if self.count_in(New) > self.count_in(Reading) { New } else { Reading };
         self.oldest(New, now_ms, MAX_SILENT_MS)
             .or_else(|| self.oldest(Reading, now_ms, MAX_READING_MS))
             .or_else(|| oldest_if_crowded(New))
             .or_else(|| oldest_if_crowded(Reading))
             .or_else(|| self.oldest(Idle, now_ms, 0.0))
-            .or_else(|| self.oldest(larger, now_ms, 0.0))
+            .or_else(|| self.oldest(larger_state, now_ms, 0.0))
     }
 
-    /// Admits a client that has connected at `now_ms`, if possible.
+    /// Admits a client connection accepted at `now_ms`, if a descriptor is free or another connection can be
+    /// evicted.
     pub fn admit(&mut self, now_ms: f64) -> DescriptorGrant {
-        if self.clients() < self.max_clients() {
+        if self.client_count() < self.max_clients() {
             return DescriptorGrant::Admitted(self.add(now_ms));
         }
         match self.eviction_candidate(now_ms) {
             Some(evicted) => {
-                self.leave(evicted);
+                self.remove(evicted);
                 DescriptorGrant::Evicting { admitted: self.add(now_ms), evicted }
             }
             None => DescriptorGrant::Full,
@@ -166,62 +175,65 @@
         self.state_counts[entry.state as usize] += 1;
     }
 
-    /// A connection has entered a state. Without effect for one that has been evicted.
+    /// Records that a client connection has entered `state`. Does nothing for a connection that has been
+    /// evicted.
     pub fn set_state(&mut self, id: ClientId, state: ConnectionState, now_ms: f64) {
-        if self.leave(id) {
+        if self.remove(id) {
             self.insert(StateEntry { state, since_us: to_us(now_ms), id });
         }
     }
 
-    /// Evicts the connection that has been idle for longest, where more are idle than may be.
+    /// Evicts the client connection that has been idle for longest if more connections are idle than the
+    /// budget allows.
     pub fn evict_surplus_idle(&mut self, now_ms: f64) -> Option<ClientId> {
-        if self.count(ConnectionState::Idle) <= self.share(MAX_IDLE_RATIO).max(1) {
+        if self.count_in(ConnectionState::Idle) <= self.share(MAX_IDLE_SHARE).max(1) {
             return None;
         }
-        let evicted = self.oldest(ConnectionState::Idle, now_ms, MIN_IDLE_MS)?;
-        self.leave(evicted);
+        let evicted = self.oldest(ConnectionState::Idle, now_ms, MIN_EVICTABLE_IDLE_MS)?;
+        self.remove(evicted);
         Some(evicted)
     }
 
-    /// A connection has ended; false if it had been evicted before.
-    pub fn leave(&mut self, id: ClientId) -> bool {
+    /// Removes a client connection. Returns false if the connection had been removed or evicted before.
+    pub fn remove(&mut self, id: ClientId) -> bool {
         let Some(entry) = self.clients.remove(&id) else { return false };
         self.by_state.remove(&entry);
         self.state_counts[entry.state as usize] -= 1;
         true
     }
 
-    /// Whether one more connection to a server may be opened: where the whole budget has room, and up to the servers'
-    /// minimum in any case.
-    pub fn has_room_for_server(&self) -> bool {
-        self.server_count + self.clients() < self.descriptor_count
-            || self.server_count < self.share(MIN_SIDE_RATIO)
+    /// Returns whether one more upstream connection may be opened: either the whole budget has room, or the
+    /// upstream connections hold less than their guaranteed share.
+    pub fn has_room_for_upstream(&self) -> bool {
+        self.upstream_count + self.client_count() < self.descriptor_count
+            || self.upstream_count < self.share(MIN_SIDE_SHARE)
     }
 
-    /// Counts one more connection to a server, if there may be one.
-    pub fn open_server(&mut self) -> bool {
-        let has_room = self.has_room_for_server();
-        self.server_count += usize::from(has_room);
+    /// Counts one more upstream connection if the budget has room. Returns whether it had room.
+    pub fn open_upstream(&mut self) -> bool {
+        let has_room = self.has_room_for_upstream();
+        self.upstream_count += usize::from(has_room);
         has_room
     }
 
-    /// Counts a connection to a server that takes the place of another one.
-    pub fn replace_server(&mut self) {
-        self.server_count += 1;
+    /// Counts an upstream connection that replaces another one, which is about to be closed.
+    pub fn replace_upstream(&mut self) {
+        self.upstream_count += 1;
     }
 
-    /// A connection to a server has ended.
-    pub fn close_server(&mut self) {
-        self.server_count = self.server_count.saturating_sub(1);
+    /// Records that an upstream connection has been closed.
+    pub fn close_upstream(&mut self) {
+        self.upstream_count = self.upstream_count.saturating_sub(1);
     }
 
-    /// Evicts a client's connection for something else than a client: one that is silent, slow or idle.
+    /// Evicts a silent, slow or idle client connection, to free a descriptor for something other than a
+    /// client.
     pub fn make_room(&mut self, now_ms: f64) -> Option<ClientId> {
         let evicted = self
             .oldest(ConnectionState::New, now_ms, MAX_SILENT_MS)
             .or_else(|| self.oldest(ConnectionState::Reading, now_ms, MAX_READING_MS))
             .or_else(|| self.oldest(ConnectionState::Idle, now_ms, 0.0))?;
-        self.leave(evicted);
+        self.remove(evicted);
         Some(evicted)
     }
 }
--- a/gateway/src/clock.rs
+++ b/gateway/src/clock.rs
@@ -1,8 +1,9 @@
-//! The event loop's clock, in milliseconds as the balancer counts them.
+//! The event loop's clock, which converts instants to the balancer's milliseconds of Unix time and back.
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 use tokio::time::Instant;
 
-/// A monotonic clock that is anchored once to Unix time, so that it compares with servers' start times.
+/// A monotonic clock that is anchored once to Unix time, so that its times can be compared with the start
+/// times of endpoints.
 #[derive(Clone, Copy, Debug)]
 pub struct Clock {
     anchor: Instant,
@@ -10,24 +11,25 @@
 }
 
 impl Clock {
-    /// A clock anchored now.
+    /// Returns a clock that is anchored to the present Unix time.
     pub fn start() -> Self {
         let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
         Clock { anchor: Instant::now(), anchor_unix_ms: unix.as_secs_f64() * 1000.0 }
     }
 
-    /// The time of an instant, in milliseconds of Unix time.
+    /// Converts an instant to milliseconds of Unix time. An instant before the anchor counts as the anchor.
     pub fn at(&self, instant: Instant) -> f64 {
         self.anchor_unix_ms + instant.saturating_duration_since(self.anchor).as_secs_f64() * 1000.0
     }
 
-    /// The time now, in milliseconds of Unix time.
+    /// Returns the present time in milliseconds of Unix time.
     pub fn now(&self) -> f64 {
         self.at(Instant::now())
     }
 
-    /// The instant of a time in milliseconds of Unix time. It is rounded up, by a microsecond more than rounding errors
-    /// amount to, so that no timer fires early. A time more than a day ahead counts as a day ahead, which avoids overflow.
+    /// Converts milliseconds of Unix time to an instant. The instant is rounded up to whole microseconds,
+    /// plus one microsecond against floating-point error, so that no timer fires early. A time more than a
+    /// day ahead counts as a day ahead, which avoids overflow.
     pub fn instant(&self, ms: f64) -> Instant {
         const DAY_MS: f64 = 86_400_000.0;
         let since_ms = (ms - self.anchor_unix_ms).clamp(0.0, self.now() - self.anchor_unix_ms + DAY_MS);
--- a/gateway/src/config.rs
+++ b/gateway/src/config.rs
@@ -1,6 +1,7 @@
-//! The gateway's configuration: the file at `LB_CONFIG`, and the `LB_*` variables that take precedence over it.
+//! The gateway's configuration: the JSON file at `LB_CONFIG`, and the `LB_*` environment variables that take
+//! precedence over the file.
 //!
-//! The file's `settings` are parsed by `ternstack-settings`, which the simulator's adapter uses too.
+//! The file's key `settings` is parsed by `ternstack-settings`, which the simulator's adapter uses as well.
 use crate::endpoint_list::{EndpointList, EndpointListError};
 use serde::de::IgnoredAny;
 use serde_json::Value;
@@ -11,93 +12,94 @@
 use thiserror::Error;
 use tracing::level_filters::LevelFilter;
 
-/// The fewest sockets that a gateway can work with.
-const MIN_SOCKET_COUNT: u64 = 64;
-/// The number of sockets where the file names none.
-const DEFAULT_SOCKET_COUNT: u64 = 1024;
-/// The gateway's name where none is given.
+/// The smallest accepted value of the file's `limits.sockets`, because a gateway with fewer sockets cannot
+/// work.
+const MIN_SOCKETS: u64 = 64;
+/// The maximum number of open sockets if the file has no `limits.sockets`.
+const DEFAULT_MAX_SOCKETS: u64 = 1024;
+/// The gateway's name in log lines if neither `LB_NAME` nor the file gives one.
 const DEFAULT_NAME: &str = "gateway";
 
 /// The gateway's configuration.
 #[derive(Clone, Debug)]
 pub struct Config {
-    /// The gateway's name, for log lines.
+    /// The gateway's name in log lines.
     pub name: String,
-    /// Where clients connect.
+    /// The address on which the gateway listens for clients.
     pub listen: SocketAddr,
-    /// Where discovery answers.
+    /// The address of discovery.
     pub discovery: SocketAddr,
-    /// The seed of the random generator.
+    /// The seed of the balancer's random number generator.
     pub seed: u64,
-    /// The maximum number of open sockets.
+    /// The maximum number of open sockets, those of clients, endpoints and the gateway itself together.
     pub max_sockets: usize,
-    /// The cached endpoint list.
+    /// The endpoint list that the balancer uses until discovery has responded.
     pub cached_list: EndpointList,
-    /// The deployment's settings.
+    /// The parsed settings of the file: classes, tenants, zones and limits.
     pub deployment: Deployment,
     /// The least severe level that is logged.
     pub log_level: LevelFilter,
 }
 
-/// Why there is no configuration. The text names the faulty key or variable.
+/// A missing or invalid configuration. The message names the faulty key or variable.
 #[derive(Debug, Error)]
 pub enum ConfigError {
-    /// `LB_CONFIG` is not set.
-    #[error("LB_CONFIG is not set")]
+    /// The variable `LB_CONFIG` is not set.
+    #[error("LB_CONFIG is not set; expected the path of the configuration file")]
     NotSet,
-    /// The file cannot be read, which may pass.
-    #[error("LB_CONFIG: {path}: {source}")]
+    /// The file cannot be read. A later attempt may succeed.
+    #[error("LB_CONFIG: cannot read {path}: {source}")]
     Unreadable {
-        /// The file, or what else could not be read.
+        /// The path of the file, or a description of the step that failed.
         path: String,
-        /// What went wrong.
+        /// The error of the operating system.
         source: io::Error,
     },
-    /// The file's text ends too early: it may be half written.
+    /// The file's JSON text ends too early, as if another process were still writing the file.
     #[error(transparent)]
     HalfWritten(Box<ConfigError>),
-    /// The file is not JSON.
-    #[error("LB_CONFIG is no JSON: {0}")]
+    /// The file's text is not valid JSON.
+    #[error("LB_CONFIG: invalid JSON: {0}")]
     Json(#[source] serde_json::Error),
-    /// A required key is missing.
+    /// A required key is missing in the file.
     #[error("LB_CONFIG: {key} is missing")]
     Missing {
-        /// The key.
+        /// The missing top-level key.
         key: &'static str,
     },
     /// A key's value is not a string.
-    #[error("LB_CONFIG: {key} is not text")]
+    #[error("LB_CONFIG: {key}: expected a string")]
     NotText {
-        /// The key.
+        /// The top-level key with the faulty value.
         key: &'static str,
     },
     /// A value is not a socket address.
-    #[error("{origin} = {value} is not address:port")]
+    #[error("{origin}: expected address:port, got {value}")]
     Address {
-        /// The variable, or the file and the key.
+        /// The name of the variable, or `LB_CONFIG` and the key.
         origin: String,
-        /// The value.
+        /// The faulty value.
         value: String,
     },
-    /// The number of sockets is malformed or too small.
-    #[error("LB_CONFIG: limits.sockets is not a number from {MIN_SOCKET_COUNT} up")]
+    /// The file's `limits.sockets` is malformed or too small.
+    #[error("LB_CONFIG: limits.sockets: expected a whole number of at least {MIN_SOCKETS}")]
     Sockets,
-    /// The seed is malformed.
-    #[error("LB_CONFIG: seed is neither 16 hexadecimal digits nor a whole number")]
+    /// The file's `seed` is malformed.
+    #[error("LB_CONFIG: seed: expected 16 hexadecimal digits or a whole number")]
     Seed,
-    /// The cached endpoint list is malformed.
+    /// The cached endpoint list, the file's `known`, is malformed.
     #[error("LB_CONFIG: known: {0}")]
     CachedList(#[from] EndpointListError),
-    /// The settings cannot be worked with.
+    /// The file's `settings` are malformed or contradict each other.
     #[error("LB_CONFIG: settings: {0}")]
     Settings(#[from] DeploymentError),
-    /// The log level is unknown.
-    #[error("LB_LOG = {0} is none of off, error, warn, info, debug, trace")]
+    /// The value of the variable `LB_LOG` is not a log level.
+    #[error("LB_LOG: expected off, error, warn, info, debug or trace, got {0}")]
     LogLevel(String),
 }
 
 impl Config {
-    /// Reads the environment and the file that it names. Blocks on the disk.
+    /// Reads the environment and the file that `LB_CONFIG` names. Blocks on the disk.
     ///
     /// # Errors
     /// Fails if the file cannot be read or its text is rejected by [`Config::read`].
@@ -105,11 +107,12 @@
         Self::from_file(Self::read)
     }
 
-    /// Reads the replaced file, as [`Config::reread`] does. Blocks on the disk.
+    /// Reads the file that `LB_CONFIG` names once more, with the precedence of [`Config::reread`]. Blocks on
+    /// the disk.
     ///
     /// # Errors
-    /// As [`Config::from_env`].
-    pub fn from_env_again() -> Result<Self, ConfigError> {
+    /// Fails if the file cannot be read or its text is rejected by [`Config::reread`].
+    pub fn reread_env() -> Result<Self, ConfigError> {
         Self::from_file(Self::reread)
     }
 
@@ -129,28 +132,30 @@
         })
     }
 
-    /// Parses the text of a file that was replaced while the gateway runs. Variables cannot change any more, so the
-    /// file's `discovery` takes precedence over `LB_DISCOVERY` here.
+    /// Parses the text of a configuration file that was replaced while the gateway runs. The file's
+    /// `discovery` takes precedence over `LB_DISCOVERY` here, because the environment of a running process
+    /// cannot be changed from outside.
     ///
     /// # Errors
-    /// As [`Config::read`].
+    /// Fails on the first key or variable that is missing or malformed.
     pub fn reread(text: &str, variable: impl Fn(&str) -> Option<String>) -> Result<Self, ConfigError> {
         let file: Value = serde_json::from_str(text).map_err(ConfigError::Json)?;
         let names_discovery = file.get("discovery").is_some_and(|value| !value.is_null());
         Self::read(text, |name| variable(name).filter(|_| !(names_discovery && name == "LB_DISCOVERY")))
     }
 
-    /// Parses a configuration file's text; `variable` looks up the variables that take precedence over it.
+    /// Parses the text of a configuration file. `variable` looks up the environment variables that take
+    /// precedence over the file.
     ///
     /// # Errors
     /// Fails on the first key or variable that is missing or malformed.
     pub fn read(text: &str, variable: impl Fn(&str) -> Option<String>) -> Result<Self, ConfigError> {
         let file: Value = serde_json::from_str(text).map_err(ConfigError::Json)?;
-        let source = Source { file: &file, variable: &variable };
+        let source = ConfigSource { file: &file, variable: &variable };
         let max_sockets = match file.pointer("/limits/sockets") {
-            None | Some(Value::Null) => DEFAULT_SOCKET_COUNT,
+            None | Some(Value::Null) => DEFAULT_MAX_SOCKETS,
             Some(value) => {
-                value.as_u64().filter(|count| *count >= MIN_SOCKET_COUNT).ok_or(ConfigError::Sockets)?
+                value.as_u64().filter(|count| *count >= MIN_SOCKETS).ok_or(ConfigError::Sockets)?
             }
         };
         let cached_list = match file.get("known") {
@@ -176,39 +181,39 @@
     }
 }
 
-/// A value and where it was found, for error texts.
-struct Found {
+/// A configured string, with the variable or key that it came from for error messages.
+struct LocatedValue {
     origin: String,
     value: String,
 }
 
-/// The file and the variables that take precedence over it.
-struct Source<'a, V> {
+/// The parsed configuration file, with the lookup of the variables that take precedence over the file.
+struct ConfigSource<'a, V> {
     file: &'a Value,
     variable: &'a V,
 }
 
-impl<V: Fn(&str) -> Option<String>> Source<'_, V> {
-    fn text(&self, variable: &str, key: &'static str) -> Result<Option<Found>, ConfigError> {
+impl<V: Fn(&str) -> Option<String>> ConfigSource<'_, V> {
+    fn text(&self, variable: &str, key: &'static str) -> Result<Option<LocatedValue>, ConfigError> {
         if let Some(value) = (self.variable)(variable) {
-            return Ok(Some(Found { origin: variable.to_string(), value }));
+            return Ok(Some(LocatedValue { origin: variable.to_string(), value }));
         }
         match self.file.get(key) {
             None | Some(Value::Null) => Ok(None),
             Some(Value::String(value)) => {
-                Ok(Some(Found { origin: format!("LB_CONFIG: {key}"), value: value.clone() }))
+                Ok(Some(LocatedValue { origin: format!("LB_CONFIG: {key}"), value: value.clone() }))
             }
             Some(_) => Err(ConfigError::NotText { key }),
         }
     }
 
     fn address(&self, variable: &str, key: &'static str) -> Result<SocketAddr, ConfigError> {
-        let Found { origin, value } = self.text(variable, key)?.ok_or(ConfigError::Missing { key })?;
+        let LocatedValue { origin, value } = self.text(variable, key)?.ok_or(ConfigError::Missing { key })?;
         value.parse().map_err(|_| ConfigError::Address { origin, value })
     }
 }
 
-/// The seed is 16 hexadecimal digits or a whole number.
+/// Parses the seed, which is a string of 16 hexadecimal digits or a whole number.
 fn parse_seed(value: Option<&Value>) -> Result<u64, ConfigError> {
     let seed = match value {
         Some(Value::String(digits)) => u64::from_str_radix(digits, 16).ok(),
--- a/gateway/src/control/unpublished_changes.rs
+++ b/gateway/src/control/unpublished_changes.rs
@@ -1,30 +1,31 @@
-//! Which endpoints have to be published again.
+//! The changes in the replicated state that have not been published to the event loop yet.
 use std::collections::BTreeSet;
 use ternstack_control_plane::gateway_client::ClientEvent;
 use ternstack_replication::follower::FollowerEvent;
 use ternstack_replication::scope::{Key, Scope};
 
-/// Changed keys that are tracked one by one; with more, all keys are published again, which bounds the memory.
-const MAX_TRACKED_KEY_COUNT: usize = 256;
+/// The maximum number of changed keys that are tracked one by one, which bounds the memory. With more changed
+/// keys, the endpoints of all keys are compared with the published ones.
+const MAX_TRACKED_KEYS: usize = 256;
 
-/// The keys whose endpoints may have changed since they were published.
+/// The keys of the hosts that may have changed since the last publication.
 #[derive(Debug)]
 pub(super) enum UnpublishedChanges {
-    /// These keys.
+    /// Only the hosts with these keys may have changed.
     Keys(BTreeSet<Key>),
-    /// All keys.
+    /// Any host may have changed.
     All,
 }
 
 impl Default for UnpublishedChanges {
-    /// Nothing has changed.
+    /// Returns changes that comprise no host.
     fn default() -> Self {
         UnpublishedChanges::Keys(BTreeSet::new())
     }
 }
 
 impl UnpublishedChanges {
-    /// Adds what an event changes.
+    /// Adds the hosts that an event may have changed.
     pub fn record(&mut self, event: ClientEvent) {
         match event {
             ClientEvent::Follower(FollowerEvent::EntryChanged(Scope::Hosts(_), key)) => self.add_key(key),
@@ -39,7 +40,7 @@
         }
     }
 
-    /// Whether nothing has changed.
+    /// Returns whether no host has changed.
     pub fn is_empty(&self) -> bool {
         matches!(self, UnpublishedChanges::Keys(keys) if keys.is_empty())
     }
@@ -47,7 +48,7 @@
     fn add_key(&mut self, key: Key) {
         let UnpublishedChanges::Keys(keys) = self else { return };
         keys.insert(key);
-        if keys.len() > MAX_TRACKED_KEY_COUNT {
+        if keys.len() > MAX_TRACKED_KEYS {
             *self = UnpublishedChanges::All;
         }
     }
--- a/gateway/src/descriptors.rs
+++ b/gateway/src/descriptors.rs
@@ -1,44 +1,46 @@
-//! The descriptor [`DescriptorBudget`] as the gateway's tasks share it: evicted connections are told to end.
+//! The [`DescriptorBudget`] shared by the gateway's tasks, with the channels that notify evicted connections.
 use crate::budget::{ClientId, ConnectionState, DescriptorBudget, DescriptorGrant};
 use std::collections::HashMap;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use tokio::sync::oneshot;
 use tokio::time::Instant;
 
+/// The state of [`Descriptors`] behind its lock.
 #[derive(Debug)]
 struct Inner {
     budget: DescriptorBudget,
-    /// Tell clients' connections that they are evicted.
+    /// The senders that notify admitted client connections of their eviction.
     evictions: HashMap<ClientId, oneshot::Sender<()>>,
 }
 
-/// The budget, shared by the listener and the connections to servers.
+/// The descriptor budget, shared by the listener and the upstream connections.
 #[derive(Debug)]
 pub struct Descriptors {
     start: Instant,
     inner: Mutex<Inner>,
 }
 
-/// A client's descriptor. It is free again once this is dropped.
+/// A client connection's descriptor in the budget, which is free again once this value is dropped.
 #[derive(Debug)]
 pub struct Descriptor {
     descriptors: Arc<Descriptors>,
     id: ClientId,
 }
 
-/// A client that has been admitted.
+/// A client connection that the budget has admitted.
 #[derive(Debug)]
 pub struct AdmittedClient {
-    /// Its descriptor.
+    /// The connection's descriptor in the budget.
     pub descriptor: Descriptor,
-    /// Completes when it is evicted.
+    /// Completes when the connection is evicted.
     pub evicted: oneshot::Receiver<()>,
-    /// Whether another connection was evicted for it, which has yet to end.
+    /// Whether another connection was evicted for this one and is still being closed.
     pub has_evicted: bool,
 }
 
 impl Descriptor {
-    /// The connection has entered a state. Idle connections beyond their part of the budget are evicted.
+    /// Records that the connection has entered `state`, and evicts idle connections beyond their share of the
+    /// budget.
     pub fn set_state(&self, state: ConnectionState) {
         let now_ms = self.descriptors.now_ms();
         let mut inner = self.descriptors.lock();
@@ -48,7 +50,7 @@
         }
     }
 
-    /// Whether the connection has been evicted.
+    /// Returns whether the connection has been evicted.
     pub fn is_evicted(&self) -> bool {
         !self.descriptors.lock().evictions.contains_key(&self.id)
     }
@@ -57,13 +59,13 @@
 impl Drop for Descriptor {
     fn drop(&mut self) {
         let mut inner = self.descriptors.lock();
-        inner.budget.leave(self.id);
+        inner.budget.remove(self.id);
         inner.evictions.remove(&self.id);
     }
 }
 
 impl Descriptors {
-    /// A budget of `descriptor_count` connections of clients and servers together.
+    /// Returns a budget for `descriptor_count` client and upstream connections together.
     pub fn new(descriptor_count: usize) -> Arc<Self> {
         let inner = Inner { budget: DescriptorBudget::new(descriptor_count), evictions: HashMap::new() };
         Arc::new(Descriptors { start: Instant::now(), inner: Mutex::new(inner) })
@@ -77,7 +79,7 @@
         self.start.elapsed().as_secs_f64() * 1000.0
     }
 
-    /// Admits a client that has connected; `None` if no descriptor is free and none can be freed.
+    /// Admits a client connection. Returns `None` if no descriptor is free and no connection can be evicted.
     pub fn admit(self: &Arc<Self>) -> Option<AdmittedClient> {
         let now_ms = self.now_ms();
         let mut inner = self.lock();
@@ -94,7 +96,7 @@
         Some(AdmittedClient { descriptor, evicted, has_evicted })
     }
 
-    /// Evicts a client's connection that waits, if any does.
+    /// Evicts a silent, slow or idle client connection, if there is one.
     pub fn make_room(&self) {
         let now_ms = self.now_ms();
         let mut inner = self.lock();
@@ -103,39 +105,40 @@
         }
     }
 
-    /// Counts one more connection to a server, if there may be one. A client's connection that is evicted for it has yet
-    /// to end.
-    pub fn open_server(&self) -> bool {
+    /// Counts one more upstream connection, and evicts a client connection if the budget has no room
+    /// otherwise. The evicted connection may still be open when this function returns. Returns false if no
+    /// connection can be evicted.
+    pub fn open_upstream(&self) -> bool {
         let now_ms = self.now_ms();
         let mut inner = self.lock();
-        if inner.budget.open_server() {
+        if inner.budget.open_upstream() {
             return true;
         }
         let Some(evicted) = inner.budget.make_room(now_ms) else { return false };
         inner.evict(evicted);
-        inner.budget.open_server()
+        inner.budget.open_upstream()
     }
 
-    /// Counts a connection to a server that takes the place of another one, which is about to end.
-    pub fn replace_server(&self) {
-        self.lock().budget.replace_server();
+    /// Counts an upstream connection that replaces another one, which is about to be closed.
+    pub fn replace_upstream(&self) {
+        self.lock().budget.replace_upstream();
     }
 
-    /// Whether a connection to a server could be opened without an eviction.
+    /// Returns whether an upstream connection can be opened without an eviction.
     pub fn has_room(&self) -> bool {
-        self.lock().budget.has_room_for_server()
+        self.lock().budget.has_room_for_upstream()
     }
 
-    /// A connection to a server has ended.
-    pub fn close_server(&self) {
-        self.lock().budget.close_server();
+    /// Records that an upstream connection has been closed.
+    pub fn close_upstream(&self) {
+        self.lock().budget.close_upstream();
     }
 }
 
 impl Inner {
     fn evict(&mut self, client: ClientId) {
         if let Some(evict) = self.evictions.remove(&client) {
-            // The receiver is gone if the connection is ending by itself.
+            // The receiver has been dropped if the connection is already closing.
             let _ = evict.send(());
         }
     }
--- a/gateway/src/discovery/connection.rs
+++ b/gateway/src/discovery/connection.rs
@@ -1,4 +1,4 @@
-//! The connection to discovery, and the descriptor that is reserved for it.
+//! The connection to discovery, and the descriptor that is reserved for the connection.
 use super::WatchError;
 use crate::http1::{CompleteMessage, Reader, StatusLine};
 use crate::sockets::{self, has_no_route, is_local, socket, with_nodelay};
@@ -9,11 +9,12 @@
 use tokio::time::{sleep, timeout_at, Instant};
 use tracing::debug;
 
-/// The pause before a connection that failed on this machine is tried again.
+/// The delay before a connection attempt is repeated that failed because of this machine.
 const LOCAL_RETRY_DELAY: Duration = Duration::from_millis(20);
 
-/// The connection to discovery. It always holds one descriptor, for the connection that is up or the next one: clients
-/// that take all descriptors while discovery is down would otherwise keep its return from being noticed.
+/// The connection to discovery. It always holds one descriptor, for the open connection or for the next one,
+/// because clients could otherwise take all descriptors while discovery is down, and the gateway could not
+/// reconnect.
 pub(super) struct DiscoveryConnection {
     connect_timeout: Duration,
     stream: Option<TcpStream>,
@@ -25,14 +26,16 @@
         DiscoveryConnection { connect_timeout, stream: None, reserved: None }
     }
 
-    /// Closes the connection and reserves its descriptor. No other task runs in between and could take it.
+    /// Closes the connection and reserves its descriptor by opening an unconnected socket. No other task can
+    /// take the descriptor, because none runs in between.
     pub(super) fn reserve(&mut self, address: SocketAddr) {
         self.stream = None;
         self.reserved = self.reserved.take().or_else(|| socket(address).ok());
     }
 
-    /// Opens a connection by `deadline`. Until then it is tried again while this machine lacks something for it: such a
-    /// failure has not reached discovery, so that the backoff that spares discovery does not apply.
+    /// Opens a connection by `deadline`. While this machine lacks a route, a descriptor, a port or memory,
+    /// connecting is repeated after [`LOCAL_RETRY_DELAY`] without the balancer's backoff, because such a
+    /// failure puts no load on discovery.
     pub(super) async fn dial(&mut self, address: SocketAddr, deadline: Instant) -> Result<(), WatchError> {
         loop {
             self.reserve(address);
@@ -45,7 +48,7 @@
                     if (is_local(&e) || has_no_route(&e))
                         && Instant::now() + LOCAL_RETRY_DELAY < deadline =>
                 {
-                    debug!("discovery: cannot connect: {e}; trying again");
+                    debug!(error = %e, "cannot connect to discovery; retrying");
                     sleep(LOCAL_RETRY_DELAY).await;
                 }
                 Err(e) => return Err(WatchError::Connect(e)),
@@ -53,7 +56,7 @@
         }
     }
 
-    /// Opens a connection by `deadline` on the reserved descriptor.
+    /// Opens a connection by `deadline`, on the reserved socket if it has the family of `address`.
     async fn connect(&mut self, address: SocketAddr, deadline: Instant) -> io::Result<TcpStream> {
         let is_same_family =
             |socket: &TcpSocket| socket.local_addr().is_ok_and(|own| own.is_ipv4() == address.is_ipv4());
@@ -64,7 +67,7 @@
         with_nodelay(timeout_at(deadline, socket.connect(address)).await?)
     }
 
-    /// Sends a request and receives the response.
+    /// Sends a request and waits for the complete response.
     pub(super) async fn call(
         &mut self, reader: &mut Reader<StatusLine>, request: &str,
     ) -> Result<CompleteMessage<StatusLine>, WatchError> {
--- a/gateway/src/discovery/mod.rs
+++ b/gateway/src/discovery/mod.rs
@@ -1,4 +1,4 @@
-//! Follows the endpoint list that discovery serves: long polls that carry changes, as a watch.
+//! The client of discovery, which follows the endpoint list by a watch: a series of long polls for changes.
 mod connection;
 mod timing;
 
@@ -18,46 +18,48 @@
 use tokio::time::{sleep, timeout_at, Instant};
 use tracing::{debug, info, warn};
 
-/// The largest endpoint list: 4 KiB for each of 1,024 servers, an eighth of the smallest gateway's memory.
+/// The largest accepted endpoint list: 4 KiB for each of 1,024 endpoints, an eighth of the smallest gateway's
+/// memory.
 const MAX_LIST_BYTES: usize = 1 << 22;
-/// The status of a response that carries a list.
+/// The HTTP status of a response that contains an endpoint list.
 const STATUS_OK: u16 = 200;
 
-/// Why a watch has ended.
+/// The reason why a watch has ended.
 #[derive(Debug, Error)]
 enum WatchError {
-    /// A poll had no response in time, over a connection that is up.
-    #[error("no answer in time")]
+    /// A poll on an open connection had no response in time.
+    #[error("no response in time")]
     Silent,
     #[error("cannot connect: {0}")]
     Connect(#[source] io::Error),
-    #[error("cannot ask: {0}")]
+    #[error("cannot send a poll: {0}")]
     Send(#[source] io::Error),
-    #[error("connection: {0}")]
+    #[error("cannot receive a response: {0}")]
     Receive(#[source] io::Error),
-    #[error("the connection ended")]
+    #[error("connection closed before a complete response")]
     Closed,
     #[error("malformed response: {0}")]
     Parse(#[from] ParseError),
-    #[error("status {0}")]
+    #[error("expected status {STATUS_OK}, got {0}")]
     Status(u16),
-    #[error("malformed list: {0}")]
+    #[error("malformed endpoint list: {0}")]
     List(#[from] EndpointListError),
 }
 
-/// How to follow discovery.
+/// The configuration of a gateway's watches of discovery.
 #[derive(Debug)]
 pub struct FollowConfig {
-    /// A connection that is not up after this has failed.
+    /// The time after which connecting to discovery is given up.
     pub connect_timeout: Duration,
-    /// The revision of the cached list; `None` without one.
+    /// The revision of the cached list, from which the first watch starts; `None` without a cached list.
     pub revision: Option<u64>,
     /// How long this gateway waits before it renews a silent watch ([`renewal_delay`]).
     pub renewal_delay: Duration,
 }
 
-/// Watches discovery from `config.revision` on each time that a watch is requested, until a poll fails; and at once when
-/// discovery's address changes. A silent watch is renewed once. Returns when the event loop has ended.
+/// Watches discovery, starting from `config.revision`. A watch begins when one is requested or when
+/// discovery's address changes, and ends when a poll fails. A silent watch is renewed once. Returns when the
+/// event loop has ended.
 pub async fn follow(
     discovery: DiscoveryAddressReceiver, config: FollowConfig, requests: mpsc::Receiver<()>,
     events: EventSender,
@@ -76,19 +78,20 @@
     watcher.run().await;
 }
 
-/// How a series of watches goes on.
-enum Next {
-    /// With another watch at once.
+/// The next step after the end of a watch.
+enum NextStep {
+    /// Another watch begins at once.
     Watch {
-        /// Discovery's address has changed.
+        /// Whether discovery's address has changed.
         has_moved: bool,
     },
-    /// With the next request for a watch.
+    /// Another watch begins when the balancer requests one.
     Lost(WatchError),
-    /// Not at all: nobody listens any more.
+    /// No further watch begins, because the event loop has ended.
     Stop,
 }
 
+/// The state of the task that watches discovery.
 struct Watcher {
     discovery: DiscoveryAddressReceiver,
     connection: DiscoveryConnection,
@@ -96,8 +99,8 @@
     renewal_delay: Duration,
     requests: mpsc::Receiver<()>,
     events: EventSender,
-    /// The latest watch has had a response. One that is silent from its start on is not renewed, but left to the
-    /// balancer's backoff.
+    /// Whether the latest watch has received a response. A watch that is silent from its start is not
+    /// renewed; the balancer requests another one after its backoff.
     has_had_response: bool,
 }
 
@@ -113,7 +116,7 @@
             };
             self.has_had_response = true;
             let Some(error) = self.watch_until_lost(has_moved).await else { return };
-            warn!("discovery: {error}");
+            warn!(%error, "watch of discovery lost");
             self.discard_requests();
             if self.events.send(GatewayEvent::Discovery(DiscoveryEvent::WatchLost)).await.is_err() {
                 return;
@@ -121,26 +124,26 @@
         }
     }
 
-    /// Watches until a watch is lost for good; `None` if nobody listens any more.
+    /// Watches until a watch is lost and not renewed; returns `None` if the event loop has ended.
     async fn watch_until_lost(&mut self, mut has_moved: bool) -> Option<WatchError> {
         loop {
-            // The watch that begins now serves them.
+            // The watch that begins now fulfils all earlier requests.
             self.discard_requests();
             let address = *self.discovery.borrow_and_update();
             if has_moved {
-                // Another instance may number its revisions otherwise.
+                // Revisions are not comparable between two instances of discovery.
                 self.revision = None;
             }
             match self.watch_once(address).await {
-                Next::Watch { has_moved: moved } => has_moved = moved,
-                Next::Lost(error) => return Some(error),
-                Next::Stop => return None,
+                NextStep::Watch { has_moved: moved } => has_moved = moved,
+                NextStep::Lost(error) => return Some(error),
+                NextStep::Stop => return None,
             }
         }
     }
 
-    /// One watch, until it ends or discovery's address changes.
-    async fn watch_once(&mut self, address: SocketAddr) -> Next {
+    /// Runs one watch until it ends or discovery's address changes.
+    async fn watch_once(&mut self, address: SocketAddr) -> NextStep {
         let delay = if self.has_had_response { Duration::ZERO } else { self.renewal_delay };
         let Watcher { discovery, connection, revision, events, has_had_response, .. } = self;
         let mut watch = Watch { connection, revision, has_had_response, events };
@@ -154,13 +157,13 @@
         };
         self.connection.reserve(address);
         match ended {
-            None => Next::Watch { has_moved: true },
-            Some(Ok(())) => Next::Stop,
+            None => NextStep::Watch { has_moved: true },
+            Some(Ok(())) => NextStep::Stop,
             Some(Err(WatchError::Silent)) if std::mem::take(&mut self.has_had_response) => {
-                info!("discovery: watch is silent; renewing it");
-                Next::Watch { has_moved: false }
+                info!("watch of discovery is silent; renewing the watch");
+                NextStep::Watch { has_moved: false }
             }
-            Some(Err(error)) => Next::Lost(error),
+            Some(Err(error)) => NextStep::Lost(error),
         }
     }
 
@@ -169,14 +172,14 @@
     }
 }
 
-/// What a poll has received.
+/// The response to a poll.
 struct PollResponse {
     list: EndpointList,
-    /// The connection can carry another poll.
+    /// Whether the connection can carry another poll.
     keep_alive: bool,
 }
 
-/// A watch: one poll after another.
+/// One watch, with the state of the [`Watcher`] that its polls change.
 struct Watch<'a> {
     connection: &'a mut DiscoveryConnection,
     revision: &'a mut Option<u64>,
@@ -185,8 +188,8 @@
 }
 
 impl Watch<'_> {
-    /// Polls as long as polls succeed and the event loop runs. Each poll has its own deadline, so that a discovery that
-    /// falls silent is noticed; the first one's covers the dial.
+    /// Polls discovery until a poll fails or the event loop ends. Each poll has a deadline of its own, so
+    /// that a silent discovery is noticed. The deadline of the first poll includes the time to connect.
     async fn run(&mut self, address: SocketAddr) -> Result<(), WatchError> {
         let mut deadline = Instant::now() + FIRST_POLL.total();
         self.connection.dial(address, deadline).await?;
@@ -197,7 +200,7 @@
             let polled_at = Instant::now();
             let PollResponse { list, keep_alive } =
                 self.poll(address, &timing, deadline, &mut reader).await?;
-            // A discovery that responds without waiting is not polled in a busy loop.
+            // The pause avoids a busy loop if discovery responds to polls without waiting for a change.
             let is_idle = list.endpoints.is_empty() && polled_at.elapsed() < EMPTY_POLL_DELAY;
             *self.revision = Some(list.revision);
             (*self.has_had_response, timing) = (true, NEXT_POLL);
@@ -215,7 +218,7 @@
         }
     }
 
-    /// One poll.
+    /// Sends one poll and waits for its response until `deadline`.
     async fn poll(
         &mut self, address: SocketAddr, timing: &PollTiming, deadline: Instant,
         reader: &mut Reader<StatusLine>,
--- a/gateway/src/event_loop/attempts.rs
+++ b/gateway/src/event_loop/attempts.rs
@@ -1,4 +1,4 @@
-//! Attempts and health checks: sending, cancelling, and what follows from their ends.
+//! Attempts and health checks of the event loop: sending, cancellation and the handling of results.
 use super::endpoints::ReachableEndpoint;
 use super::open_requests::SentAttempt;
 use super::EventLoop;
@@ -14,17 +14,18 @@
 use tracing::debug;
 
 impl EventLoop {
-    /// Sends a request's next attempt. One that is not permitted ends at once as never sent.
+    /// Sends the next attempt of a request. An attempt that is not permitted ends at once with the outcome
+    /// `NotSent`.
     pub(super) fn send_attempt(&mut self, id: RequestId, endpoint: EndpointId, give_up_at_ms: f64) {
         let Some(request) = self.requests.get_mut(id) else {
-            let detail = format_args!("an attempt of a request that is not open");
+            let detail = format_args!("the balancer asked for an attempt of a request that is not open");
             return self.violations.record(Invariant::NoAttemptAfterResponse, id.0, detail);
         };
         let Some(class) = self.classes.get(request.class) else { return };
         let reachable = self.endpoints.reachable(endpoint);
         let locality = reachable.as_ref().map(|reachable| reachable.locality);
         let give_up_at = self.clock.instant(give_up_at_ms).min(request.deadline);
-        let permit = request.permit(class, self.max_attempts, give_up_at, locality);
+        let permit = request.check_permit(class, self.max_attempts, give_up_at, locality);
         let send_by = request.deduplicated_until();
         let has_idempotency_key = class.idempotency == Idempotency::IdempotentWithKey;
         let prior = PriorAttempt {
@@ -62,7 +63,7 @@
 
     fn deny_attempt(&mut self, id: RequestId, number: u32, endpoint: EndpointId, denial: Denial) {
         debug!(request_id = id.0, attempt = number, endpoint_id = endpoint.0, ?denial, "attempt not sent");
-        if let Some(invariant) = denial.violates() {
+        if let Some(invariant) = denial.violated_invariant() {
             let detail = format_args!("attempt {number} at endpoint {}: {denial:?}", endpoint.0);
             self.violations.record(invariant, id.0, detail);
         }
@@ -72,7 +73,7 @@
     pub(super) fn cancel_attempt(&mut self, id: RequestId, number: u32) {
         let attempt = self.requests.attempt_mut(id, number);
         if let Some(cancel) = attempt.and_then(|attempt| attempt.cancel.take()) {
-            // The receiver is gone if the attempt has just ended.
+            // The receiver has been dropped if the attempt has just ended.
             let _ = cancel.send(Cancellation::Always);
         }
     }
@@ -80,7 +81,7 @@
     pub(super) fn on_attempt_ended(&mut self, result: AttemptResult) {
         let AttemptResult { request: id, attempt: number, outcome, ended_at, report, response } = result;
         let Some(attempt) = self.requests.attempt(id, number) else {
-            let detail = format_args!("attempt {number}");
+            let detail = format_args!("attempt {number} ended but was never sent");
             return self.violations.record(Invariant::AttemptKnown, id.0, detail);
         };
         let latency_ms = (self.clock.at(ended_at) - attempt.sent_at_ms).max(0.0);
@@ -99,7 +100,7 @@
                 "attempt ended"
             );
         }
-        // The first 200 is the request's response.
+        // The first response with status 200 is the response to the request.
         if let Some(served) = response {
             self.requests.respond(id, Response::Served(served));
         }
@@ -107,7 +108,7 @@
         self.handle_pending_events();
     }
 
-    /// Notes an attempt's end and queues it for the balancer.
+    /// Records the end of an attempt and queues it for the balancer.
     fn end_attempt(
         &mut self, id: RequestId, number: u32, outcome: Outcome, latency_ms: f64, report: LoadReport,
     ) {
@@ -123,7 +124,7 @@
         }));
     }
 
-    /// Asks an endpoint for its load report, unless an earlier check of it is in flight.
+    /// Asks an endpoint for its load report, unless a health check of the endpoint is already in flight.
     pub(super) fn start_health_check(&mut self, endpoint: EndpointId) {
         let reachable =
             self.endpoints.reachable(endpoint).filter(|_| !self.health_checks.contains_key(&endpoint));
--- a/gateway/src/event_loop/endpoints.rs
+++ b/gateway/src/event_loop/endpoints.rs
@@ -1,4 +1,4 @@
-//! The endpoints of the endpoint list, as the event loop needs them to send attempts.
+//! The event loop's table of endpoints, with the addresses to which attempts are sent.
 use crate::endpoint_list::{EndpointList, EndpointState};
 use crate::permit::EndpointLocality;
 use crate::upstream::Upstream;
@@ -8,36 +8,38 @@
 use ternstack_balancer::{EndpointId, EndpointRecord, Readiness, UpdateKind};
 use ternstack_settings::{stable_hash, NameTable};
 
-/// An endpoint as last listed.
+/// An endpoint with the values of the last list that named it.
 struct ListedEndpoint {
     uid: String,
     address: Option<SocketAddr>,
     locality: EndpointLocality,
     started_at_ms: f64,
-    /// Replaced when the endpoint moves, restarts or stops serving: connections and attempts of an earlier incarnation
-    /// hold a weak reference, and end.
+    /// The token of the endpoint's present incarnation, replaced when the endpoint moves, restarts or stops
+    /// serving. Connections and attempts hold a weak reference, by which they notice that their incarnation
+    /// has ended.
     incarnation: Arc<()>,
 }
 
-/// Where an attempt goes.
+/// The destination of an attempt.
 pub(super) struct ReachableEndpoint {
-    /// The endpoint's address.
+    /// The address at which the endpoint listens.
     pub(super) address: SocketAddr,
-    /// The endpoint's locality.
+    /// The endpoint's zone and cell.
     pub(super) locality: EndpointLocality,
-    /// The endpoint's present incarnation.
+    /// The token of the endpoint's present incarnation, which is dropped when the incarnation ends.
     pub(super) incarnation: Weak<()>,
 }
 
-/// What the log says of an endpoint.
+/// The values of an endpoint that are written to the log.
 pub(super) struct EndpointDescription<'a> {
-    /// The endpoint's name.
+    /// The endpoint's name in the endpoint list.
     pub(super) uid: &'a str,
-    /// Its last start in milliseconds of Unix time; 0 for long ago.
+    /// The time of the endpoint's last start, in milliseconds of Unix time; 0 if the endpoint started long
+    /// ago.
     pub(super) started_at_ms: f64,
 }
 
-/// All endpoints that the balancer knows.
+/// The endpoints that the balancer knows.
 pub(super) struct Endpoints {
     names: NameTable,
     ids: HashMap<String, EndpointId>,
@@ -50,27 +52,27 @@
         Endpoints { names, ids: HashMap::new(), by_id: BTreeMap::new(), next_id: 0 }
     }
 
-    /// Where an attempt to an endpoint goes; `None` if the endpoint has no address.
+    /// Returns the destination of an attempt; `None` if the endpoint is not known or has no address.
     pub(super) fn reachable(&self, endpoint: EndpointId) -> Option<ReachableEndpoint> {
         let listed = self.by_id.get(&endpoint)?;
         let incarnation = Arc::downgrade(&listed.incarnation);
         Some(ReachableEndpoint { address: listed.address?, locality: listed.locality, incarnation })
     }
 
-    /// What the log says of an endpoint.
+    /// Returns the values of an endpoint for the log; `None` if the endpoint is not known.
     pub(super) fn describe(&self, endpoint: EndpointId) -> Option<EndpointDescription<'_>> {
         let listed = self.by_id.get(&endpoint)?;
         Some(EndpointDescription { uid: &listed.uid, started_at_ms: listed.started_at_ms })
     }
 
-    /// Applies a list; returns the balancer's records of its endpoints. Connections to endpoints that have moved, restarted or
-    /// stopped serving are closed.
+    /// Applies a list, and returns the records of its endpoints for the balancer. Closes the connections to
+    /// endpoints that have moved, restarted or stopped serving.
     pub(super) fn apply(
         &mut self, kind: UpdateKind, list: EndpointList, upstream: &Upstream,
     ) -> Vec<EndpointRecord> {
         let mut records = Vec::with_capacity(list.endpoints.len());
         for update in list.endpoints {
-            let endpoint = self.id(&update.uid);
+            let endpoint = self.id_or_insert(&update.uid);
             let Some(listed) = self.by_id.get_mut(&endpoint) else { continue };
             let has_changed =
                 listed.address != update.address || listed.started_at_ms != update.started_at_ms;
@@ -102,25 +104,25 @@
         records
     }
 
-    /// Ends the incarnations of the endpoints that a complete list does not name.
+    /// Ends the incarnations of the endpoints that are missing in a complete list.
     fn end_unlisted(&mut self, records: &[EndpointRecord], upstream: &Upstream) {
-        let named: HashSet<EndpointId> = records.iter().map(|record| record.endpoint).collect();
+        let listed_ids: HashSet<EndpointId> = records.iter().map(|record| record.endpoint).collect();
         for (endpoint, listed) in &mut self.by_id {
-            if !named.contains(endpoint) {
+            if !listed_ids.contains(endpoint) {
                 listed.end_incarnation();
                 upstream.close_idle(*endpoint);
             }
         }
     }
 
-    /// Removes the endpoints that the balancer has removed, which bounds the table's size.
+    /// Removes the endpoints that the balancer no longer knows, which bounds the size of the table.
     pub(super) fn retain(&mut self, is_known: impl Fn(EndpointId) -> bool) {
         self.by_id.retain(|endpoint, _| is_known(*endpoint));
         self.ids.retain(|_, endpoint| is_known(*endpoint));
     }
 
-    /// An endpoint's id, a new one for a name that is not known.
-    fn id(&mut self, uid: &str) -> EndpointId {
+    /// Returns the id of the endpoint with the name `uid`, and adds the endpoint if the name is not known.
+    fn id_or_insert(&mut self, uid: &str) -> EndpointId {
         if let Some(id) = self.ids.get(uid) {
             return *id;
         }
--- a/gateway/src/event_loop/mod.rs
+++ b/gateway/src/event_loop/mod.rs
@@ -1,7 +1,8 @@
-//! The event loop: the one task that owns the [`Balancer`], with its clock, its timers and the open requests.
+//! The event loop: the one task that owns the [`Balancer`], the clock, the timers and the open requests.
 //!
-//! Other tasks reach it through its event queue. It feeds the balancer with events and carries out the balancer's
-//! actions; it makes no decisions of its own, other than whether an attempt is permitted ([`crate::permit`]).
+//! Other tasks send events to the event loop's queue. The event loop hands them to the balancer and performs
+//! the actions that the balancer returns. The only decision of the event loop itself is whether an attempt is
+//! permitted ([`crate::permit`]).
 mod attempts;
 mod endpoints;
 mod open_requests;
@@ -26,27 +27,28 @@
 use tokio::time::{sleep_until, Instant};
 use tracing::{debug, info, warn};
 
-/// A request's own deadline timer fires this much after its deadline: the runtime rounds timers up to the next
-/// millisecond, and an attempt that ends at the deadline is decided on first.
+/// The delay of a request's deadline timer beyond the deadline. The runtime rounds timers up to the next
+/// millisecond, and the balancer must first handle an attempt that ends at the deadline.
 const DEADLINE_TIMER_DELAY: Duration = Duration::from_millis(3);
-/// Bounds of a health check's timeout, in seconds.
+/// The smallest timeout of a health check, in seconds.
 const MIN_HEALTH_CHECK_TIMEOUT_S: f64 = 0.001;
+/// The largest timeout of a health check, in seconds.
 const MAX_HEALTH_CHECK_TIMEOUT_S: f64 = 60.0;
 
-/// The tasks and counters that an [`EventLoop`] works with.
+/// The channels, counters and measurements that an [`EventLoop`] shares with other tasks.
 #[derive(Debug)]
 pub struct Dependencies {
-    /// Sends attempts and health checks to endpoints.
+    /// The connections over which attempts and health checks are sent to endpoints.
     pub upstream: Upstream,
-    /// Asks for a watch of the endpoint list.
+    /// The channel on which the balancer's requests for a watch of the endpoint list are sent.
     pub watch_requests: mpsc::Sender<()>,
-    /// Counts violated invariants.
+    /// The counters of violated invariants.
     pub violations: Violations,
-    /// How far the event loop lags.
+    /// The measurement of the event loop's lag.
     pub lag: LoopLag,
 }
 
-/// The event loop's state.
+/// The event loop with its state.
 pub struct EventLoop {
     balancer: Balancer,
     classes: Vec<RequestClass>,
@@ -61,25 +63,25 @@
     timers: Timers,
     endpoints: Endpoints,
     upstream: Upstream,
-    /// The health checks in flight. A sender that is dropped cancels its check.
+    /// The health checks in flight. Dropping a sender cancels the health check.
     health_checks: BTreeMap<EndpointId, oneshot::Sender<Cancellation>>,
     health_check_timeout: Duration,
     watch_requests: mpsc::Sender<()>,
-    /// Events for the balancer that have not been handled yet.
+    /// The events that the balancer has not handled yet.
     pending_events: VecDeque<Event>,
 }
 
 impl EventLoop {
-    /// An event loop that starts from the cached endpoint list.
+    /// Returns an event loop that uses the cached endpoint list until it receives an update.
     ///
     /// # Errors
-    /// Fails on settings that the balancer cannot work with.
+    /// Fails if the balancer rejects the settings.
     pub fn new(
         deployment: Deployment, seed: u64, cached_list: EndpointList, dependencies: Dependencies,
     ) -> Result<Self, SettingsError> {
         let Dependencies { upstream, watch_requests, violations, lag } = dependencies;
         let clock = Clock::start();
-        // A load report is of no use once it is older than the shortest latency objective.
+        // A load report that is older than the shortest latency objective is useless.
         let objectives_ms = deployment.balancer.classes.iter().map(|class| class.latency_objective_ms);
         let health_check_timeout_s = (objectives_ms.fold(f64::INFINITY, f64::min) / 1000.0)
             .clamp(MIN_HEALTH_CHECK_TIMEOUT_S, MAX_HEALTH_CHECK_TIMEOUT_S);
@@ -136,10 +138,13 @@
             GatewayEvent::HealthCheckEnded { endpoint, outcome, report } => {
                 debug!(endpoint_id = endpoint.0, ?outcome, ?report, "health check ended");
                 self.health_checks.remove(&endpoint);
-                self.feed(Event::HealthCheckEnd { endpoint, outcome, report });
+                self.notify_balancer(Event::HealthCheckEnd { endpoint, outcome, report });
             }
             GatewayEvent::Discovery(DiscoveryEvent::WatchLost) => {
-                self.feed(Event::EndpointUpdate { kind: UpdateKind::WatchLost, endpoints: Vec::new() });
+                self.notify_balancer(Event::EndpointUpdate {
+                    kind: UpdateKind::WatchLost,
+                    endpoints: Vec::new(),
+                });
             }
             GatewayEvent::Discovery(DiscoveryEvent::Update(list)) => {
                 let kind = if list.is_complete { UpdateKind::Complete } else { UpdateKind::Delta };
@@ -152,31 +157,31 @@
         let now = Instant::now();
         while let Some(timer) = self.timers.pop_due(now) {
             match timer {
-                Timer::Balancer { token } => self.feed(Event::Timer { token }),
+                Timer::Balancer { token } => self.notify_balancer(Event::Timer { token }),
                 Timer::Deadline(id) => self.on_deadline(id),
             }
         }
     }
 
-    fn feed(&mut self, event: Event) {
+    fn notify_balancer(&mut self, event: Event) {
         self.pending_events.push_back(event);
         self.handle_pending_events();
     }
 
-    /// Hands the balancer the pending events and carries out its actions, including those on events that these
-    /// actions cause.
+    /// Hands the pending events to the balancer and performs the returned actions, until no events are
+    /// pending. An action may add further events.
     fn handle_pending_events(&mut self) {
         let mut actions = Vec::new();
         while let Some(event) = self.pending_events.pop_front() {
             self.now_ms = self.now_ms.max(self.clock.now());
             self.balancer.handle(self.now_ms, event, &mut actions);
             for action in actions.drain(..) {
-                self.carry_out(action);
+                self.perform(action);
             }
         }
     }
 
-    fn carry_out(&mut self, action: Action) {
+    fn perform(&mut self, action: Action) {
         match action {
             Action::Send { request, endpoint, give_up_at_ms } => {
                 self.send_attempt(request, endpoint, give_up_at_ms);
@@ -194,7 +199,7 @@
                 self.timers.set(self.clock.instant(at_ms), Timer::Balancer { token });
             }
             Action::HealthCheck { endpoint } => self.start_health_check(endpoint),
-            // A full channel means that a watch has been asked for already.
+            // If the channel is full, a watch has already been requested.
             Action::WatchEndpoints => drop(self.watch_requests.try_send(())),
             Action::Log(line) => info!("{line}"),
         }
@@ -203,19 +208,20 @@
     fn on_request(&mut self, request: Request) {
         let Request { id, class, tenant, deadline, raw, respond_to } = request;
         if self.requests.without_response_count() >= self.max_open_requests {
-            // The receiver is gone if the client's connection has just ended.
+            // The receiver has been dropped if the client connection has just been closed.
             let _ = respond_to.send(Response::Rejected { retry_after_ms: self.max_retry_after_ms });
             return;
         }
-        debug!(request_id = id.0, class, tenant, "request");
+        debug!(request_id = id.0, class, tenant, "request received");
         self.requests.insert(id, OpenRequest::new(class, deadline, raw, respond_to));
         self.timers.set(deadline + DEADLINE_TIMER_DELAY, Timer::Deadline(id));
         let time_left = deadline.saturating_duration_since(Instant::now());
         let client_timeout_ms = time_left.as_secs_f64() * 1000.0;
-        self.feed(Event::Request(Arrival { request: id, class, tenant, client_timeout_ms }));
+        self.notify_balancer(Event::Request(Arrival { request: id, class, tenant, client_timeout_ms }));
     }
 
-    /// Responds at once, since a client that has only ended its sending side still reads.
+    /// Closes the request of a client that has disconnected. Responds at once, because a client that has only
+    /// ended its sending side can still read the response.
     fn on_client_disconnected(&mut self, id: RequestId) {
         let Some(request) = self.requests.without_response(id) else { return };
         let response = match self.classes.get(request.class) {
@@ -224,12 +230,12 @@
             }
             _ => Response::Failed,
         };
-        debug!(request_id = id.0, "client disconnected; request closed");
+        debug!(request_id = id.0, "client disconnected; closing request");
         self.close_request(id, response);
     }
 
-    /// Responds to a request that the balancer has left without a response. That is a fault unless the event loop
-    /// stalled over the deadline, when nothing could be decided.
+    /// Responds to a request that the balancer has given no response by its deadline. That violates an
+    /// invariant, unless the event loop was stalled at the deadline and could decide nothing.
     fn on_deadline(&mut self, id: RequestId) {
         if self.requests.without_response(id).is_none() {
             return;
@@ -243,14 +249,15 @@
         self.close_request(id, Response::TimedOut);
     }
 
-    /// Ends a request whatever the balancer would do with it. The balancer sends no further attempts; those that it
-    /// may not cancel are stopped unless they have been sent completely.
+    /// Responds to a request and tells the balancer that its client has disconnected, so that the balancer
+    /// sends no further attempts. Attempts that the balancer does not cancel are cancelled here unless they
+    /// have been sent completely.
     fn close_request(&mut self, id: RequestId, response: Response) {
         self.requests.respond(id, response);
-        self.feed(Event::ClientDisconnected { request: id });
+        self.notify_balancer(Event::ClientDisconnected { request: id });
         let attempts = self.requests.get_mut(id).into_iter().flat_map(|request| &mut request.attempts);
         for cancel in attempts.filter_map(|attempt| attempt.cancel.take()) {
-            // The receiver is gone if the attempt has ended.
+            // The receiver has been dropped if the attempt has ended.
             let _ = cancel.send(Cancellation::IfUnsent);
         }
     }
@@ -258,9 +265,9 @@
     fn apply_list(&mut self, kind: UpdateKind, list: EndpointList) {
         let endpoints = self.endpoints.apply(kind, list, &self.upstream);
         if endpoints.is_empty() && kind != UpdateKind::Delta {
-            warn!("the endpoint list is empty");
+            warn!("endpoint list is empty");
         }
-        self.feed(Event::EndpointUpdate { kind, endpoints });
+        self.notify_balancer(Event::EndpointUpdate { kind, endpoints });
         let balancer = &self.balancer;
         self.endpoints.retain(|endpoint| balancer.knows(endpoint));
     }
--- a/gateway/src/event_loop/open_requests.rs
+++ b/gateway/src/event_loop/open_requests.rs
@@ -1,4 +1,4 @@
-//! Requests that have no response yet or still have attempts in flight.
+//! The open requests: those that have no response yet or still have attempts in flight.
 use crate::events::{RawRequest, Response};
 use crate::permit::{Denial, EndpointLocality, NextAttempt, PriorAttempt};
 use crate::upstream::Cancellation;
@@ -7,38 +7,39 @@
 use tokio::sync::oneshot;
 use tokio::time::Instant;
 
-/// A request with its attempts.
+/// An open request with its attempts.
 pub(super) struct OpenRequest {
-    /// The index of its class in the settings.
+    /// The index of the request's class in the settings.
     pub(super) class: usize,
-    /// When its client stops waiting.
+    /// The time at which the client stops waiting for the response.
     pub(super) deadline: Instant,
-    /// The bytes to forward.
+    /// The bytes to forward to an endpoint.
     pub(super) raw: RawRequest,
-    /// Takes its response; `None` once that has been given.
+    /// The channel to the client connection; `None` once the response has been sent on it.
     respond_to: Option<oneshot::Sender<Response>>,
-    /// Its attempts in the order sent.
+    /// The request's attempts in the order sent. The index of an attempt is its number.
     pub(super) attempts: Vec<SentAttempt>,
     in_flight_count: usize,
 }
 
-/// An attempt that the balancer has asked for.
+/// An attempt that the balancer has asked for, including one that was denied.
 pub(super) struct SentAttempt {
-    /// The endpoint that it went to.
+    /// The endpoint that the balancer picked.
     pub(super) endpoint: EndpointId,
-    /// When it was sent, by the gateway's clock.
+    /// The time at which the balancer asked for the attempt, in milliseconds of Unix time by the gateway's
+    /// clock.
     pub(super) sent_at_ms: f64,
-    /// What the request's next attempts have to know of it.
+    /// The state of the attempt that decides whether a later attempt of the request may begin.
     pub(super) prior: PriorAttempt,
-    /// Cancels it; `None` once used.
+    /// The channel that cancels the attempt; `None` once a cancellation has been sent.
     pub(super) cancel: Option<oneshot::Sender<Cancellation>>,
 }
 
-/// What the balancer has to know of an attempt's end, besides its outcome.
+/// The data about an ended attempt that the balancer needs besides the outcome.
 pub(super) struct EndedAttempt {
-    /// The endpoint that it went to.
+    /// The endpoint of the attempt.
     pub(super) endpoint: EndpointId,
-    /// Its request has its response.
+    /// Whether the request has been given a response.
     pub(super) has_response: bool,
 }
 
@@ -54,19 +55,20 @@
         self.respond_to.is_none()
     }
 
-    /// Whether any attempt may have run at an endpoint.
+    /// Returns whether any attempt of the request may have run at an endpoint.
     pub(super) fn may_have_run(&self) -> bool {
         self.attempts.iter().any(|attempt| attempt.prior.may_have_run)
     }
 
-    /// Until when endpoints drop a retry, if an attempt may have run and its class is idempotent with a key.
+    /// Returns the end of the deduplication window, until which endpoints drop a retry as a duplicate; `None`
+    /// unless an attempt may have run and the request's class is idempotent with a key.
     pub(super) fn deduplicated_until(&self) -> Option<Instant> {
         let first = self.attempts.iter().find(|attempt| attempt.prior.may_have_run);
         first.and_then(|first| first.prior.deduplicated_until)
     }
 
-    /// Whether the next attempt may begin now, at an endpoint in `locality`.
-    pub(super) fn permit(
+    /// Checks that the next attempt may begin now, at an endpoint in `locality`.
+    pub(super) fn check_permit(
         &self, class: &RequestClass, max_attempts: usize, give_up_at: Instant,
         locality: Option<EndpointLocality>,
     ) -> Result<(), Denial> {
@@ -82,7 +84,7 @@
         next.check(Instant::now())
     }
 
-    /// Adds an attempt; its number.
+    /// Adds an attempt in flight, and returns its number among the attempts of the request.
     pub(super) fn push_attempt(&mut self, attempt: SentAttempt) -> u32 {
         let number = self.attempts.len() as u32;
         self.attempts.push(attempt);
@@ -99,7 +101,7 @@
 }
 
 impl OpenRequests {
-    /// How many requests have no response yet.
+    /// Returns the number of requests that have no response yet.
     pub(super) fn without_response_count(&self) -> usize {
         self.without_response_count
     }
@@ -118,31 +120,31 @@
         self.by_id.get_mut(&id)
     }
 
-    /// A request without a response.
+    /// Returns a request if it has no response yet.
     pub(super) fn without_response(&self, id: RequestId) -> Option<&OpenRequest> {
         self.get(id).filter(|request| !request.has_response())
     }
 
-    /// An attempt by its request and number.
+    /// Returns an attempt by its request and its number among the attempts of that request.
     pub(super) fn attempt(&self, id: RequestId, number: u32) -> Option<&SentAttempt> {
         self.get(id)?.attempts.get(number as usize)
     }
 
-    /// An attempt by its request and number.
+    /// Returns an attempt by its request and its number among the attempts of that request.
     pub(super) fn attempt_mut(&mut self, id: RequestId, number: u32) -> Option<&mut SentAttempt> {
         self.get_mut(id)?.attempts.get_mut(number as usize)
     }
 
-    /// Gives a request's response, unless it has one.
+    /// Sends the response to a request's client connection, unless a response has been sent before.
     pub(super) fn respond(&mut self, id: RequestId, response: Response) {
         let Some(respond_to) = self.get_mut(id).and_then(|request| request.respond_to.take()) else { return };
         self.without_response_count -= 1;
-        // The receiver is gone if the client's connection has just ended.
+        // The receiver has been dropped if the client connection has just been closed.
         let _ = respond_to.send(response);
         self.remove_if_finished(id);
     }
 
-    /// Notes an attempt's end; `None` if it is not known.
+    /// Records the end of an attempt; returns `None` if the attempt is not known.
     pub(super) fn end_attempt(
         &mut self, id: RequestId, number: u32, outcome: Outcome,
     ) -> Option<EndedAttempt> {
--- a/gateway/src/events.rs
+++ b/gateway/src/events.rs
@@ -1,6 +1,7 @@
-//! The messages that the gateway's tasks send to the event loop, and the responses that come back.
+//! The events that the gateway's tasks send to the event loop, and the responses that the event loop sends
+//! back.
 //!
-//! Tasks depend on this module and not on one another.
+//! The tasks depend on this module instead of on one another.
 use crate::endpoint_list::EndpointList;
 use crate::http1::{CompleteMessage, StatusLine};
 use bytes::Bytes;
@@ -9,18 +10,19 @@
 use tokio::sync::{mpsc, oneshot};
 use tokio::time::Instant;
 
-/// How many events may wait for the event loop; beyond that their senders wait.
-pub const EVENT_QUEUE_COUNT: usize = 4096;
+/// The capacity of the event loop's queue, in events. A sender waits while the queue is full.
+pub const EVENT_QUEUE_CAPACITY: usize = 4096;
 
-/// Sends events to the event loop.
+/// The sending side of the event loop's queue.
 pub type EventSender = mpsc::Sender<GatewayEvent>;
 
-/// What the event loop reacts to, besides its timers.
+/// An event for the event loop.
 #[derive(Debug)]
 pub enum GatewayEvent {
-    /// A client's request has been read.
+    /// The listener has read a complete request.
     Request(Request),
-    /// A request's client has disconnected or ended its sending side; a response is still written at once.
+    /// The client of a request has disconnected or ended its sending side. The event loop responds at once,
+    /// because a client that has only ended its sending side can still read the response.
     ClientDisconnected(RequestId),
     /// An attempt has ended.
     AttemptEnded(AttemptResult),
@@ -28,84 +30,86 @@
     HealthCheckEnded {
         /// The endpoint that was checked.
         endpoint: EndpointId,
-        /// How the check ended.
+        /// The outcome of the health check.
         outcome: Outcome,
         /// The load report in the endpoint's response.
         report: LoadReport,
     },
-    /// Discovery has been heard, or lost.
+    /// Discovery has sent an endpoint list, or the watch has failed.
     Discovery(DiscoveryEvent),
 }
 
-/// What following the endpoint list yields.
+/// An event of the task that follows the endpoint list.
 #[derive(Clone, Debug, PartialEq)]
 pub enum DiscoveryEvent {
-    /// A complete list or a delta.
+    /// A complete list or a delta has been received.
     Update(EndpointList),
-    /// The watch has failed. The list stands, and the balancer decides when to watch again.
+    /// The watch has failed. The last list stays in use, and the balancer decides when to request another
+    /// watch.
     WatchLost,
 }
 
-/// A client's request, independent of the protocol that it came over.
+/// A client request, independent of the protocol of the client connection.
 #[derive(Debug)]
 pub struct Request {
-    /// Its number, used once.
+    /// The request's number, which no other request of this process has.
     pub id: RequestId,
-    /// The index of its class in the settings.
+    /// The index of the request's class in the settings.
     pub class: usize,
-    /// The index of its tenant in the settings.
+    /// The index of the request's tenant in the settings; `None` for a request without a tenant.
     pub tenant: Option<usize>,
-    /// When its client stops waiting.
+    /// The time at which the client stops waiting for the response.
     pub deadline: Instant,
-    /// The bytes to forward.
+    /// The bytes to forward to an endpoint.
     pub raw: RawRequest,
-    /// Takes the request's one response.
+    /// The channel on which the client connection waits for the one response.
     pub respond_to: oneshot::Sender<Response>,
 }
 
-/// A request to forward: opaque bytes, completed with the time left when an attempt is sent.
+/// The bytes of a request to forward. The time left, in milliseconds, is inserted when an attempt is sent.
 #[derive(Clone, Debug, Default)]
 pub struct RawRequest {
-    /// The head up to the value of the time left.
+    /// The part of the head before the value of the time left.
     pub before_time_left: Bytes,
-    /// The head behind that value.
+    /// The part of the head after the value of the time left.
     pub after_time_left: Bytes,
-    /// The body as the client sent it, without its framing.
+    /// The body as sent by the client, without the framing of the client connection.
     pub body: Bytes,
 }
 
-/// The one final response to a request.
+/// The final response to a request.
 #[derive(Debug)]
 pub enum Response {
     /// An endpoint has served the request.
     Served(CompleteMessage<StatusLine>),
-    /// Rejected: the client may safely retry.
+    /// The request was rejected, and the client may safely retry it.
     Rejected {
-        /// The earliest time for a retry, in milliseconds from now; 0 for no advice.
+        /// The delay after which the client may retry, in milliseconds; 0 for a response without
+        /// `Retry-After`.
         retry_after_ms: f64,
     },
-    /// Failed, with no promise about the request's effect.
+    /// The request failed, and may have run at an endpoint.
     Failed,
-    /// The deadline passed before the balancer decided.
+    /// The request's deadline passed before the balancer gave a response.
     TimedOut,
 }
 
-/// How an attempt ended. Each attempt that was sent has exactly one result.
+/// The result of an attempt. Each attempt that was handed to `upstream` has exactly one result.
 #[derive(Debug)]
 pub struct AttemptResult {
-    /// The request.
+    /// The request of the attempt.
     pub request: RequestId,
-    /// The attempt's number among the request's, from 0.
+    /// The attempt's number among the attempts of the request, from 0.
     pub attempt: u32,
-    /// How it ended.
+    /// The outcome of the attempt.
     pub outcome: Outcome,
-    /// When it ended.
+    /// The time at which the attempt ended.
     pub ended_at: Instant,
-    /// The load report in the endpoint's response.
+    /// The load report in the endpoint's response, empty if there is none.
     pub report: LoadReport,
-    /// The endpoint's response, if it is the one that the client gets.
+    /// The endpoint's response, if the outcome is `Served`.
     pub response: Option<CompleteMessage<StatusLine>>,
 }
 
-/// Receives discovery's address, which changes when the configuration is reread.
+/// The receiver of discovery's address, which may change when the configuration is reread.
 pub type DiscoveryAddressReceiver = tokio::sync::watch::Receiver<SocketAddr>;
--- a/gateway/src/http1/chunked.rs
+++ b/gateway/src/http1/chunked.rs
@@ -1,12 +1,12 @@
-//! Decoding of chunked bodies.
-use super::{ParseError, MAX_FIELD_COUNT};
+//! Decoding of bodies with the chunked transfer coding.
+use super::{ParseError, MAX_FIELDS};
 use bytes::{Bytes, BytesMut};
 use std::mem;
 
-/// The longest chunk size line, extensions included, and the longest trailer field line.
+/// The maximum length of a chunk size line with its extensions, and likewise of a trailer field line.
 const MAX_LINE_BYTES: usize = 256;
 
-/// What the decoder reads next.
+/// The part of a chunked body that the decoder expects next.
 #[derive(Clone, Copy, Debug)]
 enum Expected {
     SizeLine,
@@ -15,7 +15,7 @@
     Trailer { field_count: usize },
 }
 
-/// A chunked body, as far as it has been received.
+/// The decoder of a chunked body, with the data decoded so far.
 #[derive(Debug)]
 pub(super) struct ChunkedBody {
     expected: Expected,
@@ -27,7 +27,7 @@
         ChunkedBody { expected: Expected::SizeLine, data: BytesMut::new() }
     }
 
-    /// Takes what has been received of the body off `buffer`; the decoded body once it is complete.
+    /// Removes the received part of the body from `buffer`. Returns the decoded body once it is complete.
     pub(super) fn decode(
         &mut self, buffer: &mut BytesMut, max_body_bytes: usize,
     ) -> Result<Option<Bytes>, ParseError> {
@@ -45,15 +45,15 @@
                 Expected::Trailer { .. } if line.is_empty() => {
                     return Ok(Some(mem::take(&mut self.data).freeze()));
                 }
-                Expected::Trailer { field_count } if field_count < MAX_FIELD_COUNT => {
+                Expected::Trailer { field_count } if field_count < MAX_FIELDS => {
                     Expected::Trailer { field_count: field_count + 1 }
                 }
-                _ => return Err(ParseError::Length),
+                _ => return Err(ParseError::InvalidLength),
             };
         }
     }
 
-    /// Takes a chunk's data as far as it has been received; true once the chunk is complete.
+    /// Removes the received part of a chunk's data from `buffer`. Returns true once the chunk is complete.
     fn take_data(&mut self, buffer: &mut BytesMut, remaining_bytes: usize) -> bool {
         let part = buffer.split_to(remaining_bytes.min(buffer.len()));
         self.data.extend_from_slice(&part);
@@ -77,26 +77,29 @@
     }
 }
 
-/// Takes a line off the buffer, without its CRLF; `None` while it is incomplete.
+/// Removes a line from the buffer and returns the line without its CRLF. Returns `None` while the line is
+/// incomplete.
 fn take_line(buffer: &mut BytesMut) -> Result<Option<BytesMut>, ParseError> {
-    let Some(at) = buffer.iter().take(MAX_LINE_BYTES).position(|b| *b == b'\n') else {
-        return if buffer.len() < MAX_LINE_BYTES { Ok(None) } else { Err(ParseError::Length) };
+    let Some(newline_at) = buffer.iter().take(MAX_LINE_BYTES).position(|b| *b == b'\n') else {
+        return if buffer.len() < MAX_LINE_BYTES { Ok(None) } else { Err(ParseError::InvalidLength) };
     };
-    let mut line = buffer.split_to(at + 1);
-    // Implementations differ on whether a lone LF ends a line, which would permit request smuggling.
+    let mut line = buffer.split_to(newline_at + 1);
+    // A lone LF is rejected, because implementations differ on whether it ends a line, which permits request
+    // smuggling.
     if !line.ends_with(b"\r\n") {
-        return Err(ParseError::Length);
+        return Err(ParseError::InvalidLength);
     }
-    line.truncate(at - 1);
+    line.truncate(newline_at - 1);
     Ok(Some(line))
 }
 
-/// The size of a chunk in bytes, from its size line.
+/// Parses a chunk's size in bytes from the size line. A size that does not fit in a `usize` counts as
+/// `usize::MAX`.
 fn parse_size(line: &[u8]) -> Result<usize, ParseError> {
     let digits = line.split(|b| *b == b';').next().unwrap_or_default().trim_ascii_end();
-    let text = std::str::from_utf8(digits).map_err(|_| ParseError::Length)?;
+    let text = std::str::from_utf8(digits).map_err(|_| ParseError::InvalidLength)?;
     if text.is_empty() || !text.bytes().all(|b| b.is_ascii_hexdigit()) {
-        return Err(ParseError::Length);
+        return Err(ParseError::InvalidLength);
     }
     Ok(usize::from_str_radix(text, 16).unwrap_or(usize::MAX))
 }
--- a/gateway/src/http1/mod.rs
+++ b/gateway/src/http1/mod.rs
@@ -1,7 +1,7 @@
-//! HTTP/1.1 messages: parsing and framing of bytes, without sockets or a clock.
+//! Parsing and framing of HTTP/1.1 messages, without sockets or a clock.
 //!
-//! A [`Reader`] is fed a connection's bytes, cut anywhere, and yields complete messages. Header fields and bodies are
-//! slices of the received bytes.
+//! A [`Reader`] takes the bytes of a connection in pieces of any size and yields complete messages. Header
+//! fields and bodies are slices of the received bytes, except for chunked bodies, which are copied.
 mod chunked;
 mod fields;
 mod head;
@@ -13,37 +13,38 @@
 
 use thiserror::Error;
 
-/// The largest start line with its header fields.
+/// The maximum size of a head, which is the start line and the header fields.
 pub const MAX_HEAD_BYTES: usize = 16 * 1024;
-/// The largest body that the platform's protocol permits.
+/// The maximum size of a body that the platform's protocol permits.
 pub const MAX_BODY_BYTES: usize = 64 * 1024;
-/// The most header fields, and the most trailer fields, in a message.
-const MAX_FIELD_COUNT: usize = 64;
+/// The maximum number of header fields, and likewise of trailer fields, in a message.
+const MAX_FIELDS: usize = 64;
 
-/// Why bytes are not an acceptable message.
+/// The reason why received bytes are not an acceptable message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum ParseError {
-    /// The start line or a header field is malformed.
+    /// The start line or a header field is malformed, or too many interim responses precede the final
+    /// response.
     #[error("malformed head")]
-    Head,
-    /// The body's length is ambiguous or malformed.
-    #[error("bad length")]
-    Length,
+    MalformedHead,
+    /// The body's framing is malformed, or the fields that state the body's length contradict each other.
+    #[error("malformed or ambiguous body length")]
+    InvalidLength,
     /// The head exceeds [`MAX_HEAD_BYTES`] or has too many fields.
-    #[error("the head is too large")]
+    #[error("head exceeds {MAX_HEAD_BYTES} bytes or {MAX_FIELDS} fields")]
     HeadTooLarge,
-    /// The body exceeds the reader's limit.
-    #[error("the body is too large")]
+    /// The body exceeds the size limit of the [`Reader`].
+    #[error("body exceeds the size limit")]
     BodyTooLarge,
 }
 
-/// How the end of a body is found.
+/// The rule by which the end of a body is found.
 #[derive(Debug)]
 enum Framing {
-    /// After so many bytes.
+    /// The body has a known length, in bytes.
     Length(usize),
-    /// By its chunks.
+    /// The body is chunked and ends with the last chunk and the trailer fields.
     Chunked(chunked::ChunkedBody),
-    /// At the end of the connection.
+    /// The body ends when the peer closes the connection.
     UntilClose,
 }
--- a/gateway/src/invariants.rs
+++ b/gateway/src/invariants.rs
@@ -1,33 +1,36 @@
-//! Invariants that every release build checks as it runs. A violation is counted and logged with its ids, and ends nothing.
-//! Each check compares values that its caller has at hand.
+//! Invariants that release builds check at run time. A violation is counted and logged with the request's id,
+//! and the gateway continues. A check only compares values that the caller has at hand, so that it costs
+//! little.
 use std::fmt;
 use std::sync::atomic::{AtomicU64, Ordering::Relaxed};
 use std::sync::Arc;
 use tracing::error;
 
-/// An invariant of the gateway.
+/// An invariant of the gateway. The names of the variants are written to the log.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Invariant {
-    /// No attempt begins after its request has its response or its client has disconnected.
+    /// No attempt begins after its request has been given a response or the client has disconnected.
     NoAttemptAfterResponse,
-    /// No attempt begins while another of the same request is in flight.
+    /// No attempt begins while another attempt of the same request is in flight.
     OneAttemptInFlight,
     /// A request has at most the number of attempts that the settings allow.
     AttemptLimit,
     /// A non-idempotent request is not retried once it may have run.
     NonIdempotentRunsOnce,
-    /// A request that is idempotent with a key and may have run is retried only where endpoints drop duplicates of it.
+    /// A request that is idempotent with a key and may have run is retried only at endpoints that share
+    /// deduplication with the endpoint of the first such attempt.
     DeduplicationScope,
-    /// The time left that an endpoint is sent exceeds what is left to the client by the allowed slack at most.
+    /// The time left that is sent to an endpoint exceeds the client's remaining time by no more than the
+    /// allowed slack.
     TimeLeftForwarded,
-    /// Every request has its response by its deadline.
+    /// Every request is given a response by its deadline.
     DecidedInTime,
-    /// Only attempts that were sent end.
+    /// Every reported end of an attempt belongs to an attempt that was sent.
     AttemptKnown,
 }
 
 impl Invariant {
-    /// All of them, in the order of their counts.
+    /// All invariants, in the order of their counters in [`Violations`].
     pub const ALL: [Invariant; 8] = [
         Invariant::NoAttemptAfterResponse,
         Invariant::OneAttemptInFlight,
@@ -40,24 +43,24 @@
     ];
 }
 
-/// Counts of violations, shared by the gateway's tasks.
+/// Counters of violated invariants, shared by the gateway's tasks.
 #[derive(Clone, Debug, Default)]
 pub struct Violations(Arc<[AtomicU64; Invariant::ALL.len()]>);
 
 impl Violations {
-    /// Counts and logs a violation that concerns request `request_id`.
+    /// Counts and logs a violation by the request with the id `request_id`.
     #[cold]
     pub fn record(&self, invariant: Invariant, request_id: u64, detail: fmt::Arguments<'_>) {
         let count = self.0[invariant as usize].fetch_add(1, Relaxed) + 1;
         error!(?invariant, request_id, count, "invariant violated: {detail}");
     }
 
-    /// How often an invariant has been violated.
+    /// Returns how often `invariant` has been violated.
     pub fn count(&self, invariant: Invariant) -> u64 {
         self.0[invariant as usize].load(Relaxed)
     }
 
-    /// How often any has been.
+    /// Returns the number of violations of all invariants.
     pub fn total(&self) -> u64 {
         self.0.iter().map(|count| count.load(Relaxed)).sum()
     }
--- a/gateway/src/lib.rs
+++ b/gateway/src/lib.rs
@@ -1,12 +1,14 @@
-//! The gateway on sockets: it accepts clients' requests, has the balancer decide, and forwards them to servers.
+//! The gateway on sockets: accepts client requests, lets the balancer choose endpoints, and forwards the
+//! requests.
 //!
-//! A request passes from `listener` as an event ([`events`]) to `event_loop`, the one task that owns the
-//! [`Balancer`](ternstack_balancer::Balancer); from there as attempts to [`upstream`]; and back as a response ([`response`]).
-//! [`discovery`] or [`control`] supplies the endpoint list ([`endpoint_list`]), `permit` decides whether an attempt may
-//! begin, and [`budget`] which connections may be open. `protocol` holds the platform's words on the wire, [`http1`] the
-//! parsing and framing of messages. [`program`] runs it all as a process.
+//! The `listener` sends each request as an event ([`events`]) to the `event_loop`, the one task that owns the
+//! [`Balancer`](ternstack_balancer::Balancer). The event loop sends attempts through [`upstream`] and gives
+//! the response back to the listener, which encodes it ([`response`]). [`discovery`] or [`control`] supplies
+//! the endpoint list ([`endpoint_list`]), `permit` decides whether an attempt may begin, and [`budget`]
+//! limits the open connections. `protocol` holds the platform's header names and paths, and [`http1`] parses
+//! and frames HTTP/1.1 messages. [`program`] runs the gateway as a process.
 //!
-//! Only modules that tests or other packages use are public.
+//! A module is public only if tests or other packages use it.
 #![forbid(unsafe_code)]
 #![deny(missing_docs, clippy::too_many_lines, clippy::cognitive_complexity)]
 
--- a/gateway/src/listener/accept.rs
+++ b/gateway/src/listener/accept.rs
@@ -1,8 +1,8 @@
-//! The accept loop, and the last accepts of a graceful shutdown.
+//! The accept loop, and the accepts at the end of a graceful shutdown.
 use super::connection::ClientConnection;
 use super::{ClientSlot, ConnectionGuard, Frontend, ShutdownPhase};
 use crate::descriptors::AdmittedClient;
-use crate::sockets::{concerns_one_connection, lacks_descriptors, with_nodelay};
+use crate::sockets::{is_connection_error, lacks_descriptors, with_nodelay};
 use std::io;
 use std::sync::Arc;
 use std::time::Duration;
@@ -11,37 +11,39 @@
 use tokio::time::{sleep, Instant};
 use tracing::{debug, warn};
 
-/// The pause after a failed accept.
+/// The delay before a failed accept is retried.
 const RETRY_DELAY: Duration = Duration::from_millis(10);
-/// Failed accepts are logged at most this often.
+/// The shortest interval between two warnings about failed accepts.
 const WARNING_INTERVAL: Duration = Duration::from_secs(5);
-/// The time for which failed accepts of a graceful shutdown are retried.
+/// How long failed accepts are retried at the end of a graceful shutdown.
 const FINAL_ACCEPT_TIMEOUT: Duration = Duration::from_millis(200);
 
 impl Frontend {
-    /// Accepts clients until [`ShutdownPhase::Rejecting`], and then those whose connections are up by that time: closing
-    /// the listener would reset them together with the requests that they brought.
+    /// Accepts client connections until [`ShutdownPhase::Rejecting`], and then the connections that wait in
+    /// the kernel at that time, because closing the listener would reset those connections together with
+    /// their requests.
     pub async fn accept(self: Arc<Self>, listener: TcpListener) {
         let mut phase = self.phase.clone();
         tokio::select! {
-            () = self.accept_all(&listener) => {}
-            // The sender lives as long as the program.
+            () = self.accept_loop(&listener) => {}
+            // Waiting fails only if the sender is dropped, which does not happen while the gateway runs.
             _ = phase.wait_for(|phase| *phase >= ShutdownPhase::Rejecting) => {}
         }
         match listener.into_std() {
-            Ok(listener) => self.accept_waiting(&listener).await,
-            Err(e) => warn!("cannot accept the last connections: {e}"),
+            Ok(listener) => self.accept_backlog(&listener).await,
+            Err(e) => warn!(error = %e, "cannot accept the last connections"),
         }
     }
 
-    async fn accept_all(self: &Arc<Self>, listener: &TcpListener) {
+    async fn accept_loop(self: &Arc<Self>, listener: &TcpListener) {
         let mut warned_at: Option<Instant> = None;
-        // Since when connections may have been waiting: since the last moment at which none was.
+        // The time since which connections may have been waiting in the kernel, which is the last time when
+        // none waited.
         let mut waiting_since: Option<Instant> = None;
         loop {
-            // Without a free descriptor a few clients more are accepted in order to be rejected with retry advice.
-            // Beyond these, connections wait in the listener's own queue.
-            let Ok(spare) = self.spare.clone().acquire_owned().await else { return };
+            // Without a free descriptor, up to `MAX_SPARE_CONNECTIONS` clients are accepted and rejected with
+            // retry advice. Further connections wait in the kernel.
+            let Ok(spare) = self.spare_slots.clone().acquire_owned().await else { return };
             let accepted = tokio::select! {
                 biased;
                 accepted = listener.accept() => accepted,
@@ -54,16 +56,19 @@
             match with_nodelay(accepted.map(|(stream, _)| stream)) {
                 Ok(stream) => {
                     if self.admit(stream, spare, arrived_at) {
-                        // The evicted connection ends before the next is accepted, which keeps within the budget.
+                        // The evicted connection is closed before the next one is accepted, so that the
+                        // budget holds.
                         tokio::task::yield_now().await;
                     }
                 }
-                // Nothing is wrong with the listener.
-                Err(e) if concerns_one_connection(&e) => debug!("cannot accept a connection: {e}"),
-                // The pause prevents a busy loop while this machine lacks a resource.
+                // The listener itself still works.
+                Err(e) if is_connection_error(&e) => {
+                    debug!(error = %e, "connection failed before its accept")
+                }
+                // The delay avoids a busy loop while this machine lacks a resource.
                 Err(e) => {
                     if warned_at.is_none_or(|at| at.elapsed() >= WARNING_INTERVAL) {
-                        warn!("cannot accept: {e}; trying again");
+                        warn!(error = %e, "cannot accept connections; retrying");
                         warned_at = Some(Instant::now());
                     }
                     if lacks_descriptors(&e) {
@@ -75,31 +80,31 @@
         }
     }
 
-    /// Accepts the connections that wait as the listener is about to be closed.
-    async fn accept_waiting(self: &Arc<Self>, listener: &std::net::TcpListener) {
+    /// Accepts the connections that wait in the kernel before the listener is closed.
+    async fn accept_backlog(self: &Arc<Self>, listener: &std::net::TcpListener) {
         let retry_until = Instant::now() + FINAL_ACCEPT_TIMEOUT;
         loop {
             let stream = match listener.accept() {
                 Ok((stream, _)) => stream,
-                Err(e) if concerns_one_connection(&e) && Instant::now() < retry_until => continue,
+                Err(e) if is_connection_error(&e) && Instant::now() < retry_until => continue,
                 Err(e) if e.kind() != io::ErrorKind::WouldBlock && Instant::now() < retry_until => {
-                    warn!("cannot accept: {e}; trying again");
+                    warn!(error = %e, "cannot accept connections; retrying");
                     sleep(RETRY_DELAY).await;
                     continue;
                 }
                 Err(_) => return,
             };
             let stream = stream.set_nonblocking(true).and_then(|()| TcpStream::from_std(stream));
-            match (with_nodelay(stream), self.spare.clone().try_acquire_owned()) {
+            match (with_nodelay(stream), self.spare_slots.clone().try_acquire_owned()) {
                 (Ok(stream), Ok(spare)) => drop(self.admit(stream, spare, Instant::now())),
-                (Err(e), _) => debug!("cannot accept a connection: {e}"),
-                (_, Err(_)) => warn!("too many clients at shutdown; one gets no response"),
+                (Err(e), _) => debug!(error = %e, "cannot use an accepted connection"),
+                (_, Err(_)) => warn!("too many clients at shutdown; closing a connection without a response"),
             }
         }
     }
 
-    /// Serves a connection that arrived at `arrived_at` or later. True if another connection was evicted for it and has
-    /// yet to end.
+    /// Spawns the task that serves a connection, which arrived at `arrived_at` or later. Returns true if
+    /// another connection was evicted for the new one and is still being closed.
     fn admit(self: &Arc<Self>, stream: TcpStream, spare: OwnedSemaphorePermit, arrived_at: Instant) -> bool {
         let (slot, has_evicted) = match self.descriptors.admit() {
             Some(AdmittedClient { descriptor, evicted, has_evicted }) => {
@@ -107,12 +112,12 @@
             }
             None => (ClientSlot::Spare { _permit: spare }, false),
         };
-        // Counted before its task first runs, so that a shutdown waits for it.
+        // The connection is counted before its task first runs, so that a shutdown waits for the connection.
         let guard = ConnectionGuard::new(self.clone());
         tokio::spawn(async move {
             let connection = ClientConnection::new(&guard.0, stream, slot, arrived_at);
             if let Err(e) = connection.serve().await {
-                debug!("client connection failed: {e}");
+                debug!(error = %e, "client connection failed");
             }
         });
         has_evicted
--- a/gateway/src/listener/client.rs
+++ b/gateway/src/listener/client.rs
@@ -1,4 +1,4 @@
-//! Reading from a client: its next request, and its disconnect while a request is open.
+//! Reading from a client connection: the next request, and a disconnect while a request is open.
 use super::close::DISCARD_READ_BYTES;
 use crate::http1::{CompleteMessage, Fields, ParseError, Reader, RequestLine};
 use crate::loop_lag::LoopLag;
@@ -11,28 +11,30 @@
 use tokio::net::TcpStream;
 use tokio::time::{sleep, Instant};
 
-/// How much is buffered of what a client sends while its request is open. What exceeds it is discarded, so that a disconnect
-/// is noticed, and the connection ends with the response.
+/// The maximum number of bytes that are buffered while a client's request is open. Further bytes are
+/// discarded, so that a disconnect is still noticed, and the connection is closed after the response.
 pub(super) const MAX_READ_AHEAD_BYTES: usize = 4 * 1024;
-/// A client that sends more than this beyond [`MAX_READ_AHEAD_BYTES`] counts as disconnected.
+/// The maximum number of bytes that are discarded while a request is open. A client that sends more counts as
+/// disconnected.
 const MAX_DISCARDED_BYTES: usize = 1 << 20;
-/// The pause after each discarded piece, so that a flooding client does not starve the others.
+/// The pause after each read of discarded bytes, so that a flooding client does not starve other clients.
 const DISCARD_PAUSE: Duration = Duration::from_millis(1);
 
-/// Why no request could be read.
+/// The reason why no request could be read.
 #[derive(Debug, Error)]
 pub(super) enum ReadError {
-    /// The connection failed.
+    /// The client connection is broken.
     #[error(transparent)]
     Io(#[from] io::Error),
-    /// What the client sent is not an acceptable request.
+    /// The client's bytes are not an acceptable request.
     #[error(transparent)]
     Parse(#[from] ParseError),
 }
 
-/// A complete request, and when it had arrived at the latest.
+/// A complete request with the time of its arrival.
 pub(super) struct ArrivedRequest {
     pub(super) message: CompleteMessage<RequestLine>,
+    /// The earliest time at which the complete request may have arrived.
     pub(super) arrived_at: Instant,
 }
 
@@ -40,16 +42,18 @@
 pub(super) struct ClientReader<'a> {
     pub(super) stream: &'a TcpStream,
     pub(super) reader: &'a mut Reader<RequestLine>,
-    /// Since when bytes behind the last request have been waiting.
+    /// The time since which bytes after the last request may have been waiting; `None` if none have been
+    /// received.
     pub(super) waiting_since: &'a mut Option<Instant>,
     pub(super) lag: &'a LoopLag,
 }
 
 impl ClientReader<'_> {
-    /// Reads the next request; `None` if the client closes the connection before it is complete.
+    /// Reads the next request. Returns `None` if the client closes the connection before the request is
+    /// complete.
     pub(super) async fn next_request(&mut self) -> Result<Option<ArrivedRequest>, ReadError> {
         let mut has_continued = false;
-        // Applies as long as no further read is needed.
+        // The waiting time applies only if the request is complete without a further read.
         let mut arrived_at = self.waiting_since.take();
         loop {
             if let Some(message) = self.reader.next(false)? {
@@ -68,7 +72,8 @@
         }
     }
 
-    /// Waits until the client disconnects: it closes the connection or its sending side, or sends far too much.
+    /// Waits until the client disconnects, which means that it closes the connection or its sending side, or
+    /// sends more than [`MAX_DISCARDED_BYTES`] beyond [`MAX_READ_AHEAD_BYTES`].
     pub(super) async fn disconnected(&mut self) {
         while self.reader.buffer().len() < MAX_READ_AHEAD_BYTES {
             match sockets::read(self.stream, self.reader.buffer()).await {
--- a/gateway/src/listener/close.rs
+++ b/gateway/src/listener/close.rs
@@ -1,4 +1,5 @@
-//! Closing of clients' connections without a reset that would destroy a response on its way.
+//! Closing of client connections without a TCP reset, which could destroy a response before the client has
+//! read it.
 use crate::sockets;
 use bytes::BytesMut;
 use std::io;
@@ -7,22 +8,25 @@
 use tokio::net::TcpStream;
 use tokio::time::{sleep, timeout_at, Instant};
 
-/// How long a client is read from after the last response.
+/// How long the gateway still reads from a client after the last response.
 const LINGER_TIMEOUT: Duration = Duration::from_millis(500);
-/// How many bytes are read, and discarded, at once.
+/// The size of the buffer for one read of discarded bytes.
 pub(super) const DISCARD_READ_BYTES: usize = 64 * 1024;
-/// A read of this many bytes is followed by [`LINGER_PAUSE`], so that a flooding client does not starve the others.
+/// A read of at least this size is followed by [`LINGER_PAUSE`], so that a flooding client does not starve
+/// other clients.
 const LARGE_READ_BYTES: usize = DISCARD_READ_BYTES / 4;
-/// The pause after a large read.
+/// The pause after a read of at least [`LARGE_READ_BYTES`].
 const LINGER_PAUSE: Duration = Duration::from_millis(5);
 
-/// Ends the sending side, and discards what the client still sends until it closes: closing with unread bytes would reset
-/// the connection, and the client would lose the response.
+/// Ends the sending side of a connection, and reads and discards bytes until the client closes the connection
+/// or [`LINGER_TIMEOUT`] has passed. Closing a connection with unread bytes would reset it, and the client
+/// would lose the response.
 pub(super) async fn linger(stream: &mut TcpStream) -> io::Result<()> {
     stream.shutdown().await?;
     let linger_until = Instant::now() + LINGER_TIMEOUT;
     let mut bytes = BytesMut::new();
-    // The loop looks at the time itself, as a timeout does not fire while there always are bytes to read.
+    // The loop checks the time itself, because `timeout_at` does not fire while bytes are always ready to be
+    // read.
     while Instant::now() < linger_until {
         bytes.clear();
         bytes.reserve(DISCARD_READ_BYTES);
--- a/gateway/src/listener/connection.rs
+++ b/gateway/src/listener/connection.rs
@@ -1,4 +1,5 @@
-//! One client's connection: waits for requests, responds to each, and ends.
+//! The task of one client connection: waits for requests, responds to each of them, and closes the
+//! connection.
 use super::client::{ArrivedRequest, ClientReader, ReadError, MAX_READ_AHEAD_BYTES};
 use super::close::linger;
 use super::request::InvalidRequest;
@@ -17,22 +18,24 @@
 use tokio::time::{sleep, sleep_until, timeout, timeout_at, Instant};
 use tracing::debug;
 
-/// The time from a request's first byte until it must be complete; for a connection's first request, from the accept. The
-/// requirement is that the client of an incomplete request has an error response within 3 s.
+/// The time within which a request must be complete, counted from its first byte, or from the accept for the
+/// connection's first request. The requirement is that the client of an incomplete request gets an error
+/// response within 3 s.
 const REQUEST_READ_TIMEOUT: Duration = Duration::from_millis(2500);
-/// A response must be written within this.
+/// The time within which a response must be written completely.
 const RESPONSE_WRITE_TIMEOUT: Duration = Duration::from_secs(5);
-/// How long a connection may be idle. Clients that send one request may keep their connection for good, and hold
-/// descriptors that others need.
+/// How long a connection may be idle. The limit frees the descriptors of clients that send one request and
+/// never close their connection.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(2);
-/// How long a connection accepted in [`ShutdownPhase::Closing`] may take to begin its request.
+/// How long a connection may take from its accept to the first byte of a request, from
+/// [`ShutdownPhase::Closing`] on.
 const CLOSING_FIRST_BYTE_TIMEOUT: Duration = Duration::from_millis(100);
-/// Bytes read so soon after the accept may have arrived together with the connection.
-const ARRIVED_WITH_CONNECTION: Duration = Duration::from_millis(20);
+/// The time after the accept within which bytes that are read may have arrived together with the connection.
+const SAME_ARRIVAL_WINDOW: Duration = Duration::from_millis(20);
 
-/// What ends the wait for a request's first byte.
+/// The event that ends the wait for a request's first byte.
 enum IdleEnd {
-    /// Bytes have arrived.
+    /// Bytes of a request have arrived.
     Bytes,
     /// The client has closed the connection.
     ClientClosed,
@@ -40,7 +43,7 @@
     Expired,
 }
 
-/// What comes of reading a request.
+/// The outcome of reading a request.
 enum ReadOutcome {
     Request(ArrivedRequest),
     ClientClosed,
@@ -67,22 +70,23 @@
     }
 }
 
-/// A response ready to be written.
+/// A response that is ready to be written.
 struct FinalResponse {
     response: EncodedResponse,
-    /// The connection stays open after it.
+    /// Whether the connection stays open after the response.
     keep_alive: bool,
 }
 
-/// A client's connection while it is served.
+/// A client connection while it is served.
 pub(super) struct ClientConnection<'a> {
     frontend: &'a Frontend,
     stream: TcpStream,
     slot: ClientSlot,
     reader: Reader<RequestLine>,
-    /// A request that was read behind another one before the connection was to end.
+    /// A complete request that the client sent before the response to the preceding one, on a connection that
+    /// must close.
     pipelined: Option<CompleteMessage<RequestLine>>,
-    /// Since when bytes that have not been parsed may have been waiting.
+    /// The time since which bytes that have not been parsed may have been waiting.
     waiting_since: Option<Instant>,
     phase: watch::Receiver<ShutdownPhase>,
     accepted_at: Instant,
@@ -90,7 +94,7 @@
 }
 
 impl<'a> ClientConnection<'a> {
-    /// A connection whose first bytes may have been waiting since `arrived_at`.
+    /// Returns a connection whose first bytes may have been waiting since `arrived_at`.
     pub(super) fn new(
         frontend: &'a Frontend, stream: TcpStream, slot: ClientSlot, arrived_at: Instant,
     ) -> Self {
@@ -107,11 +111,11 @@
         }
     }
 
-    /// Serves requests until one side ends the connection.
+    /// Serves requests until the client or the gateway closes the connection.
     pub(super) async fn serve(mut self) -> io::Result<()> {
         loop {
             if self.reader.is_idle() && self.pipelined.is_none() {
-                match self.first_byte().await? {
+                match self.wait_for_first_byte().await? {
                     IdleEnd::Bytes => {}
                     IdleEnd::ClientClosed => return Ok(()),
                     IdleEnd::Expired => return self.close_idle().await,
@@ -142,13 +146,13 @@
     }
 
     /// Waits for the next request's first byte.
-    async fn first_byte(&mut self) -> io::Result<IdleEnd> {
+    async fn wait_for_first_byte(&mut self) -> io::Result<IdleEnd> {
         let (phase, accepted_at) = (&mut self.phase, self.accepted_at);
         let read = tokio::select! {
             biased;
             read = sockets::read(&self.stream, self.reader.buffer()) => Some(read?),
             () = async {
-                // The sender lives as long as the program.
+                // Waiting fails only if the sender is dropped, which does not happen while the gateway runs.
                 let _ = phase.wait_for(|phase| *phase >= ShutdownPhase::Closing).await;
                 sleep_until(accepted_at + CLOSING_FIRST_BYTE_TIMEOUT).await;
             } => None,
@@ -160,8 +164,8 @@
             Some(0) => return Ok(IdleEnd::ClientClosed),
             Some(_) => {}
         }
-        if self.accepted_at.elapsed() >= ARRIVED_WITH_CONNECTION {
-            // The bytes have not been waiting since the connection arrived.
+        if self.accepted_at.elapsed() >= SAME_ARRIVAL_WINDOW {
+            // These bytes arrived after the connection was accepted.
             self.waiting_since = None;
         }
         Ok(IdleEnd::Bytes)
@@ -194,7 +198,7 @@
         }
     }
 
-    /// The response to a request.
+    /// Handles a request, and decides whether the connection stays open after the response.
     async fn respond(&mut self, request: ArrivedRequest) -> FinalResponse {
         self.set_state(ConnectionState::Open);
         let client_keeps_alive = request.message.keep_alive;
@@ -204,19 +208,20 @@
         let accepts_more = client_keeps_alive && !is_invalid && !client_disconnected;
         let is_spare = self.slot.is_spare();
         let is_evicted = self.slot.is_evicted();
-        let has_flooded = self.reader.buffer().len() >= MAX_READ_AHEAD_BYTES;
+        let has_excess_input = self.reader.buffer().len() >= MAX_READ_AHEAD_BYTES;
         let phase = self.frontend.phase();
-        let must_end = is_spare || is_evicted || has_flooded || phase != ShutdownPhase::Serving;
-        // A connection that must end stays open for the requests that have been read already.
-        self.pipelined = if accepts_more && must_end { self.reader.next(false).ok().flatten() } else { None };
-        let keep_alive = accepts_more && (!must_end || self.pipelined.is_some());
+        let must_close = is_spare || is_evicted || has_excess_input || phase != ShutdownPhase::Serving;
+        // A connection that must close still serves the complete requests that have already been read.
+        self.pipelined =
+            if accepts_more && must_close { self.reader.next(false).ok().flatten() } else { None };
+        let keep_alive = accepts_more && (!must_close || self.pipelined.is_some());
         if !keep_alive {
             debug!(
                 is_invalid,
                 client_disconnected,
                 is_spare,
                 is_evicted,
-                has_flooded,
+                has_excess_input,
                 ?phase,
                 "closing connection after response"
             );
@@ -228,8 +233,8 @@
         FinalResponse { response, keep_alive }
     }
 
-    /// Has a request handled, by the listener itself or by the event loop. A client that has disconnected still gets the
-    /// response, as it may have ended its sending side only.
+    /// Returns the response to a request, from the listener itself or from the event loop. A client that has
+    /// disconnected also gets a response, because it may have ended its sending side only.
     async fn handle_request(&mut self, request: ArrivedRequest) -> RequestResult {
         let ArrivedRequest { message, arrived_at } = request;
         if let Err(local) = self.route(&message) {
@@ -260,10 +265,10 @@
             biased;
             permit = events.reserve() => match permit {
                 Ok(permit) => permit.send(GatewayEvent::Request(request)),
-                // The event queue closes only when the gateway stops.
+                // The event loop's queue is closed only when the gateway stops.
                 Err(_) => return Ok(Response::Failed).into(),
             },
-            // The event loop has not seen the request, and never will.
+            // The request has not been sent to the event loop, so it can safely be rejected.
             () = client.disconnected() => {
                 return RequestResult { response: Ok(rejected), client_disconnected: true };
             }
@@ -277,7 +282,7 @@
         RequestResult { response: Ok(response.await.unwrap_or(Response::Failed)), client_disconnected: true }
     }
 
-    /// Whether a message is a request to forward; the response otherwise.
+    /// Returns `Ok` if a message is a request to forward, and the listener's own response otherwise.
     fn route(&self, message: &CompleteMessage<RequestLine>) -> Result<(), LocalResponse> {
         let path = message.target().split(|b| *b == b'?').next().unwrap_or_default();
         match (path, message.method()) {
@@ -291,10 +296,11 @@
         }
     }
 
-    /// Ends an idle connection. It lingers, since a request that crosses its end would otherwise be reset.
+    /// Closes an idle connection. The connection lingers, because otherwise a request that the client sends
+    /// at the same time would be answered by a TCP reset.
     async fn close_idle(mut self) -> io::Result<()> {
         let is_evicted = self.slot.is_evicted();
-        // The slot is free while the connection lingers.
+        // Another client can use the descriptor of the budget while the connection lingers.
         drop(self.slot);
         debug!(is_evicted, phase = ?self.frontend.phase(), "closing idle connection");
         if is_evicted {
@@ -303,19 +309,20 @@
         linger(&mut self.stream).await
     }
 
-    /// Ends a connection that is evicted in the middle of a request. It is rejected, since the rest of the request may
-    /// have arrived by now.
+    /// Closes a connection that was evicted in the middle of a request. The request is rejected, because its
+    /// rest may have arrived by now.
     async fn close_evicted(mut self) -> io::Result<()> {
-        debug!("connection evicted in the middle of a request");
+        debug!("closing connection evicted in the middle of a request");
         let rejected = Response::Rejected { retry_after_ms: self.frontend.max_retry_after_ms };
         write(&self.stream, rejected.encode(false)).await?;
         linger_evicted(self.frontend, &mut self.stream).await
     }
 }
 
-/// Lingers on a descriptor beyond the budget, if there is one.
+/// Lingers on one of the [`MAX_LINGERING_CONNECTIONS`](super::MAX_LINGERING_CONNECTIONS) descriptors beyond
+/// the budget. If none is free, the connection is closed at once.
 async fn linger_evicted(frontend: &Frontend, stream: &mut TcpStream) -> io::Result<()> {
-    match frontend.lingering.try_acquire() {
+    match frontend.lingering_slots.try_acquire() {
         Ok(_permit) => linger(stream).await,
         Err(_) => Ok(()),
     }
--- a/gateway/src/listener/mod.rs
+++ b/gateway/src/listener/mod.rs
@@ -1,6 +1,6 @@
-//! The listener: accepts clients' connections, reads HTTP requests from them, and writes the responses.
+//! The listener: accepts client connections, reads HTTP requests from them, and writes the responses.
 //!
-//! Beyond this module a request is a [`Request`](crate::events::Request) with opaque bytes to forward.
+//! Other modules see a request as a [`Request`](crate::events::Request) with opaque bytes to forward.
 mod accept;
 mod client;
 mod close;
@@ -20,44 +20,46 @@
 use tokio::sync::{oneshot, watch, OwnedSemaphorePermit, Semaphore};
 use tokio::time::sleep;
 
-/// How many clients beyond the descriptor budget are accepted in order to be rejected.
-pub const SPARE_CONNECTION_COUNT: usize = 24;
-/// How many evicted connections may linger, each on a descriptor beyond the budget.
-pub const LINGERING_CONNECTION_COUNT: usize = 8;
+/// The maximum number of client connections that are accepted beyond the descriptor budget, so that their
+/// requests can be rejected with retry advice.
+pub const MAX_SPARE_CONNECTIONS: usize = 24;
+/// The maximum number of evicted connections that linger at the same time, each on a descriptor beyond the
+/// budget.
+pub const MAX_LINGERING_CONNECTIONS: usize = 8;
 
-/// How often the end of the last connection is looked for.
-const EMPTY_CHECK_INTERVAL: Duration = Duration::from_millis(10);
+/// The interval at which a shutdown checks whether all client connections have been closed.
+const DRAIN_CHECK_INTERVAL: Duration = Duration::from_millis(10);
 
-/// How far the gateway's graceful shutdown has come.
+/// The phases of the gateway's graceful shutdown, in their order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum ShutdownPhase {
-    /// Not begun.
+    /// The shutdown has not begun.
     Serving,
-    /// New requests are served, one a connection.
+    /// New requests are served, and each connection is closed after its next response.
     Stopping,
-    /// Idle connections are closed besides.
+    /// New requests are served as in `Stopping`, and idle connections are closed.
     Closing,
-    /// No connection is accepted any more, and requests on open ones are rejected.
+    /// New connections are not accepted, and new requests on open connections are rejected.
     Rejecting,
 }
 
-/// What all clients' connections share.
+/// The state that all client connections share.
 pub struct Frontend {
     deployment: Deployment,
     events: EventSender,
     phase: watch::Receiver<ShutdownPhase>,
     next_request_id: AtomicU64,
     descriptors: Arc<Descriptors>,
-    spare: Arc<Semaphore>,
-    lingering: Semaphore,
+    spare_slots: Arc<Semaphore>,
+    lingering_slots: Semaphore,
     connection_count: AtomicUsize,
     open_correlation_ids: Mutex<HashSet<Bytes>>,
-    /// The retry advice of a rejection that the balancer has no part in.
+    /// The retry advice, in milliseconds, of a rejection that the balancer has not decided.
     max_retry_after_ms: f64,
     lag: LoopLag,
 }
 
-/// Counts a connection from its accept to its end.
+/// A guard that counts a client connection from its accept until the guard is dropped.
 struct ConnectionGuard(Arc<Frontend>);
 
 impl ConnectionGuard {
@@ -73,17 +75,17 @@
     }
 }
 
-/// What a connection holds while it is served.
+/// The descriptor that a client connection holds while it is served.
 enum ClientSlot {
-    /// A descriptor of the budget.
+    /// The connection holds a descriptor of the budget.
     Admitted {
         descriptor: Descriptor,
         /// Completes when the connection is evicted.
         evicted: oneshot::Receiver<()>,
     },
-    /// None of the budget: its request is rejected.
+    /// The connection holds a descriptor beyond the budget, and its request is rejected.
     Spare {
-        /// Counts the connection among the spare ones until it is dropped.
+        /// The permit for one of [`MAX_SPARE_CONNECTIONS`], released when the slot is dropped.
         _permit: OwnedSemaphorePermit,
     },
 }
@@ -97,17 +99,17 @@
         matches!(self, ClientSlot::Admitted { descriptor, .. } if descriptor.is_evicted())
     }
 
-    /// Waits until the connection is evicted; for ever if it holds no descriptor of the budget.
+    /// Waits until the connection is evicted. Never completes for a connection beyond the budget.
     async fn evicted(&mut self) {
         match self {
-            // An error comes only once the descriptor is gone too.
+            // The result does not matter: the sender is dropped without a message only after the descriptor.
             ClientSlot::Admitted { evicted, .. } => drop(evicted.await),
             ClientSlot::Spare { .. } => std::future::pending().await,
         }
     }
 }
 
-/// Reserves a correlation id while its request is open.
+/// A guard that reserves the correlation id of an open request until the guard is dropped.
 struct CorrelationIdGuard<'a> {
     frontend: &'a Frontend,
     id: Bytes,
@@ -120,7 +122,8 @@
 }
 
 impl Frontend {
-    /// A frontend whose clients share the budget of `descriptors` with the connections to servers.
+    /// Returns a frontend whose client connections share the budget of `descriptors` with the upstream
+    /// connections.
     pub fn new(
         deployment: Deployment, events: EventSender, phase: watch::Receiver<ShutdownPhase>,
         descriptors: Arc<Descriptors>, lag: LoopLag,
@@ -133,17 +136,17 @@
             phase,
             next_request_id: AtomicU64::new(0),
             descriptors,
-            spare: Arc::new(Semaphore::new(SPARE_CONNECTION_COUNT)),
-            lingering: Semaphore::new(LINGERING_CONNECTION_COUNT),
+            spare_slots: Arc::new(Semaphore::new(MAX_SPARE_CONNECTIONS)),
+            lingering_slots: Semaphore::new(MAX_LINGERING_CONNECTIONS),
             connection_count: AtomicUsize::new(0),
             open_correlation_ids: Mutex::default(),
         })
     }
 
-    /// Waits until no client's connection is left.
-    pub async fn wait_until_empty(&self) {
+    /// Waits until all client connections have been closed.
+    pub async fn wait_until_drained(&self) {
         while self.connection_count.load(Ordering::Relaxed) > 0 {
-            sleep(EMPTY_CHECK_INTERVAL).await;
+            sleep(DRAIN_CHECK_INTERVAL).await;
         }
     }
 
@@ -159,10 +162,11 @@
         self.open_correlation_ids.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Reserves a correlation id; `None` while another open request has it.
+    /// Reserves a correlation id. Returns `None` if another open request has the same id.
     fn reserve_correlation_id(&self, id: Bytes) -> Option<CorrelationIdGuard<'_>> {
         let is_free = self.open_correlation_ids().insert(id.clone());
-        // Not constructed otherwise: dropping the guard would release the other request's id.
+        // The guard is constructed only for a new id, because dropping the guard would release the other
+        // request's id.
         is_free.then(|| CorrelationIdGuard { frontend: self, id })
     }
 }
--- a/gateway/src/listener/request.rs
+++ b/gateway/src/listener/request.rs
@@ -1,4 +1,5 @@
-//! Requests out of HTTP messages: what decisions need is parsed, the rest is forwarded as received.
+//! Conversion of HTTP messages to requests. The fields on which decisions depend are parsed; the other
+//! end-to-end fields and the body are forwarded as received.
 use super::Frontend;
 use crate::events::{RawRequest, Request, Response};
 use crate::http1::{CompleteMessage, RequestLine};
@@ -12,11 +13,12 @@
 use tokio::time::Instant;
 use tracing::debug;
 
-/// The usual sizes of the two parts of a forwarded head.
+/// The initial capacity for the part of a forwarded head before the time left, enough for most requests.
 const BEFORE_TIME_LEFT_CAPACITY_BYTES: usize = 128;
+/// The initial capacity for the part of a forwarded head after the time left, enough for most requests.
 const AFTER_TIME_LEFT_CAPACITY_BYTES: usize = 512;
 
-/// Why a request is invalid.
+/// The reason why a request is invalid.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum InvalidRequest {
     CorrelationId,
@@ -27,7 +29,7 @@
 }
 
 impl InvalidRequest {
-    /// The reason as the client gets it.
+    /// Returns the text that the client gets as the body of the response.
     pub(super) fn reason(self) -> &'static str {
         match self {
             InvalidRequest::CorrelationId => "X-Correlation-Id is missing or given twice",
@@ -40,7 +42,7 @@
 }
 
 impl Frontend {
-    /// Makes a request of a message that arrived at `arrived_at`.
+    /// Converts a message that arrived at `arrived_at` to a request.
     pub(super) fn parse_request(
         &self, message: &CompleteMessage<RequestLine>, arrived_at: Instant,
         respond_to: oneshot::Sender<Response>,
@@ -53,7 +55,7 @@
         let class = fields.text(SERVICE_CLASS).and_then(|name| self.deployment.names.class_index(name));
         let class = class.ok_or(InvalidRequest::ServiceClass)?;
         let settings = &self.deployment.balancer.classes[class];
-        // Without its key no server could drop a duplicate.
+        // Without the key, endpoints could not drop a duplicate of the request.
         let has_no_key = fields.get(IDEMPOTENCY_KEY).is_none_or(<[u8]>::is_empty);
         if settings.idempotency == Idempotency::IdempotentWithKey && has_no_key {
             return Err(InvalidRequest::MissingIdempotencyKey);
@@ -61,7 +63,8 @@
         let time_left_ms = parse_time_left_ms(message, settings.deadline_ms)?;
         let tenant = fields.text(TENANT).and_then(|name| self.deployment.names.tenant_index(name));
         let id = self.next_request_id();
-        // Its time runs since it arrived, which is earlier for pipelined requests and after a stall.
+        // The client's time left runs from the arrival, which is before now for a pipelined request and after
+        // a stall.
         let now = Instant::now();
         let waited = now.saturating_duration_since(arrived_at);
         let time_left = Duration::from_secs_f64(time_left_ms / 1000.0).saturating_sub(waited);
@@ -72,12 +75,13 @@
             waited_ms = waited.as_millis() as u64,
             "request read"
         );
-        let (deadline, raw) = (now + time_left, forwarded(message));
+        let (deadline, raw) = (now + time_left, raw_request(message));
         Ok(Request { id, class, tenant, deadline, raw, respond_to })
     }
 }
 
-/// How long the client waits, in milliseconds: what it says, up to the class's deadline for all its attempts.
+/// Returns how long the client waits, in milliseconds: the value of the request's time left, at most the
+/// class's deadline. The deadline applies if the request states no time left.
 fn parse_time_left_ms(
     message: &CompleteMessage<RequestLine>, deadline_ms: f64,
 ) -> Result<f64, InvalidRequest> {
@@ -89,8 +93,8 @@
     Ok(time_left_ms.ok_or(InvalidRequest::TimeLeft)?.min(deadline_ms))
 }
 
-/// The bytes to forward: method, path, query, end-to-end fields and body as received.
-fn forwarded(message: &CompleteMessage<RequestLine>) -> RawRequest {
+/// Returns the bytes to forward: the method, path, query, end-to-end fields and body as received.
+fn raw_request(message: &CompleteMessage<RequestLine>) -> RawRequest {
     let mut before = BytesMut::with_capacity(BEFORE_TIME_LEFT_CAPACITY_BYTES);
     let request_line = [message.method(), b" ", message.target(), b" HTTP/1.1\r\n"];
     for part in request_line.into_iter().chain([TIME_LEFT_MS.as_bytes(), b": "]) {
@@ -101,7 +105,7 @@
     if message.fields.get("host").is_none() {
         after.extend_from_slice(DEFAULT_HOST_LINE);
     }
-    // Servers need the id and the key even if `Connection` names them.
+    // Endpoints need the correlation id and the idempotency key even if `Connection` names these fields.
     message.fields.write_end_to_end(&mut after, &[TIME_LEFT_MS], &[CORRELATION_ID, IDEMPOTENCY_KEY]);
     if !message.body.is_empty() || message.method() == b"POST" {
         after.extend_from_slice(format!("Content-Length: {}\r\n", message.body.len()).as_bytes());
--- a/gateway/src/loop_lag.rs
+++ b/gateway/src/loop_lag.rs
@@ -1,50 +1,56 @@
-//! The event loop's lag: for how long the process has stood still, so that what it reads now may have been waiting.
+//! The event loop's lag: how long the process has stalled, so that bytes read now may have been waiting in
+//! the kernel.
 //!
-//! The gateway runs on a current-thread tokio runtime: one thread runs the event loop, the listener and all connections. A
-//! tick that fires late therefore means that the whole process stood still (stopped, preempted or busy), and nothing was read
-//! or decided meanwhile. What follows from it:
+//! The gateway runs on a current-thread tokio runtime, on which one thread runs the event loop, the listener
+//! and all connections. A tick that fires late therefore means that the whole process was stopped, preempted
+//! or busy, and has read and decided nothing in the meantime. A lag has three consequences:
 //!
-//! - arrival times are backdated by the lag ([`LoopLag::earliest_arrival`]), so that a request's deadline counts from when its
-//!   bytes may have reached the machine;
-//! - a deadline that passes while there is a lag is not counted as a violated invariant;
-//! - [`catch_up`] runs before an attempt's first byte, so that disconnects and drains that arrived meanwhile take effect first.
+//! - Arrival times are backdated by the lag ([`LoopLag::earliest_arrival`]), so that a request's deadline
+//!   counts from the time at which its bytes may have reached the machine.
+//! - A deadline that passes during a lag is not counted as a violated invariant.
+//! - [`catch_up`] runs before an attempt's first byte is written, so that client disconnects and endpoint
+//!   drains that arrived during the lag take effect first.
 //!
-//! A stall here is the process standing still; a stalled attempt, in the balancer, is one without a timely response.
+//! A stall of the event loop is unrelated to a stalled attempt, which in the balancer is an attempt without a
+//! timely response.
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
 use tokio::task::yield_now;
 use tokio::time::{sleep_until, Instant};
 use tracing::warn;
 
-/// The interval of the ticks whose delay is the lag. It is the error of the lag.
+/// The interval of the ticks whose delay is measured as the lag. The lag is accurate to one interval.
 const TICK_INTERVAL: Duration = Duration::from_millis(50);
-/// A lag below this is usual scheduling.
+/// A shorter delay of a tick is ordinary scheduling and counts as no lag.
 const MIN_LAG: Duration = Duration::from_millis(25);
-/// A lag from here on is logged, as a stall of the event loop.
+/// A lag of at least this duration is logged as a stall of the event loop.
 const MIN_LOGGED_LAG: Duration = Duration::from_millis(250);
-/// After a lag, what was received meanwhile is read within this time. [`catch_up`] reads sockets again where reading
-/// took longer than this.
-const FRESHNESS: Duration = Duration::from_millis(20);
-/// Turns of the runtime from a socket's readiness to its effect: the reader, the event loop, the attempt.
-const TURN_COUNT: usize = 3;
-/// How often [`catch_up`] reads sockets again, so that a machine that always lags still sends.
-const MAX_CATCH_UP_COUNT: usize = 4;
+/// The time within which the gateway reads everything that arrived during a lag, once the lag has ended.
+/// [`catch_up`] reads the sockets again if the last reading is older.
+const FRESHNESS_WINDOW: Duration = Duration::from_millis(20);
+/// How often [`catch_up`] yields, so that a ready socket takes effect: the socket's reader, the event loop
+/// and the attempt each need one turn of the runtime.
+const YIELDS_PER_CATCH_UP: usize = 3;
+/// The maximum number of times that [`catch_up`] reads the sockets, so that a machine that always lags still
+/// sends attempts.
+const MAX_CATCH_UPS: usize = 4;
 
-/// A lag that the event loop has just caught up with.
+/// A lag that has just ended.
 #[derive(Clone, Copy, Debug)]
 struct PastLag {
     lag: Duration,
-    /// Until then, bytes that waited through the lag may still be being read.
+    /// The time until which bytes that arrived during the lag may still be unread.
     applies_until: Instant,
 }
 
+/// The time at which the next tick is due, and the lag that the last tick has found.
 #[derive(Clone, Copy, Debug)]
 struct Ticks {
     next_at: Instant,
     past_lag: Option<PastLag>,
 }
 
-/// Measures the event loop's lag.
+/// The measurement of the event loop's lag, shared by the gateway's tasks.
 #[derive(Clone, Debug)]
 pub struct LoopLag(Arc<Mutex<Ticks>>);
 
@@ -56,7 +62,7 @@
 }
 
 impl LoopLag {
-    /// Measures the lag for as long as it is polled.
+    /// Measures the lag until the task is aborted.
     pub async fn run(self) {
         loop {
             let due_at = self.lock().next_at;
@@ -67,7 +73,7 @@
                 warn!(stalled_ms = lag.as_millis() as u64, "event loop stalled");
             }
             let past_lag = (lag >= MIN_LAG)
-                .then(|| PastLag { lag: lag + TICK_INTERVAL, applies_until: now + FRESHNESS });
+                .then(|| PastLag { lag: lag + TICK_INTERVAL, applies_until: now + FRESHNESS_WINDOW });
             *self.lock() = Ticks { next_at: now + TICK_INTERVAL, past_lag };
         }
     }
@@ -76,14 +82,14 @@
         self.0.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// The earliest time at which what is read now may have arrived.
+    /// Returns the earliest time at which bytes that are read now may have arrived.
     pub fn earliest_arrival(&self) -> Instant {
         let now = Instant::now();
         now.checked_sub(self.at(now)).unwrap_or(now)
     }
 
-    /// The lag at `now`, which is the longest time for which what is read then may have been waiting. It includes a lag that
-    /// the event loop has only just caught up with. Zero where ticks are on time.
+    /// Returns the lag at `now`: the longest time for which bytes that are read at `now` may have been
+    /// waiting. A lag that has just ended is included. The lag is zero while ticks are on time.
     pub fn at(&self, now: Instant) -> Duration {
         let ticks = *self.lock();
         let tick_lag = now.saturating_duration_since(ticks.next_at);
@@ -93,16 +99,17 @@
     }
 }
 
-/// Lets everything that the kernel has received by now take effect, if what was decided at `decided_at` is no longer
-/// fresh: disconnects and drains that arrived while the process stood still or a connection was being dialled.
+/// Yields until everything that the kernel has received by now has taken effect, if the decision made at
+/// `decided_at` is no longer fresh. Client disconnects and endpoint drains may have arrived while the process
+/// stalled or a connection was being dialled.
 pub async fn catch_up(decided_at: Instant) {
     let mut last_read_at = decided_at;
-    for _ in 0..MAX_CATCH_UP_COUNT {
-        if last_read_at.elapsed() < FRESHNESS {
+    for _ in 0..MAX_CATCH_UPS {
+        if last_read_at.elapsed() < FRESHNESS_WINDOW {
             return;
         }
         last_read_at = Instant::now();
-        for _ in 0..TURN_COUNT {
+        for _ in 0..YIELDS_PER_CATCH_UP {
             yield_now().await;
         }
     }
--- a/gateway/src/main.rs
+++ b/gateway/src/main.rs
@@ -1,4 +1,4 @@
-//! The gateway's executable; see [`ternstack_gateway::program`].
+//! The executable of the gateway. The program itself is in [`ternstack_gateway::program`].
 #![forbid(unsafe_code)]
 
 fn main() -> std::process::ExitCode {
--- a/gateway/src/permit.rs
+++ b/gateway/src/permit.rs
@@ -1,61 +1,64 @@
-//! The rule that decides whether an attempt may begin: checked when the balancer asks for it, and again before its first
-//! byte is written, since the first result may no longer hold. No I/O and no clock.
+//! The rule that decides whether an attempt may begin. The rule is checked when the balancer asks for the
+//! attempt, and again before the first byte is written, because the first result may be out of date by then.
+//! This module does no I/O and has no clock.
 //!
-//! Which requests are retried is the balancer's decision (`balancer/src/retry.rs`). This module is an independent second
-//! check of it: it shares only the settings' types with the balancer and works on the event loop's own record of the attempts.
-//! An attempt that it denies is not sent, whatever the balancer has asked for. A fault in the balancer's bookkeeping could
-//! otherwise run a request twice, which nothing undoes. A denial that the balancer should have foreseen counts as a violated
-//! [`Invariant`].
+//! The balancer decides which requests are retried (`balancer/src/retry.rs`). This module is a second,
+//! independent check: it shares only the types of the settings with the balancer, and works on the event
+//! loop's own record of the attempts. A denied attempt is not sent, because a bug in the balancer could
+//! otherwise run a request twice, which cannot be undone. A denial that the balancer should have foreseen
+//! counts as a violated [`Invariant`].
 use crate::invariants::Invariant;
 use ternstack_balancer::{DeduplicationScope, Idempotency, RequestClass};
 use tokio::time::Instant;
 
-/// The parts of an endpoint's place that bound the deduplication of requests with an idempotency key.
+/// The zone and the cell of an endpoint, which bound the deduplication of requests with an idempotency key.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct EndpointLocality {
-    /// The zone, in the gateway's own numbering.
+    /// The number of the zone, which this gateway has assigned to the zone's name.
     pub zone: u32,
-    /// The cell.
+    /// The number of the cell, as listed by discovery.
     pub cell: u32,
 }
 
-/// An attempt of the request that was sent before.
+/// An earlier attempt of the same request.
 #[derive(Clone, Copy, Debug)]
 pub struct PriorAttempt {
-    /// The locality of its endpoint.
+    /// The locality of the attempt's endpoint.
     pub locality: EndpointLocality,
-    /// For a class that is idempotent with a key: until when endpoints drop a retry of it as a duplicate.
+    /// The end of the deduplication window, until which endpoints drop a retry as a duplicate of this
+    /// attempt; `None` unless the class is idempotent with a key.
     pub deduplicated_until: Option<Instant>,
-    /// It may have run at its endpoint.
+    /// Whether the attempt may have run at its endpoint.
     pub may_have_run: bool,
-    /// It has not ended yet.
+    /// Whether the attempt has not ended yet.
     pub in_flight: bool,
 }
 
-/// Why an attempt may not begin.
+/// The reason why an attempt may not begin.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Denial {
-    /// The request has its response, or its client has disconnected.
+    /// The request already has a response, or its client has disconnected.
     RequestClosed,
-    /// The time at which it would be given up has passed.
+    /// The time at which the attempt would be given up has passed.
     DeadlinePassed,
     /// The endpoint has no address, or is not in service.
     EndpointUnavailable,
-    /// The request has had its maximum number of attempts.
+    /// The request has used its maximum number of attempts.
     NoAttemptsLeft,
     /// Another attempt of the request is in flight.
     AttemptInFlight,
     /// The request may have run, and its class is not idempotent.
     MayHaveRun,
-    /// The request may have run, and endpoints no longer drop a retry as a duplicate.
+    /// The request may have run, and its deduplication window has ended.
     DeduplicationOver,
-    /// The request may have run at an endpoint that shares no deduplication with this one.
+    /// The request may have run at an endpoint that shares no deduplication with the attempt's endpoint.
     OutsideDeduplicationScope,
 }
 
 impl Denial {
-    /// The invariant that the balancer has violated by asking for the attempt; `None` where its events were still on their way.
-    pub fn violates(self) -> Option<Invariant> {
+    /// Returns the invariant that the balancer has violated by asking for the attempt; `None` if the balancer
+    /// may not yet have known of the reason, because the event about it was still queued.
+    pub fn violated_invariant(self) -> Option<Invariant> {
         match self {
             Denial::RequestClosed
             | Denial::DeadlinePassed
@@ -69,28 +72,28 @@
     }
 }
 
-/// A request's next attempt, when the balancer asks for it.
+/// The next attempt of a request, at the time when the balancer asks for the attempt.
 #[derive(Debug)]
 pub struct NextAttempt<'a> {
     /// The request's class.
     pub class: &'a RequestClass,
-    /// The attempts sent before, in order.
+    /// The earlier attempts of the request, in the order sent.
     pub prior_attempts: &'a [PriorAttempt],
-    /// The maximum number of attempts.
+    /// The maximum number of attempts of one request.
     pub max_attempts: usize,
-    /// The client still waits for the response.
+    /// Whether the client still waits for the response.
     pub client_waits: bool,
-    /// When the attempt will be given up.
+    /// The time at which the attempt will be given up.
     pub give_up_at: Instant,
-    /// The locality of its endpoint; `None` if the endpoint has no address.
+    /// The locality of the attempt's endpoint; `None` if the endpoint has no address.
     pub locality: Option<EndpointLocality>,
 }
 
 impl NextAttempt<'_> {
-    /// Whether it may begin now.
+    /// Checks that the attempt may begin at `now`.
     ///
     /// # Errors
-    /// The first reason against it.
+    /// Returns the first reason why the attempt may not begin.
     pub fn check(&self, now: Instant) -> Result<(), Denial> {
         if !self.client_waits {
             return Err(Denial::RequestClosed);
@@ -108,11 +111,11 @@
         match (self.class.idempotency, self.prior_attempts.iter().find(|attempt| attempt.may_have_run)) {
             (Idempotency::Idempotent, _) | (_, None) => Ok(()),
             (Idempotency::NonIdempotent, Some(_)) => Err(Denial::MayHaveRun),
-            (Idempotency::IdempotentWithKey, Some(first)) => self.check_retry(first, locality, now),
+            (Idempotency::IdempotentWithKey, Some(first)) => self.check_deduplication(first, locality, now),
         }
     }
 
-    fn check_retry(
+    fn check_deduplication(
         &self, first: &PriorAttempt, locality: EndpointLocality, now: Instant,
     ) -> Result<(), Denial> {
         let is_in_scope = match self.class.deduplication_scope {
@@ -130,24 +133,25 @@
     }
 }
 
-/// An attempt just before its first byte is written.
+/// An attempt at the time just before its first byte is written.
 #[derive(Clone, Copy, Debug)]
 pub struct FirstByte {
-    /// When the attempt will be given up.
+    /// The time at which the attempt will be given up.
     pub give_up_at: Instant,
-    /// For a retry of a request with an idempotency key: when it must have been sent completely.
+    /// The time by which the attempt must have been sent completely, for a retry of a request with an
+    /// idempotency key; `None` for other attempts.
     pub send_by: Option<Instant>,
-    /// Its endpoint is in service, in the incarnation that was picked.
+    /// Whether the endpoint is still in service, in the incarnation that the balancer picked.
     pub endpoint_in_service: bool,
-    /// The attempt has been cancelled.
+    /// Whether the attempt has been cancelled.
     pub is_cancelled: bool,
 }
 
 impl FirstByte {
-    /// Whether it may be written now.
+    /// Checks that the first byte may be written at `now`.
     ///
     /// # Errors
-    /// The first reason against it.
+    /// Returns the first reason why the first byte may not be written.
     pub fn check(&self, now: Instant) -> Result<(), Denial> {
         if self.is_cancelled {
             return Err(Denial::RequestClosed);
@@ -159,7 +163,7 @@
             return Err(Denial::DeadlinePassed);
         }
         match self.send_by {
-            Some(by) if by <= now => Err(Denial::DeduplicationOver),
+            Some(send_by) if send_by <= now => Err(Denial::DeduplicationOver),
             _ => Ok(()),
         }
     }
--- a/gateway/src/program/mod.rs
+++ b/gateway/src/program/mod.rs
@@ -1,6 +1,7 @@
-//! The program: reads its configuration, starts the log, and serves until it is told to stop.
+//! The gateway program: reads the configuration, starts the log, and serves until it receives SIGTERM or
+//! SIGINT.
 //!
-//! It is a module of the library so that tests can run the same program as processes of their own.
+//! The program is a module of the library, so that tests can run it in processes of their own.
 mod reload;
 
 use crate::config::{Config, ConfigError};
@@ -23,32 +24,33 @@
 use tracing::error;
 use tracing_appender::non_blocking::NonBlockingBuilder;
 
-/// How many log lines may be buffered. More are dropped, so that a slow reader of the log delays no request.
-const MAX_BUFFERED_LOG_LINE_COUNT: usize = 1024;
-/// How long a call that fails for a moment is retried at the start: the requirement is that nine in ten starts are
+/// The maximum number of buffered log lines. Further lines are dropped, so that a slow reader of the log
+/// delays no request.
+const MAX_BUFFERED_LOG_LINES: usize = 1024;
+/// How long a call with a transient error is retried on start. The requirement is that nine in ten starts are
 /// ready within 10 s.
 const START_RETRY_TIMEOUT: Duration = Duration::from_secs(5);
-/// The pause before a retry.
+/// The delay before a failed call is retried.
 const RETRY_DELAY: Duration = Duration::from_millis(20);
-/// How many connections may wait to be accepted.
-const LISTEN_BACKLOG_COUNT: u32 = 1024;
-/// The exit code where the operators' file cannot be worked with.
+/// The maximum number of connections that wait in the kernel to be accepted.
+const LISTEN_BACKLOG: u32 = 1024;
+/// The exit code if the operators' file or its command-line argument is invalid.
 const EXIT_FAULTY_OPERATOR_FILE: u8 = 2;
 
-/// Why the program ends before it is told to.
+/// An error that ends the program without a signal.
 #[derive(Debug, Error)]
 enum ProgramError {
-    #[error("cannot start: {0}")]
+    #[error("cannot start the runtime: {0}")]
     Runtime(#[source] io::Error),
-    #[error("{name}: {source}")]
+    #[error("cannot handle the signal {name}: {source}")]
     Signal { name: &'static str, source: io::Error },
     #[error(transparent)]
     Config(#[from] ConfigError),
     #[error("--operator: expected the path of the operators' file")]
     OperatorArgument,
-    #[error("{0}")]
+    #[error("operators' file: {0}")]
     OperatorFile(String),
-    #[error("LB_LISTEN = {address}: {source}")]
+    #[error("LB_LISTEN: cannot listen on {address}: {source}")]
     Listen { address: SocketAddr, source: io::Error },
     #[error(transparent)]
     Serve(#[from] ServeError),
@@ -65,22 +67,23 @@
     }
 }
 
-/// Reads the environment, and serves until SIGTERM or SIGINT, after which the exit code is 0.
+/// Reads the environment and serves until SIGTERM or SIGINT. Returns the exit code, which is 0 after such a
+/// signal.
 pub fn main() -> ExitCode {
-    let build = || Builder::new_current_thread().enable_all().build();
-    match retry_at_start(build, may_pass) {
+    let build_runtime = || Builder::new_current_thread().enable_all().build();
+    match retry_on_start(build_runtime, is_transient) {
         Ok(runtime) => runtime.block_on(start()),
-        Err(e) => fail(&ProgramError::Runtime(e)),
+        Err(e) => exit_with_error(&ProgramError::Runtime(e)),
     }
 }
 
-/// Ends the program before the log has been started.
-fn fail(error: &ProgramError) -> ExitCode {
+/// Prints an error that occurred before the log was started, and returns the exit code.
+fn exit_with_error(error: &ProgramError) -> ExitCode {
     eprintln!("ternstack-gateway: {error}");
     error.exit_code()
 }
 
-/// What the program needs to serve.
+/// The signal handlers and the configuration, which are read before the log is started.
 struct Setup {
     signals: Signals,
     config: Config,
@@ -89,9 +92,10 @@
 
 impl Setup {
     fn read() -> Result<Self, ProgramError> {
-        // First of all, as a signal that comes before its handler ends the program.
+        // The signal handlers come first, because a signal that arrives before its handler is installed kills
+        // the program.
         let signals = Signals::handle()?;
-        let config = retry_at_start(Config::from_env, may_become_readable)?;
+        let config = retry_on_start(Config::from_env, is_transiently_unreadable)?;
         let control = match operator_file(std::env::args_os().skip(1))? {
             Some(path) => {
                 let control = ControlConfig::from_file(&path);
@@ -106,48 +110,48 @@
 async fn start() -> ExitCode {
     let Setup { signals, config, control } = match Setup::read() {
         Ok(setup) => setup,
-        Err(e) => return fail(&e),
+        Err(e) => return exit_with_error(&e),
     };
-    // The guard writes the buffered lines when it is dropped.
-    let (log, _guard) = NonBlockingBuilder::default()
-        .buffered_lines_limit(MAX_BUFFERED_LOG_LINE_COUNT)
-        .finish(std::io::stderr());
+    // Dropping the guard writes the buffered log lines.
+    let (log, _guard) =
+        NonBlockingBuilder::default().buffered_lines_limit(MAX_BUFFERED_LOG_LINES).finish(std::io::stderr());
     tracing_subscriber::fmt().with_max_level(config.log_level).with_ansi(false).with_writer(log).init();
     match serve(config, control, signals).await {
         Ok(()) => ExitCode::SUCCESS,
         Err(e) => {
-            error!("{e}");
+            error!(error = %e, "gateway failed");
             e.exit_code()
         }
     }
 }
 
-/// Retries a call while its error may pass. Blocks, since nothing else is to be done meanwhile.
-fn retry_at_start<T, E>(
-    mut call: impl FnMut() -> Result<T, E>, may_pass: impl Fn(&E) -> bool,
+/// Calls `call` again while it fails with a transient error, for up to [`START_RETRY_TIMEOUT`]. Blocks
+/// between the calls, because no other task runs during the start.
+fn retry_on_start<T, E>(
+    mut call: impl FnMut() -> Result<T, E>, is_transient: impl Fn(&E) -> bool,
 ) -> Result<T, E> {
     let retry_until = Instant::now() + START_RETRY_TIMEOUT;
     loop {
         match call() {
-            Err(e) if may_pass(&e) && Instant::now() < retry_until => std::thread::sleep(RETRY_DELAY),
+            Err(e) if is_transient(&e) && Instant::now() < retry_until => std::thread::sleep(RETRY_DELAY),
             result => return result,
         }
     }
 }
 
-/// Whether an error may be over soon.
-fn may_pass(error: &io::Error) -> bool {
+/// Returns whether a call that failed with `error` may soon succeed.
+fn is_transient(error: &io::Error) -> bool {
     is_local(error)
         || error.kind() == io::ErrorKind::AddrInUse
         || error.raw_os_error() == Some(Errno::IO.raw_os_error())
 }
 
-/// Whether a configuration that could not be read may become readable soon.
-fn may_become_readable(error: &ConfigError) -> bool {
-    matches!(error, ConfigError::Unreadable { source, .. } if may_pass(source))
+/// Returns whether a configuration file that could not be read may soon be readable.
+fn is_transiently_unreadable(error: &ConfigError) -> bool {
+    matches!(error, ConfigError::Unreadable { source, .. } if is_transient(source))
 }
 
-/// The signals that the program handles.
+/// The streams of the signals that the program handles.
 struct Signals {
     terminate: Signal,
     interrupt: Signal,
@@ -165,7 +169,9 @@
     }
 }
 
-/// The operators' file: at `--operator`, or else at `LB_OPERATOR`. Other arguments belong to tests and are skipped.
+/// Returns the path of the operators' file, from the argument `--operator` or else from the variable
+/// `LB_OPERATOR`. Other arguments are skipped, because tests that run the program pass arguments of their
+/// own.
 fn operator_file(mut args: impl Iterator<Item = OsString>) -> Result<Option<PathBuf>, ProgramError> {
     while let Some(arg) = args.next() {
         if arg == "--operator" {
@@ -181,9 +187,9 @@
 
 async fn serve(config: Config, control: Option<ControlConfig>, signals: Signals) -> Result<(), ProgramError> {
     let Signals { mut terminate, mut interrupt, hangup } = signals;
-    let (discovery, discovery_now) = watch::channel(config.discovery);
+    let (discovery, discovery_address) = watch::channel(config.discovery);
     let address = config.listen;
-    let listener = retry_at_start(|| listen(address), may_pass)
+    let listener = retry_on_start(|| listen(address), is_transient)
         .map_err(|source| ProgramError::Listen { address, source })?;
     let stop = async move {
         tokio::select! {
@@ -192,12 +198,12 @@
         }
     };
     tokio::spawn(reload::reload_on_hangup(hangup, discovery));
-    Ok(crate::serve_with_control(config, control, listener, discovery_now, stop).await?)
+    Ok(crate::serve_with_control(config, control, listener, discovery_address, stop).await?)
 }
 
 fn listen(address: SocketAddr) -> io::Result<TcpListener> {
     let socket = socket(address)?;
     socket.set_reuseaddr(true)?;
     socket.bind(address)?;
-    socket.listen(LISTEN_BACKLOG_COUNT)
+    socket.listen(LISTEN_BACKLOG)
 }
--- a/gateway/src/program/reload.rs
+++ b/gateway/src/program/reload.rs
@@ -1,4 +1,4 @@
-//! Rereads the configuration on SIGHUP, and follows discovery to its new address.
+//! Reloading of the configuration on SIGHUP. Only discovery's address takes effect while the gateway runs.
 use super::RETRY_DELAY;
 use crate::config::{Config, ConfigError};
 use std::io;
@@ -9,12 +9,14 @@
 use tokio::time::{sleep, Instant};
 use tracing::{error, info, warn};
 
-/// The pause before a retry once reading has failed for [`HALF_WRITTEN_TIMEOUT`].
+/// The delay before a retry once reading the file has failed for [`HALF_WRITTEN_TIMEOUT`].
 const LONG_RETRY_DELAY: Duration = Duration::from_millis(500);
-/// How long a half-written file is waited for.
+/// How long a file whose text ends too early is read again, because another process may still be writing the
+/// file.
 const HALF_WRITTEN_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Rereads the configuration on each SIGHUP. A faulty file is logged, and the old configuration stays in force.
+/// Rereads the configuration on each SIGHUP and sends a new address of discovery to `discovery`. If the file
+/// is invalid, logs the error and keeps the old configuration.
 pub(super) async fn reload_on_hangup(mut hangup: Signal, discovery: watch::Sender<SocketAddr>) {
     while hangup.recv().await.is_some() {
         if let Some(config) = reread(&mut hangup).await {
@@ -24,8 +26,9 @@
     }
 }
 
-/// Reads the new configuration. An unreadable file is read again until it can be read, a half-written one for
-/// [`HALF_WRITTEN_TIMEOUT`]; a further SIGHUP begins anew.
+/// Reads the new configuration; returns `None` if the file is invalid. An unreadable file is read again
+/// without a time limit, and a half-written file for [`HALF_WRITTEN_TIMEOUT`]. Another SIGHUP restarts that
+/// time.
 async fn reread(hangup: &mut Signal) -> Option<Config> {
     let mut begun_at = Instant::now();
     let mut has_warned = false;
@@ -40,11 +43,11 @@
             _ => false,
         };
         if !may_retry {
-            error!("{error}; the old configuration stays in force");
+            error!(%error, "cannot reload the configuration; the old configuration stays in force");
             return None;
         }
         if !std::mem::replace(&mut has_warned, true) {
-            warn!("{error}; reading it again");
+            warn!(%error, "cannot read the configuration; retrying");
         }
         let is_recent = begun_at.elapsed() < HALF_WRITTEN_TIMEOUT;
         let delay = if is_recent { RETRY_DELAY } else { LONG_RETRY_DELAY };
@@ -55,13 +58,13 @@
     }
 }
 
-/// Reads the new configuration in a thread of its own, since reading blocks on the disk.
+/// Reads the new configuration in a separate thread, because reading blocks on the disk.
 async fn read_in_thread() -> Result<Config, ConfigError> {
     let (sender, config) = oneshot::channel();
-    // The receiver is gone only as the program ends.
-    let thread = std::thread::Builder::new().spawn(move || drop(sender.send(Config::from_env_again())));
+    // The receiver is dropped only when the program ends.
+    let thread = std::thread::Builder::new().spawn(move || drop(sender.send(Config::reread_env())));
     let unreadable =
-        |source: io::Error| ConfigError::Unreadable { path: "a thread to read it".into(), source };
+        |source: io::Error| ConfigError::Unreadable { path: "the file in a separate thread".into(), source };
     thread.map_err(unreadable)?;
     config.await.unwrap_or_else(|e| Err(unreadable(io::Error::other(e))))
 }
--- a/gateway/src/protocol.rs
+++ b/gateway/src/protocol.rs
@@ -1,43 +1,48 @@
-//! The platform's words on the wire, and what this crate calls them.
+//! The platform's HTTP header names, paths and fixed request parts.
 //!
-//! Header names, paths and fixed request parts stand here and nowhere else; the values' meaning is given in the crate's
-//! own terms.
+//! No other module spells these out. Each constant is named after its meaning in this crate's terms, because
+//! the names on the wire follow the platform's vocabulary (`X-Account`, for example, names a tenant).
 
-/// Identifies a request from the client to the server. No two open requests may carry the same one.
+/// The header whose value identifies a request from the client to the endpoint. No two open requests may
+/// carry the same value.
 pub const CORRELATION_ID: &str = "X-Correlation-Id";
-/// Names the request's class in the settings.
+/// The header that names the request's class in the settings.
 pub const SERVICE_CLASS: &str = "X-Service-Class";
-/// Names the request's tenant in the settings; unknown or absent means no tenant.
+/// The header that names the request's tenant in the settings. A request without the header, or with an
+/// unknown name, has no tenant.
 pub const TENANT: &str = "X-Account";
-/// How long the sender still waits, in whole milliseconds.
+/// The header that says how long the sender still waits for the response, in whole milliseconds.
 pub const TIME_LEFT_MS: &str = "X-Time-Left-Ms";
-/// Lets servers drop retries of an idempotent request that they have already run.
+/// The header with the key by which endpoints recognize and drop retries of a request that they have already
+/// run.
 pub const IDEMPOTENCY_KEY: &str = "Idempotency-Key";
-/// A server's load report on its responses; not forwarded to clients.
+/// The header of an endpoint's response that carries its load report. The gateway does not forward it to
+/// clients.
 pub const LOAD_REPORT: &str = "X-Backend-Load";
-/// Marks a 503 or 504 response to a request that the server has not run.
+/// The header that marks a 503 or 504 response to a request that the endpoint has not run.
 pub const UNPROCESSED: &str = "X-Unprocessed";
-/// The value of [`UNPROCESSED`] that counts.
+/// The only value of [`UNPROCESSED`] that marks a request as not run; any other value is ignored.
 pub const UNPROCESSED_VALUE: &[u8] = b"1";
 
-/// Where clients send requests.
+/// The path to which clients send requests.
 pub const API_PATH: &[u8] = b"/api";
-/// Where the platform asks whether new connections are welcome.
+/// The path of the platform's readiness probe, which asks whether the gateway takes new connections.
 pub const READINESS_PATH: &[u8] = b"/ready";
-/// Where discovery serves the endpoint list.
+/// The path at which discovery serves the endpoint list.
 pub const ENDPOINTS_PATH: &str = "/v1/endpoints";
 
-/// The `Host` field line of a forwarded request that came without one, as HTTP/1.0 permits.
+/// The `Host` field line of a forwarded request if the client sent none, which HTTP/1.0 permits.
 pub const DEFAULT_HOST_LINE: &[u8] = b"Host: backend.local\r\n";
-/// A health check up to the value of [`TIME_LEFT_MS`].
+/// The bytes of a health check before the value of [`TIME_LEFT_MS`].
 pub const HEALTH_CHECK_HEAD: &[u8] = b"GET /status/load HTTP/1.1\r\nHost: backend.local\r\nX-Time-Left-Ms: ";
-/// The end of a health check, behind the value of [`TIME_LEFT_MS`].
+/// The bytes of a health check after the value of [`TIME_LEFT_MS`].
 pub const HEALTH_CHECK_TAIL: &[u8] = b"\r\n\r\n";
-/// Asks a client that sent `Expect: 100-continue` for its body.
+/// The interim response that asks a client that sent `Expect: 100-continue` for the request's body.
 pub const CONTINUE: &[u8] = b"HTTP/1.1 100 Continue\r\n\r\n";
 
-/// The path and query of a poll for the endpoint list: for changes after `revision`, waiting up to `wait_ms` for one,
-/// or for the complete list at once where no revision is known.
+/// Returns the path and query of a poll for the endpoint list. With a `revision`, discovery returns the
+/// changes after that revision and waits up to `wait_ms` milliseconds for one. Without a `revision`,
+/// discovery returns the complete list at once.
 pub fn endpoints_target(revision: Option<u64>, wait_ms: u64) -> String {
     match revision {
         Some(revision) => format!("{ENDPOINTS_PATH}?after={revision}&wait_ms={wait_ms}"),
--- a/gateway/src/response.rs
+++ b/gateway/src/response.rs
@@ -1,58 +1,59 @@
-//! Encoding of responses to clients: a request's final [`Response`], and those that the listener gives by itself.
+//! Encoding of responses to clients: the final [`Response`] to a request, and the [`LocalResponse`] of the
+//! listener.
 use crate::events::Response;
 use crate::http1::ParseError;
 use crate::protocol::LOAD_REPORT;
 use bytes::{Bytes, BytesMut};
 use std::fmt::Write;
 
-/// The usual size of a response's head.
+/// The initial capacity of the buffer for a response's head, enough for most heads.
 const HEAD_CAPACITY_BYTES: usize = 256;
 
 /// A response that the listener gives without asking the balancer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LocalResponse {
-    /// New connections are welcome.
+    /// 200: the gateway takes new connections.
     Ready,
-    /// The gateway is shutting down.
+    /// 503: the gateway is shutting down.
     Stopping,
-    /// The request is invalid, for the reason given.
+    /// 400: the request is invalid, for the reason in the response's body.
     BadRequest(&'static str),
-    /// The path is unknown.
+    /// 404: the path is unknown.
     NotFound,
-    /// The path does not support the method.
+    /// 405: the path does not support the method.
     MethodNotAllowed,
-    /// The request took too long to arrive.
+    /// 408: the request did not arrive completely in time.
     RequestTimeout,
-    /// The body exceeds the limit.
+    /// 413: the body exceeds the size limit.
     BodyTooLarge,
-    /// The head exceeds the limit.
+    /// 431: the head exceeds the size limit.
     HeadTooLarge,
 }
 
 impl From<ParseError> for LocalResponse {
     fn from(error: ParseError) -> Self {
         match error {
-            ParseError::Head => LocalResponse::BadRequest("malformed head"),
-            ParseError::Length => LocalResponse::BadRequest("bad length"),
+            ParseError::MalformedHead => LocalResponse::BadRequest("malformed head"),
+            ParseError::InvalidLength => LocalResponse::BadRequest("bad length"),
             ParseError::HeadTooLarge => LocalResponse::HeadTooLarge,
             ParseError::BodyTooLarge => LocalResponse::BodyTooLarge,
         }
     }
 }
 
-/// A response in HTTP, ready to be written.
+/// An encoded HTTP response, ready to be written.
 #[derive(Debug)]
 pub struct EncodedResponse {
-    /// The status line and the header fields.
+    /// The status line and the header fields, with the empty line that ends them.
     pub head: Bytes,
-    /// The body.
+    /// The body, whose length the head states.
     pub body: Bytes,
 }
 
 impl EncodedResponse {
     fn new(status: &str, write_fields: impl FnOnce(&mut BytesMut), body: Bytes, keep_alive: bool) -> Self {
         let mut head = BytesMut::with_capacity(HEAD_CAPACITY_BYTES);
-        // Writing to a growing buffer cannot fail.
+        // `write!` to a `BytesMut` cannot fail, because the buffer grows as needed.
         let _ = write!(head, "HTTP/1.1 {status}\r\n");
         write_fields(&mut head);
         let connection = if keep_alive { "" } else { "Connection: close\r\n" };
@@ -62,7 +63,7 @@
 }
 
 impl Response {
-    /// Encodes the response in HTTP. A server's body is forwarded as received.
+    /// Encodes the response for HTTP/1.1. The body of an endpoint's response is forwarded as received.
     pub fn encode(self, keep_alive: bool) -> EncodedResponse {
         let text = |text: &'static str| Bytes::from_static(text.as_bytes());
         match self {
@@ -73,7 +74,8 @@
             Response::Rejected { retry_after_ms } => {
                 let retry_after = |out: &mut BytesMut| {
                     if retry_after_ms > 0.0 {
-                        // The platform's protocol allows decimal seconds, which its clients accept; RFC 9110 does not.
+                        // Clients of the platform accept decimal seconds, although RFC 9110 allows whole
+                        // seconds only.
                         let _ = write!(out, "Retry-After: {:.3}\r\n", retry_after_ms / 1000.0);
                     }
                 };
@@ -89,7 +91,7 @@
 }
 
 impl LocalResponse {
-    /// Encodes the response in HTTP.
+    /// Encodes the response for HTTP/1.1.
     pub fn encode(self, keep_alive: bool) -> EncodedResponse {
         let (status, text) = match self {
             LocalResponse::Ready => ("200 OK", "ready"),
--- a/gateway/src/serve.rs
+++ b/gateway/src/serve.rs
@@ -1,13 +1,13 @@
-//! A gateway's tasks: how they are started, and how they end in a graceful shutdown.
+//! The start of the gateway's tasks, and their graceful shutdown.
 use crate::config::Config;
 use crate::control::{self, ControlConfig};
 use crate::descriptors::Descriptors;
 use crate::discovery::{self, FollowConfig};
 use crate::endpoint_list::EndpointList;
 use crate::event_loop::{Dependencies, EventLoop};
-use crate::events::{DiscoveryAddressReceiver, EventSender, EVENT_QUEUE_COUNT};
+use crate::events::{DiscoveryAddressReceiver, EventSender, EVENT_QUEUE_CAPACITY};
 use crate::invariants::Violations;
-use crate::listener::{Frontend, ShutdownPhase, LINGERING_CONNECTION_COUNT, SPARE_CONNECTION_COUNT};
+use crate::listener::{Frontend, ShutdownPhase, MAX_LINGERING_CONNECTIONS, MAX_SPARE_CONNECTIONS};
 use crate::loop_lag::LoopLag;
 use crate::upstream::Upstream;
 use std::future::Future;
@@ -23,39 +23,42 @@
 use tokio::time::{sleep, sleep_until, Instant};
 use tracing::{info, warn};
 
-/// Descriptors that are neither clients' nor servers': the listener, discovery, the runtime, the log, evicted connections
-/// that linger, and some spare.
-const RESERVED_DESCRIPTOR_COUNT: usize = 16 + LINGERING_CONNECTION_COUNT;
-/// How long the gateway goes on as usual after SIGTERM. The platform's protocol has new connections arrive for up to 0.4 s
-/// more; the rest is a margin.
-const STOPPING_TIME: Duration = Duration::from_millis(550);
-/// How long a request that has crossed the end of an idle connection may take to be sent again.
-const CLOSING_TIME: Duration = Duration::from_millis(150);
-/// The shutdown ends this long after the longest deadline of a request that was read before it rejects requests.
+/// The number of descriptors outside the budget of client and upstream connections: those of the listener,
+/// discovery, the runtime, the log and lingering evicted connections, and a margin.
+const RESERVED_DESCRIPTORS: usize = 16 + MAX_LINGERING_CONNECTIONS;
+/// How long the gateway still serves requests as usual after SIGTERM. Under the platform's protocol, new
+/// connections arrive for up to 0.4 s after the signal; the rest is a margin.
+const STOPPING_DURATION: Duration = Duration::from_millis(550);
+/// How long the gateway accepts further connections after idle connections have been closed. A client whose
+/// request crossed the close of an idle connection sends the request again within this time.
+const CLOSING_DURATION: Duration = Duration::from_millis(150);
+/// How long the shutdown waits beyond the longest deadline of the requests that were read before the gateway
+/// began to reject requests.
 const DRAIN_GRACE: Duration = Duration::from_millis(500);
 
-/// Why a gateway has not started, or has ended before it was told to.
+/// The reason why a gateway did not start, or ended without being stopped.
 #[derive(Debug, Error)]
 pub enum ServeError {
-    /// The listener has no address.
-    #[error("LB_LISTEN: {0}")]
+    /// The local address of the listener cannot be determined.
+    #[error("LB_LISTEN: cannot determine the listener's address: {0}")]
     Listener(#[source] io::Error),
-    /// The balancer cannot work with the settings.
+    /// The balancer rejects the settings.
     #[error(transparent)]
     Settings(#[from] SettingsError),
-    /// A task without which the gateway cannot work has ended; the process is best restarted.
-    #[error("{task} has ended")]
+    /// A task that the gateway depends on has ended. The process should be restarted.
+    #[error("{task} ended unexpectedly")]
     TaskEnded {
-        /// The task.
+        /// A description of the task, for the error message.
         task: &'static str,
     },
 }
 
-/// Serves until `stop` completes, and then until no client is connected. `discovery` yields discovery's address. Needs a
-/// current-thread runtime.
+/// Serves until `stop` completes, and then shuts down gracefully: returns once no client is connected or the
+/// time for the shutdown has passed. `discovery` yields discovery's address. Must run on a current-thread
+/// runtime.
 ///
 /// # Errors
-/// Fails if the gateway cannot start, or one of its tasks ends.
+/// Fails if the gateway cannot start, or if one of its tasks ends before `stop` completes.
 pub async fn serve(
     config: Config, listener: TcpListener, discovery: DiscoveryAddressReceiver,
     stop: impl Future<Output = ()>,
@@ -63,10 +66,11 @@
     serve_with_control(config, None, listener, discovery, stop).await
 }
 
-/// As [`serve`]. With a `control` the endpoint list comes from the control servers, and discovery is not polled.
+/// Serves as [`serve`] does. If `control` is given, the endpoint list comes from the control servers and
+/// discovery is not polled.
 ///
 /// # Errors
-/// As [`serve`].
+/// Fails if the gateway cannot start, or if one of its tasks ends before `stop` completes.
 pub async fn serve_with_control(
     config: Config, control: Option<ControlConfig>, listener: TcpListener,
     discovery: DiscoveryAddressReceiver, stop: impl Future<Output = ()>,
@@ -80,7 +84,7 @@
     Ok(())
 }
 
-/// A running gateway.
+/// The tasks of a running gateway, and the state that the shutdown needs.
 struct Gateway {
     frontend: Arc<Frontend>,
     phase: watch::Sender<ShutdownPhase>,
@@ -99,9 +103,9 @@
     ) -> Result<Self, ServeError> {
         let Config { name, seed, max_sockets, cached_list, deployment, .. } = config;
         let address = listener.local_addr().map_err(ServeError::Listener)?;
-        let (events, event_queue) = mpsc::channel(EVENT_QUEUE_COUNT);
-        let (watch_requests, watch_requested) = watch_request_channel(&deployment);
-        let (phase, phase_now) = watch::channel(ShutdownPhase::Serving);
+        let (events, event_queue) = mpsc::channel(EVENT_QUEUE_CAPACITY);
+        let (watch_requests, watch_request_queue) = watch_request_channel(&deployment);
+        let (phase, phase_receiver) = watch::channel(ShutdownPhase::Serving);
         let (violations, lag) = (Violations::default(), LoopLag::default());
         let descriptors = budgeted_descriptors(max_sockets);
         let upstream = new_upstream(&deployment, events.clone(), descriptors.clone())
@@ -113,11 +117,11 @@
         let dependencies =
             Dependencies { upstream, watch_requests, violations: violations.clone(), lag: lag.clone() };
         let event_loop = EventLoop::new(deployment.clone(), seed, cached_list, dependencies)?;
-        let frontend = Frontend::new(deployment, events.clone(), phase_now, descriptors, lag.clone());
+        let frontend = Frontend::new(deployment, events.clone(), phase_receiver, descriptors, lag.clone());
 
         let lag_monitor = tokio::spawn(lag.run());
         let event_loop = tokio::spawn(event_loop.run(event_queue));
-        let list_follower = list_source.spawn(watch_requested, events);
+        let list_follower = list_source.spawn(watch_request_queue, events);
         let accept_loop = tokio::spawn(frontend.clone().accept(listener));
         info!(name, listen = %address, endpoints, revision, "serving");
         Ok(Gateway {
@@ -132,7 +136,7 @@
         })
     }
 
-    /// Waits until a task ends that the gateway cannot work without.
+    /// Waits until a task that the gateway depends on ends.
     async fn task_ended(&mut self) -> ServeError {
         let task = tokio::select! {
             _ = &mut self.event_loop => "the event loop",
@@ -142,20 +146,23 @@
         ServeError::TaskEnded { task }
     }
 
-    /// Shuts down gracefully: goes through the phases, and waits until every client has its response.
+    /// Shuts down gracefully: goes through the shutdown phases, and waits until every client connection has
+    /// been closed or the time for the shutdown has passed.
     async fn shut_down(self) {
         info!("graceful shutdown begun");
         self.phase.send_replace(ShutdownPhase::Stopping);
-        sleep(STOPPING_TIME).await;
+        sleep(STOPPING_DURATION).await;
         self.phase.send_replace(ShutdownPhase::Closing);
-        sleep(CLOSING_TIME).await;
-        // A request that is read from here on might not have its response before the process is killed.
+        sleep(CLOSING_DURATION).await;
+        // Requests are rejected from here on, because the platform might kill the process before they get a
+        // response.
         self.phase.send_replace(ShutdownPhase::Rejecting);
         let drain_until = Instant::now() + self.longest_deadline + DRAIN_GRACE;
         let drained = async {
-            // A task that has failed has closed its listener as well.
+            // An accept loop that has failed has closed the listener as well, so its error does not matter
+            // here.
             let _ = self.accept_loop.await;
-            self.frontend.wait_until_empty().await;
+            self.frontend.wait_until_drained().await;
         };
         tokio::select! {
             () = drained => info!("graceful shutdown complete"),
@@ -168,19 +175,20 @@
     }
 }
 
-/// The channel of the event loop's requests for a watch.
+/// Returns the channel on which the event loop requests a watch of the endpoint list.
 fn watch_request_channel(deployment: &Deployment) -> (mpsc::Sender<()>, mpsc::Receiver<()>) {
-    let (watch_requests, watch_requested) = mpsc::channel(1);
+    let (watch_requests, watch_request_queue) = mpsc::channel(1);
     if !deployment.balancer.poll_discovery {
-        // Pushed lists arrive on a watch too, which the balancer does not request then. The channel is empty.
+        // Pushed lists also arrive on a watch, which the balancer does not request, so the first request is
+        // made here. The new channel has room for it.
         let _ = watch_requests.try_send(());
     }
-    (watch_requests, watch_requested)
+    (watch_requests, watch_request_queue)
 }
 
-/// The descriptors that clients and endpoints share, out of `max_sockets`.
+/// Returns the budget that client and upstream connections share, out of `max_sockets` descriptors.
 fn budgeted_descriptors(max_sockets: usize) -> Arc<Descriptors> {
-    Descriptors::new(max_sockets.saturating_sub(RESERVED_DESCRIPTOR_COUNT + SPARE_CONNECTION_COUNT))
+    Descriptors::new(max_sockets.saturating_sub(RESERVED_DESCRIPTORS + MAX_SPARE_CONNECTIONS))
 }
 
 fn new_upstream(deployment: &Deployment, events: EventSender, descriptors: Arc<Descriptors>) -> Upstream {
@@ -193,15 +201,15 @@
     Duration::from_secs_f64(deadlines_ms.fold(0.0, f64::max) / 1000.0)
 }
 
-/// Where the endpoint list comes from.
+/// The source of the endpoint list.
 enum ListSource {
-    /// From the control servers.
+    /// The control servers supply the list.
     Control {
         control: Box<ControlConfig>,
-        /// The cached list as it was configured.
+        /// The cached list with the endpoint names of the configuration.
         cached_list: EndpointList,
     },
-    /// From discovery.
+    /// Discovery supplies the list.
     Discovery { address: DiscoveryAddressReceiver, config: FollowConfig },
 }
 
@@ -213,20 +221,22 @@
         if let Some(control) = control {
             return ListSource::Control { control: Box::new(control), cached_list: cached_list.clone() };
         }
-        // Where lists are pushed, each gateway polls a discovery of its own and has no others to wait for.
+        // If lists are pushed, each gateway polls a discovery instance of its own, so that renewals need no
+        // stagger.
         let gateway_count =
             if deployment.balancer.poll_discovery { deployment.balancer.gateway_count } else { 1 };
         let index = deployment.balancer.gateway_index.min(gateway_count - 1);
         let config = FollowConfig {
             connect_timeout: Duration::from_secs_f64(deployment.connect_timeout_ms / 1000.0),
-            // A cached list of any revision, 0 too, is continued with changes.
+            // Discovery continues a non-empty cached list with changes, even if its revision is 0.
             revision: (!cached_list.endpoints.is_empty()).then_some(cached_list.revision),
             renewal_delay: discovery::renewal_delay(index, gateway_count),
         };
         ListSource::Discovery { address, config }
     }
 
-    /// The list that the event loop starts from, with endpoint names as this source has them.
+    /// Returns the cached list that the event loop starts from, with the endpoint names that this source
+    /// uses.
     fn initial_list(&self, cached_list: EndpointList) -> EndpointList {
         match self {
             ListSource::Control { .. } => control::with_replicated_uids(cached_list),
@@ -234,14 +244,14 @@
         }
     }
 
-    /// Starts to follow the list.
-    fn spawn(self, watch_requested: mpsc::Receiver<()>, events: EventSender) -> JoinHandle<()> {
+    /// Spawns the task that follows the endpoint list and sends the updates to the event loop.
+    fn spawn(self, watch_request_queue: mpsc::Receiver<()>, events: EventSender) -> JoinHandle<()> {
         match self {
             ListSource::Control { control, cached_list } => {
-                tokio::spawn(control::follow(*control, cached_list, watch_requested, events))
+                tokio::spawn(control::follow(*control, cached_list, watch_request_queue, events))
             }
             ListSource::Discovery { address, config } => {
-                tokio::spawn(discovery::follow(address, config, watch_requested, events))
+                tokio::spawn(discovery::follow(address, config, watch_request_queue, events))
             }
         }
     }
--- a/gateway/src/upstream/attempt.rs
+++ b/gateway/src/upstream/attempt.rs
@@ -1,4 +1,4 @@
-//! Attempts as they are handed to the connection pool.
+//! Attempts and health checks as the event loop hands them to [`Upstream`](super::Upstream).
 use crate::events::RawRequest;
 use std::net::SocketAddr;
 use std::sync::Weak;
@@ -6,54 +6,58 @@
 use tokio::sync::oneshot;
 use tokio::time::Instant;
 
-/// What an attempt is for.
+/// The purpose of an attempt.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Purpose {
-    /// To have a client's request served.
+    /// The attempt serves a client request.
     Request {
-        /// The request.
+        /// The id of the request.
         id: RequestId,
-        /// The attempt's number among the request's, from 0.
+        /// The attempt's number among the attempts of the request, from 0.
         attempt: u32,
     },
-    /// To get the endpoint's load report.
+    /// The attempt asks the endpoint for its load report.
     HealthCheck,
 }
 
-/// How far an attempt is cancelled.
+/// The condition under which an attempt is cancelled.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Cancellation {
-    /// Only if it has not been sent completely: what an endpoint may have begun on runs to its end.
+    /// The attempt is cancelled only if it has not been sent completely, so that a request that an endpoint
+    /// may have begun to process is not interrupted.
     IfUnsent,
-    /// In any case.
+    /// The attempt is cancelled in any case.
     Always,
 }
 
-/// One attempt to have a request served, or a health check answered, by an endpoint.
+/// An attempt to have a client request or a health check served by an endpoint.
 #[derive(Debug)]
 pub struct Attempt {
-    /// What it is for.
+    /// The purpose of the attempt.
     pub purpose: Purpose,
-    /// The endpoint it goes to.
+    /// The endpoint to which the attempt is sent.
     pub endpoint: EndpointId,
-    /// The endpoint's incarnation when it was picked. It is dropped once the endpoint moves, restarts or stops serving.
+    /// The token of the endpoint's incarnation when the endpoint was picked. The token is dropped once the
+    /// endpoint moves, restarts or stops serving.
     pub incarnation: Weak<()>,
-    /// Where the endpoint listens.
+    /// The address at which the endpoint listens.
     pub address: SocketAddr,
-    /// What is sent.
+    /// The bytes to send.
     pub raw: RawRequest,
-    /// When it is given up.
+    /// The time at which the attempt is given up.
     pub give_up_at: Instant,
-    /// For a retry that endpoints drop as a duplicate only until then: when it must have been sent completely.
+    /// The time by which a retry must have been sent completely, because endpoints drop it as a duplicate
+    /// only until then; `None` for other attempts.
     pub send_by: Option<Instant>,
-    /// Receives its cancellation; a sender that is dropped cancels it as [`Cancellation::Always`] does.
+    /// The channel on which the attempt is cancelled. Dropping the sender acts as [`Cancellation::Always`].
     pub cancelled: oneshot::Receiver<Cancellation>,
 }
 
 impl Attempt {
-    /// The outcome of an attempt that was begun and not sent completely, which proves that it never ran. A send that broke or
-    /// took too long on an open connection counts as `ConnectFailed`, as a failed dial does, since the endpoint did not take
-    /// the request. It is `NotSent` once the attempt's own `send_by` has passed, which is not the endpoint's fault.
+    /// Returns the outcome of an attempt that was not sent completely and therefore has not run. A send that
+    /// failed or took too long on an open connection counts as `ConnectFailed`, because the endpoint did not
+    /// take the request. Once the attempt's `send_by` has passed, the outcome is `NotSent`, because the
+    /// endpoint is not to blame.
     pub(super) fn incomplete_send_outcome(&self) -> Outcome {
         if self.is_past_send_by() {
             Outcome::NotSent
@@ -62,12 +66,12 @@
         }
     }
 
-    /// Whether endpoints may no longer drop it as a duplicate.
+    /// Returns whether endpoints may no longer drop the attempt as a duplicate.
     pub(super) fn is_past_send_by(&self) -> bool {
         self.send_by.is_some_and(|send_by| send_by <= Instant::now())
     }
 
-    /// Whether the endpoint is still in service in the incarnation that was picked.
+    /// Returns whether the endpoint is still in service, in the incarnation that was picked.
     pub(super) fn is_endpoint_in_service(&self) -> bool {
         self.incarnation.strong_count() > 0
     }
--- a/gateway/src/upstream/exchange.rs
+++ b/gateway/src/upstream/exchange.rs
@@ -1,4 +1,4 @@
-//! One attempt over an open connection: sending the request, receiving the response, and the outcome.
+//! One attempt on an open connection: sends the request, receives the response, and determines the outcome.
 use super::attempt::{Attempt, Cancellation, Purpose};
 use super::ExchangeEnd;
 use crate::events::RawRequest;
@@ -18,20 +18,23 @@
 use tokio::time::{sleep_until, timeout, Instant};
 use tracing::debug;
 
-/// The longest pause within a response. A response that stops in its middle is malformed: its length does not fit.
+/// The longest pause between two reads of a response. A response that pauses for longer counts as malformed,
+/// because it is shorter than the length that it states.
 const MAX_RESPONSE_GAP: Duration = Duration::from_millis(250);
-/// The most by which the time left that an endpoint is sent may exceed what is left to the client: an attempt that takes
-/// longer to send is given up.
+/// The largest amount by which the time left that is sent to an endpoint may exceed the client's remaining
+/// time. An attempt that takes longer to send is given up.
 const TIME_LEFT_SLACK: Duration = Duration::from_millis(150);
 /// The longest time for which the process may be preempted between reading its clock and writing.
 const MAX_PREEMPTION: Duration = Duration::from_millis(150);
 
-/// Sends an attempt that was decided on at `decided_at` and waits for its response, until it is given up or cancelled.
+/// Sends an attempt and waits for the response, until the attempt is given up or cancelled. `decided_at` is
+/// the time of the decision to send the attempt.
 pub(super) async fn exchange(
     violations: &Violations, stream: &TcpStream, reader: &mut Reader<StatusLine>, attempt: &mut Attempt,
     decided_at: Instant,
 ) -> ExchangeEnd {
-    // A slow dial or a stalled process may have left disconnects and drains unread, which would deny the attempt.
+    // A client disconnect or an endpoint drain that would deny the attempt may still be unread after a slow
+    // connect or a stall of the process.
     catch_up(decided_at).await;
     if let Err(denial) = check_first_byte(attempt) {
         debug!(purpose = ?attempt.purpose, ?denial, "attempt not sent");
@@ -48,7 +51,7 @@
     }
 }
 
-/// Whether an attempt's first byte may be written now.
+/// Checks that an attempt's first byte may be written now.
 fn check_first_byte(attempt: &mut Attempt) -> Result<(), Denial> {
     FirstByte {
         give_up_at: attempt.give_up_at,
@@ -59,32 +62,38 @@
     .check(Instant::now())
 }
 
-/// Sends an attempt completely; the outcome where that fails. Without its last byte the endpoint cannot have run it.
+/// Sends an attempt completely.
+///
+/// # Errors
+/// Returns the outcome of an attempt that was not sent completely. The endpoint cannot have run such an
+/// attempt.
 async fn send(violations: &Violations, stream: &TcpStream, attempt: &mut Attempt) -> Result<(), Outcome> {
-    let stamped_at = Instant::now();
+    let time_left_read_at = Instant::now();
     let send_by = attempt.send_by.map_or(attempt.give_up_at, |by| by.min(attempt.give_up_at));
-    let send_by = send_by.min(stamped_at + TIME_LEFT_SLACK);
+    let send_by = send_by.min(time_left_read_at + TIME_LEFT_SLACK);
     tokio::select! {
         biased;
         _ = &mut attempt.cancelled => return Err(Outcome::NotSent),
-        sent = write(stream, &attempt.raw, attempt.give_up_at - stamped_at, send_by) => {
+        sent = write(stream, &attempt.raw, attempt.give_up_at - time_left_read_at, send_by) => {
             sent.map_err(|_| attempt.incomplete_send_outcome())?;
         }
         () = sleep_until(send_by) => return Err(attempt.incomplete_send_outcome()),
     }
-    let send_time = stamped_at.elapsed();
+    let send_time = time_left_read_at.elapsed();
     if send_time > TIME_LEFT_SLACK + MAX_PREEMPTION {
         if let Purpose::Request { id, attempt } = attempt.purpose {
             let send_ms = send_time.as_millis();
-            let detail =
-                format_args!("attempt {attempt} took {send_ms} ms to send after its time left was read");
+            let detail = format_args!(
+                "sending attempt {attempt} took {send_ms} ms after the time left was determined"
+            );
             violations.record(Invariant::TimeLeftForwarded, id.0, detail);
         }
     }
     Ok(())
 }
 
-/// Waits until an attempt that has been sent completely is cancelled, which may never be.
+/// Waits until an attempt that has been sent completely is cancelled. Never completes after
+/// [`Cancellation::IfUnsent`].
 async fn cancelled_after_send(cancelled: &mut oneshot::Receiver<Cancellation>) {
     if let Ok(Cancellation::IfUnsent) = cancelled.await {
         std::future::pending().await
@@ -121,9 +130,10 @@
     }
 }
 
-/// What a response says of whether the request has run: 200 is `Served`; 503 and 504 that the endpoint marks as not
-/// processed are `Rejected`. Every other status is `ServerError`, an unmarked 503 or 504 too, as the request may have run; so
-/// is a malformed response and one that stops in its middle (see [`receive`]).
+/// Returns the outcome that corresponds to a complete response. Status 200 is `Served`, and a 503 or 504 that
+/// the endpoint marks as not processed is `Rejected`. Any other response, including an unmarked 503 or 504,
+/// is `ServerError`, because the request may have run. [`receive`] gives the same outcome to a malformed or
+/// interrupted response.
 fn outcome(response: &CompleteMessage<StatusLine>) -> Outcome {
     match response.start_line.code {
         200 => Outcome::Served,
