--- a/gateway/src/upstream/mod.rs
+++ b/gateway/src/upstream/mod.rs
@@ -1,6 +1,7 @@
-//! Connections to endpoints, the attempts sent over them, and how each attempt ends.
+//! Connections to endpoints, and the attempts that are sent over these connections.
 //!
-//! Each connection is a task that carries one attempt at a time and is pooled in between.
+//! Each connection has a task of its own, carries one attempt at a time, and is kept in a pool between
+//! attempts.
 mod attempt;
 mod connection;
 mod exchange;
@@ -21,12 +22,13 @@
 use ternstack_balancer::{EndpointId, Outcome};
 use tokio::time::Instant;
 
-/// A connection is closed after this part of the time after which the endpoint would close it.
+/// The idle timeout of the gateway relative to that of endpoints. The gateway closes an idle connection
+/// first, so that no attempt is sent on a connection that the endpoint is closing.
 const IDLE_TIMEOUT_RATIO: f64 = 0.9;
-/// The longest idle timeout: a day.
+/// The longest idle timeout, in seconds: a day.
 const MAX_IDLE_TIMEOUT_S: f64 = 86_400.0;
 
-/// How an attempt ended, with the endpoint's response if one was received.
+/// The outcome of an attempt, with the endpoint's response if a complete one was received.
 #[derive(Debug)]
 struct ExchangeEnd {
     outcome: Outcome,
@@ -51,8 +53,9 @@
 }
 
 impl Upstream {
-    /// Connections within the budget of `descriptors`. Endpoints close idle connections after `endpoint_idle_timeout_ms`
-    /// milliseconds; these are closed a little earlier.
+    /// Returns the connections to all endpoints, within the budget of `descriptors`. Endpoints close idle
+    /// connections after `endpoint_idle_timeout_ms` milliseconds, and the gateway closes them a little
+    /// earlier.
     pub fn new(
         events: EventSender, descriptors: Arc<Descriptors>, endpoint_idle_timeout_ms: f64,
         connect_timeout: Duration,
@@ -69,9 +72,10 @@
         self
     }
 
-    /// Sends an attempt over an idle connection if there is one, else over a new one.
+    /// Sends an attempt over an idle connection to its endpoint, or over a new connection if none is idle.
+    /// The result is sent to the event loop.
     pub fn start(&self, attempt: Attempt) {
-        let Some(attempt) = self.pool.hand_over(attempt) else { return };
+        let Some(attempt) = self.pool.try_reuse(attempt) else { return };
         let slot = self.connection_slot();
         let upstream = self.clone();
         tokio::spawn(async move {
@@ -87,12 +91,12 @@
         self.pool.close(endpoint);
     }
 
-    /// A descriptor for a new connection. Past the budget, the connection that has been idle for longest is closed for
-    /// it; if none is idle, a client's connection that waits is; `None` if there is none of these either.
+    /// Returns a descriptor for a new connection. If the budget has no room, closes the connection that has
+    /// been idle for longest, or else evicts a client connection. Returns `None` if neither is possible.
     fn connection_slot(&self) -> Option<ConnectionSlot> {
         if !self.descriptors.has_room() && self.pool.close_oldest() {
-            self.descriptors.replace_server();
-        } else if !self.descriptors.open_server() {
+            self.descriptors.replace_upstream();
+        } else if !self.descriptors.open_upstream() {
             return None;
         }
         Some(ConnectionSlot(self.descriptors.clone()))
@@ -117,16 +121,16 @@
                 GatewayEvent::HealthCheckEnded { endpoint: attempt.endpoint, outcome, report }
             }
         };
-        // The event queue closes only when the gateway stops.
+        // The event loop's queue is closed only when the gateway stops.
         let _ = self.events.send(event).await;
     }
 }
 
-/// A connection's descriptor in the budget.
+/// An upstream connection's descriptor in the budget, which is free again once this value is dropped.
 struct ConnectionSlot(Arc<Descriptors>);
 
 impl Drop for ConnectionSlot {
     fn drop(&mut self) {
-        self.0.close_server();
+        self.0.close_upstream();
     }
 }
--- a/gateway/src/upstream/pool.rs
+++ b/gateway/src/upstream/pool.rs
@@ -5,25 +5,28 @@
 use ternstack_balancer::EndpointId;
 use tokio::sync::oneshot;
 
-/// An idle connection. Its task waits for the next attempt; dropping the sender closes it.
+/// An idle connection, whose task waits for the next attempt.
 #[derive(Debug)]
 struct IdleConnection {
     number: u64,
+    /// The channel to the connection's task. Dropping the sender closes the connection.
     next_attempt: oneshot::Sender<Attempt>,
 }
 
+/// The contents of the pool.
 #[derive(Debug, Default)]
 struct Connections {
-    /// By endpoint, the most recently used connection last.
+    /// The idle connections to each endpoint, the most recently used one last.
     idle: BTreeMap<EndpointId, Vec<IdleConnection>>,
     last_number: u64,
 }
 
-/// A connection's place in the pool while it is idle.
-pub(super) struct Offer {
-    /// Identifies the connection for [`Pool::withdraw`].
+/// The pool entry of a connection, held by the connection's task while the connection is idle.
+pub(super) struct PooledConnection {
+    /// The number of the connection, by which [`Pool::remove`] finds it.
     pub(super) number: u64,
-    /// Receives the attempt that it carries next; an error once the pool has closed it.
+    /// The channel on which the next attempt arrives. The channel fails once the pool has closed the
+    /// connection.
     pub(super) next_attempt: oneshot::Receiver<Attempt>,
 }
 
@@ -36,32 +39,33 @@
         self.0.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Hands an attempt to the most recently used idle connection of its endpoint. Gives the attempt back, with nothing
-    /// sent, if its endpoint has no idle connection.
-    pub(super) fn hand_over(&self, mut attempt: Attempt) -> Option<Attempt> {
+    /// Hands an attempt to the most recently used idle connection to the attempt's endpoint. Returns the
+    /// attempt unsent if no connection to the endpoint is idle.
+    pub(super) fn try_reuse(&self, mut attempt: Attempt) -> Option<Attempt> {
         loop {
             let idle = self.lock().idle.get_mut(&attempt.endpoint).and_then(Vec::pop);
             let Some(idle) = idle else { return Some(attempt) };
             match idle.next_attempt.send(attempt) {
                 Ok(()) => return None,
-                // That connection has just closed.
+                // The connection's task has just ended.
                 Err(returned) => attempt = returned,
             }
         }
     }
 
-    /// Adds a connection to an endpoint.
-    pub(super) fn offer(&self, endpoint: EndpointId) -> Offer {
+    /// Adds an idle connection to an endpoint.
+    pub(super) fn insert(&self, endpoint: EndpointId) -> PooledConnection {
         let (sender, next_attempt) = oneshot::channel();
         let mut connections = self.lock();
         connections.last_number += 1;
         let number = connections.last_number;
         connections.idle.entry(endpoint).or_default().push(IdleConnection { number, next_attempt: sender });
-        Offer { number, next_attempt }
+        PooledConnection { number, next_attempt }
     }
 
-    /// Removes a connection that closes by itself.
-    pub(super) fn withdraw(&self, endpoint: EndpointId, number: u64) {
+    /// Removes a connection that its task closes, because of an idle timeout or because the endpoint has
+    /// closed it.
+    pub(super) fn remove(&self, endpoint: EndpointId, number: u64) {
         let mut connections = self.lock();
         if let Some(idle) = connections.idle.get_mut(&endpoint) {
             idle.retain(|connection| connection.number != number);
@@ -71,12 +75,12 @@
         }
     }
 
-    /// Closes all connections to an endpoint.
+    /// Closes all idle connections to an endpoint.
     pub(super) fn close(&self, endpoint: EndpointId) {
         self.lock().idle.remove(&endpoint);
     }
 
-    /// Closes the connection that has been idle for longest; false if there is none.
+    /// Closes the connection that has been idle for longest. Returns false if no connection is idle.
     pub(super) fn close_oldest(&self) -> bool {
         let mut connections = self.lock();
         let oldest = connections
--- a/gateway/tests/budget.rs
+++ b/gateway/tests/budget.rs
@@ -82,10 +82,10 @@
                 self.plan(30, id, ConnectionState::Idle);
             }
         }
-        assert!(self.budget.clients() <= self.budget.max_clients().max(1));
+        assert!(self.budget.client_count() <= self.budget.max_clients().max(1));
         let counted: usize =
             [ConnectionState::New, ConnectionState::Reading, ConnectionState::Open, ConnectionState::Idle]
-                .map(|d| self.budget.count(d))
+                .map(|d| self.budget.count_in(d))
                 .iter()
                 .sum();
         assert_eq!(counted, self.doing.len());
@@ -147,20 +147,20 @@
         .collect();
     clients.iter().for_each(|id| budget.set_state(*id, ConnectionState::Open, 1.0));
     assert_eq!(budget.admit(1000.0), DescriptorGrant::Full, "open requests give way to nobody");
-    assert_eq!((0..100).filter(|_| budget.open_server()).count(), 25);
+    assert_eq!((0..100).filter(|_| budget.open_upstream()).count(), 25);
     assert_eq!(budget.make_room(1000.0), None);
     // Hosts use what clients leave, and keep some room for their next connections.
-    clients[..50].iter().for_each(|id| assert!(budget.leave(*id)));
-    assert_eq!((0..100).filter(|_| budget.open_server()).count(), 50);
+    clients[..50].iter().for_each(|id| assert!(budget.remove(*id)));
+    assert_eq!((0..100).filter(|_| budget.open_upstream()).count(), 50);
     assert_eq!(budget.max_clients(), 25);
     budget.set_state(clients[60], ConnectionState::Idle, 2.0);
     assert_eq!(budget.make_room(1000.0), Some(clients[60]));
-    assert!(budget.open_server() && !budget.open_server());
-    (0..76).for_each(|_| budget.close_server());
+    assert!(budget.open_upstream() && !budget.open_upstream());
+    (0..76).for_each(|_| budget.close_upstream());
     assert_eq!(budget.max_clients(), 75);
-    assert!(!budget.leave(clients[60]), "it has given way before");
+    assert!(!budget.remove(clients[60]), "it has given way before");
     budget.set_state(clients[60], ConnectionState::Open, 3.0);
-    assert_eq!(budget.clients(), 24);
+    assert_eq!(budget.client_count(), 24);
 }
 
 #[test]
@@ -177,10 +177,10 @@
         while budget.evict_surplus_idle(now + 12.0).is_some() {
             ended += 1;
         }
-        most = most.max(budget.clients());
+        most = most.max(budget.client_count());
     }
     assert!(most <= 336 / 8 + 1, "{most}");
-    assert_eq!(ended, 600 - budget.clients());
+    assert_eq!(ended, 600 - budget.client_count());
 
     // Those that were busy a moment ago are left alone: their next request may be on its way.
     let mut budget = DescriptorBudget::new(80);
--- a/gateway/tests/parsers.rs
+++ b/gateway/tests/parsers.rs
@@ -130,17 +130,17 @@
     let long = format!("X-Long: {}", "x".repeat(MAX_HEAD_BYTES));
     let many = vec!["X-Many: 1"; 70].join("\r\n");
     for (fields, malformed) in [
-        ("Content-Length: -1", ParseError::Length),
-        ("Content-Length: +1", ParseError::Length),
-        ("Content-Length: 1, 1", ParseError::Length),
-        ("Content-Length: 1\r\nContent-Length: 2", ParseError::Length),
-        ("Content-Length: 1\r\nTransfer-Encoding: chunked", ParseError::Length),
-        ("Transfer-Encoding: gzip, chunked", ParseError::Length),
-        ("Transfer-Encoding: chunked\r\n\r\nzz", ParseError::Length),
+        ("Content-Length: -1", ParseError::InvalidLength),
+        ("Content-Length: +1", ParseError::InvalidLength),
+        ("Content-Length: 1, 1", ParseError::InvalidLength),
+        ("Content-Length: 1\r\nContent-Length: 2", ParseError::InvalidLength),
+        ("Content-Length: 1\r\nTransfer-Encoding: chunked", ParseError::InvalidLength),
+        ("Transfer-Encoding: gzip, chunked", ParseError::InvalidLength),
+        ("Transfer-Encoding: chunked\r\n\r\nzz", ParseError::InvalidLength),
         ("Transfer-Encoding: chunked\r\n\r\nffffffffffffffffff", ParseError::BodyTooLarge),
         ("Content-Length: 65537", ParseError::BodyTooLarge),
         ("Content-Length: 99999999999999999999999", ParseError::BodyTooLarge),
-        ("No colon", ParseError::Head),
+        ("No colon", ParseError::MalformedHead),
         (&long, ParseError::HeadTooLarge),
         (&many, ParseError::HeadTooLarge),
     ] {
@@ -148,7 +148,7 @@
         assert_eq!(end, (Vec::new(), Err(malformed)), "{}", &fields[..fields.len().min(60)]);
     }
     let interim = "HTTP/1.1 100 Continue\r\n\r\n".repeat(17) + "HTTP/1.1 204 No\r\n\r\n";
-    assert_eq!(read::<StatusLine>(interim.as_bytes(), &[]), (Vec::new(), Err(ParseError::Head)));
+    assert_eq!(read::<StatusLine>(interim.as_bytes(), &[]), (Vec::new(), Err(ParseError::MalformedHead)));
     assert_eq!(read::<StatusLine>(&interim.as_bytes()[25..], &[]).0.len(), 1);
     let whole = format!("{}{}", head("Content-Length: 65536"), "x".repeat(MAX_BODY_BYTES));
     assert_eq!(read::<RequestLine>(whole.as_bytes(), &[250; 300]).0[0].body.len(), MAX_BODY_BYTES);
--- a/gateway/tests/program.rs
+++ b/gateway/tests/program.rs
@@ -119,7 +119,7 @@
     let text = config(vec![], before.at).to_string();
     std::fs::write(&program.file, &text[..text.len() / 2]).expect("written");
     program.signal("HUP");
-    program.logs("LB_CONFIG is no JSON");
+    program.logs("LB_CONFIG: invalid JSON");
     std::fs::write(&program.file, &text).expect("written");
     assert_eq!(before.call().await.0, "/v1/endpoints");
     assert_eq!(program.terminate(), Some(0));
--- a/gateway/tests/same_bytes.rs
+++ b/gateway/tests/same_bytes.rs
@@ -354,9 +354,12 @@
             word(format!("plain {keep_alive}"), plain.encode(keep_alive));
         }
     }
-    for malformed in
-        [ParseError::Head, ParseError::Length, ParseError::HeadTooLarge, ParseError::BodyTooLarge]
-    {
+    for malformed in [
+        ParseError::MalformedHead,
+        ParseError::InvalidLength,
+        ParseError::HeadTooLarge,
+        ParseError::BodyTooLarge,
+    ] {
         word("malformed".into(), LocalResponse::from(malformed).encode(false));
     }
     assert_fixture("final_answers.txt", &lines);
