--- a/gateway/src/event_loop/attempts.rs
+++ b/gateway/src/event_loop/attempts.rs
@@ -1,6 +1,6 @@
 //! Attempts and health checks of the event loop: sending, cancellation and the handling of results.
 use super::endpoints::ReachableEndpoint;
-use super::open_requests::SentAttempt;
+use super::open_requests::AttemptRecord;
 use super::EventLoop;
 use crate::events::{AttemptResult, RawRequest, Response};
 use crate::invariants::Invariant;
@@ -36,7 +36,7 @@
             in_flight: true,
         };
         let (cancel, cancelled) = oneshot::channel();
-        let attempt = SentAttempt { endpoint, sent_at_ms: self.now_ms, prior, cancel: Some(cancel) };
+        let attempt = AttemptRecord { endpoint, requested_at_ms: self.now_ms, prior, cancel: Some(cancel) };
         let number = request.push_attempt(attempt);
         match (permit, reachable) {
             (Ok(()), Some(ReachableEndpoint { address, incarnation, .. })) => {
@@ -61,6 +61,7 @@
         }
     }
 
+    /// Ends an attempt that is not permitted, and records the violated invariant if the denial violates one.
     fn deny_attempt(&mut self, id: RequestId, number: u32, endpoint: EndpointId, denial: Denial) {
         debug!(request_id = id.0, attempt = number, endpoint_id = endpoint.0, ?denial, "attempt not sent");
         if let Some(invariant) = denial.violated_invariant() {
@@ -78,13 +79,15 @@
         }
     }
 
+    /// Handles the result of an attempt: responds to the request if an endpoint has served it, and notifies
+    /// the balancer.
     pub(super) fn on_attempt_ended(&mut self, result: AttemptResult) {
         let AttemptResult { request: id, attempt: number, outcome, ended_at, report, response } = result;
         let Some(attempt) = self.requests.attempt(id, number) else {
-            let detail = format_args!("attempt {number} ended but was never sent");
+            let detail = format_args!("attempt {number} ended but is not known");
             return self.violations.record(Invariant::AttemptKnown, id.0, detail);
         };
-        let latency_ms = (self.clock.at(ended_at) - attempt.sent_at_ms).max(0.0);
+        let latency_ms = (self.clock.at(ended_at) - attempt.requested_at_ms).max(0.0);
         if let Some(endpoint) = self.endpoints.describe(attempt.endpoint) {
             let has_started = endpoint.started_at_ms > 0.0;
             let uptime_ms = has_started.then_some(self.now_ms - endpoint.started_at_ms);
--- a/gateway/src/event_loop/open_requests.rs
+++ b/gateway/src/event_loop/open_requests.rs
@@ -17,18 +17,19 @@
     pub(super) raw: RawRequest,
     /// The channel to the client connection; `None` once the response has been sent on it.
     respond_to: Option<oneshot::Sender<Response>>,
-    /// The request's attempts in the order sent. The index of an attempt is its number.
-    pub(super) attempts: Vec<SentAttempt>,
+    /// The request's attempts in the order in which the balancer asked for them. The index of an attempt is
+    /// its number.
+    pub(super) attempts: Vec<AttemptRecord>,
     in_flight_count: usize,
 }
 
 /// An attempt that the balancer has asked for, including one that was denied.
-pub(super) struct SentAttempt {
+pub(super) struct AttemptRecord {
     /// The endpoint that the balancer picked.
     pub(super) endpoint: EndpointId,
     /// The time at which the balancer asked for the attempt, in milliseconds of Unix time by the gateway's
     /// clock.
-    pub(super) sent_at_ms: f64,
+    pub(super) requested_at_ms: f64,
     /// The state of the attempt that decides whether a later attempt of the request may begin.
     pub(super) prior: PriorAttempt,
     /// The channel that cancels the attempt; `None` once a cancellation has been sent.
@@ -85,7 +86,7 @@
     }
 
     /// Adds an attempt in flight, and returns its number among the attempts of the request.
-    pub(super) fn push_attempt(&mut self, attempt: SentAttempt) -> u32 {
+    pub(super) fn push_attempt(&mut self, attempt: AttemptRecord) -> u32 {
         let number = self.attempts.len() as u32;
         self.attempts.push(attempt);
         self.in_flight_count += 1;
@@ -126,12 +127,12 @@
     }
 
     /// Returns an attempt by its request and its number among the attempts of that request.
-    pub(super) fn attempt(&self, id: RequestId, number: u32) -> Option<&SentAttempt> {
+    pub(super) fn attempt(&self, id: RequestId, number: u32) -> Option<&AttemptRecord> {
         self.get(id)?.attempts.get(number as usize)
     }
 
     /// Returns an attempt by its request and its number among the attempts of that request.
-    pub(super) fn attempt_mut(&mut self, id: RequestId, number: u32) -> Option<&mut SentAttempt> {
+    pub(super) fn attempt_mut(&mut self, id: RequestId, number: u32) -> Option<&mut AttemptRecord> {
         self.get_mut(id)?.attempts.get_mut(number as usize)
     }
 
--- a/gateway/src/listener/connection.rs
+++ b/gateway/src/listener/connection.rs
@@ -171,6 +171,7 @@
         Ok(IdleEnd::Bytes)
     }
 
+    /// Reads the next request, which must be complete within [`REQUEST_READ_TIMEOUT`].
     async fn read_request(&mut self) -> ReadOutcome {
         let begun_at = if self.has_begun_request { Instant::now() } else { self.accepted_at };
         self.has_begun_request = true;
--- a/gateway/src/upstream/exchange.rs
+++ b/gateway/src/upstream/exchange.rs
@@ -109,6 +109,8 @@
     sockets::write_all_while(stream, &mut bytes, || Instant::now() < send_by).await
 }
 
+/// Receives the response to an attempt. A malformed response, or one that pauses for longer than
+/// [`MAX_RESPONSE_GAP`], is a `ServerError`, because the endpoint may have run the request.
 async fn receive(stream: &TcpStream, reader: &mut Reader<StatusLine>) -> ExchangeEnd {
     let mut is_closed = false;
     loop {
