--- a/control-plane/src/gateway_client/mod.rs
+++ b/control-plane/src/gateway_client/mod.rs
@@ -193,8 +193,8 @@
         self.clock
     }
 
-    /// Messages and bytes so far, in both directions.
-    pub fn counts(&self) -> Traffic {
+    /// Returns the messages and bytes read and written so far, by cause.
+    pub fn traffic(&self) -> Traffic {
         self.traffic.counts()
     }
 
--- a/control-plane/src/server/mod.rs
+++ b/control-plane/src/server/mod.rs
@@ -73,8 +73,8 @@
         }
     }
 
-    /// Messages and bytes so far, in both directions.
-    pub fn counts(&self) -> Traffic {
+    /// Returns the messages and bytes read and written so far, by cause.
+    pub fn traffic(&self) -> Traffic {
         self.traffic.counts()
     }
 
--- a/control-plane/tests/replication.rs
+++ b/control-plane/tests/replication.rs
@@ -80,7 +80,7 @@
     first.snapshot = snapshot_config(&path);
     let mut gateway = Gateway::start(first.clone());
     gateway.whole().await;
-    let start = gateway.client.counts().read.fetches;
+    let start = gateway.client.traffic().read.fetches;
     assert!(start.messages > 0 && start.bytes > 400 * 15, "{start:?}");
     gateway.client.write_snapshot().await.expect("it is written");
     drop(gateway);
@@ -93,7 +93,7 @@
     let mut back = Gateway::start(first.clone());
     back.acts_on(number).await;
     assert!(drains(&back.client, 5) && !drains(&back.client, 6));
-    let counts = back.client.counts().read;
+    let counts = back.client.traffic().read;
     // A scope without entries is in no snapshot, and told anew.
     assert!(counts.fetches.bytes < 100 && counts.changes.bytes < 100, "{counts:?}");
     let digest = |g: &Gateway| g.client.with_core(|core, _| core.storage().total_digest());
@@ -109,7 +109,7 @@
     first.member.incarnation = 3;
     let mut again = Gateway::start(first);
     again.whole().await;
-    assert!(again.client.counts().read.fetches.bytes > 400 * 15);
+    assert!(again.client.traffic().read.fetches.bytes > 400 * 15);
     assert_eq!(digest(&again), digest(&watcher));
 }
 
--- a/scale-tests/src/hollow.rs
+++ b/scale-tests/src/hollow.rs
@@ -294,7 +294,7 @@
             let mut kept = lock(&last.kept);
             kept.track.ends(now_us());
             seat.past.push(std::mem::take(&mut kept.track));
-            seat.spent = seat.spent.plus(&Traffic::of(&last.client.counts()));
+            seat.spent = seat.spent.plus(&Traffic::of(&last.client.traffic()));
         }
         self.seats = seats;
     }
@@ -319,7 +319,7 @@
                 report.went_back += track.went_back();
                 report.reached.take(track, versions);
             }
-            let traffic = seat.spent.plus(&Traffic::of(&client.counts()));
+            let traffic = seat.spent.plus(&Traffic::of(&client.traffic()));
             report.most_bytes = report.most_bytes.max(traffic.all_read().bytes as u64);
             report.traffic = report.traffic.plus(&traffic);
         }
