--- a/control-plane/src/admin_client.rs
+++ b/control-plane/src/admin_client.rs
@@ -1,4 +1,4 @@
-//! Admin requests to control servers: one connection, one request, one response.
+//! Sends admin requests to control servers. Each request has a connection of its own and gets one response.
 use crate::frames::{write_message, ConnectionError, FrameReader};
 use std::io;
 use std::net::SocketAddr;
@@ -9,46 +9,50 @@
 use tokio::net::TcpStream;
 use tokio::time::timeout;
 
-/// The id of the only proposal of a connection.
+/// The id of every proposal. The ids need not differ because each connection carries only one proposal.
 const PROPOSAL_ID: u64 = 1;
 
-/// An admin request that failed at a server.
+/// An error of an admin request to one server.
 #[derive(Debug, Error)]
 #[error("{server}: {cause}")]
 pub struct AdminError {
-    /// The address of the server.
+    /// The address of the server that the request was for.
     pub server: SocketAddr,
-    /// What failed.
+    /// The part of the request that failed.
     pub cause: AdminFailure,
 }
 
-/// What failed in an admin request.
+/// The cause of an [`AdminError`].
 #[derive(Debug, Error)]
 pub enum AdminFailure {
-    /// The server could not be connected.
-    #[error("{0}")]
+    /// No connection to the server could be established.
+    #[error("could not connect: {0}")]
     Connect(io::Error),
     /// The request could not be sent, or the response could not be read.
-    #[error("{0}")]
+    #[error(transparent)]
     Frame(#[from] ConnectionError),
-    /// The server closed the connection without a response.
-    #[error("it ended the connection")]
+    /// The server closed the connection without sending a response.
+    #[error("the server closed the connection without a response")]
     Closed,
-    /// There was no response in time.
-    #[error("no answer within {} s", .0.as_secs_f64())]
+    /// No response was received within the time limit, which is the value.
+    #[error("no response within {} s", .0.as_secs_f64())]
     TimedOut(Duration),
-    /// The server rejected the proposal, for this reason.
-    #[error("refused: {0}")]
+    /// The server rejected the proposal. The value is the reason that the server sent.
+    #[error("proposal rejected: {0}")]
     Rejected(String),
     /// The response to a status request is not a status.
-    #[error("expected a status")]
+    #[error("unexpected response, expected a status")]
     NotAStatus,
-    /// The response to a proposal is not one to this proposal.
-    #[error("expected a version, or why there is none")]
+    /// The response to a proposal is not a result, or is the result of another proposal.
+    #[error("unexpected response, expected a revision or a rejection")]
     NotAProposalResult,
 }
 
-/// Requests the status of a server. `time_limit` covers connecting, sending and the response.
+/// Requests the status of a server.
+///
+/// # Errors
+/// An [`AdminError`] if connecting, sending and receiving together take longer than `time_limit`, if one of
+/// them fails, or if the response is not a status.
 pub async fn status(server: SocketAddr, time_limit: Duration) -> Result<Status, AdminError> {
     let response = request(server, &Message::GetStatus, time_limit).await;
     let status = response.and_then(|message| match message {
@@ -58,8 +62,12 @@
     status.map_err(|cause| AdminError { server, cause })
 }
 
-/// Proposes changes to the primary and returns the version that they are part of, which comes into force later. `time_limit`
-/// covers connecting, sending and the response.
+/// Proposes changes to the primary and returns the revision that they became part of. The revision is agreed,
+/// and comes into force later.
+///
+/// # Errors
+/// An [`AdminError`] if connecting, sending and receiving together take longer than `time_limit`, if one of
+/// them fails, or if the server rejects the proposal, as every replica does.
 pub async fn propose(
     server: SocketAddr, changes: Vec<Change>, time_limit: Duration,
 ) -> Result<Revision, AdminError> {
--- a/control-plane/src/cli.rs
+++ b/control-plane/src/cli.rs
@@ -1,40 +1,40 @@
-//! The command line.
+//! The command line of `ternstack-control`. The doc comments of the arguments are the `--help` texts.
 use clap::{Args, Parser, Subcommand};
 use std::path::PathBuf;
 use tracing::level_filters::LevelFilter;
 
-/// The control servers, which replicate the configuration to gateways, and their admin commands.
+/// Runs the control servers, which replicate configuration to gateways, and sends them admin requests.
 #[derive(Parser)]
 #[command(version)]
 pub struct Cli {
-    /// What to do.
+    /// The subcommand to run.
     #[command(subcommand)]
     pub command: Command,
 }
 
-/// A subcommand.
+/// A subcommand of `ternstack-control`.
 #[derive(Subcommand)]
 pub enum Command {
-    /// Runs the primary: puts proposals together into versions and brings them into force.
+    /// Runs the primary, which combines proposals into revisions and brings the revisions into force.
     Origin(ServeArguments),
-    /// Runs a replica: stands between the origin and gateways.
+    /// Runs a replica, which follows the origin and serves gateways.
     Distributor(ServeArguments),
-    /// Proposes a file's changes to the origin.
+    /// Proposes the changes of a file to the origin.
     Propose(ProposeArguments),
-    /// Requests the status of every control machine.
+    /// Prints the status of every control server.
     Status(StatusArguments),
 }
 
 /// The arguments of `origin` and `distributor`.
 #[derive(Args)]
 pub struct ServeArguments {
-    /// The operators' file.
+    /// Path of the operators' file.
     #[arg(long)]
     pub operator: PathBuf,
-    /// This machine's name in it.
+    /// Name of this server's `[[machine]]` section in the operators' file.
     #[arg(long)]
     pub name: String,
-    /// Least severe log lines: off, error, warn, info, debug or trace.
+    /// Lowest severity that is logged: off, error, warn, info, debug or trace.
     #[arg(long, default_value = "info")]
     pub log: LevelFilter,
 }
@@ -42,29 +42,29 @@
 /// The arguments of `propose`.
 #[derive(Args)]
 pub struct ProposeArguments {
-    /// The operators' file.
+    /// Path of the operators' file.
     #[arg(long)]
     pub operator: PathBuf,
-    /// How long to wait, in s.
+    /// Time limit of the whole command, in seconds.
     #[arg(long, default_value_t = 15.0)]
     pub within: f64,
-    /// Ends once the changes are agreed, and does not wait until they are in force.
+    /// Ends as soon as the changes are agreed, without waiting until they are in force.
     #[arg(long)]
     pub agreed: bool,
-    /// The changes.
+    /// Path of the file of changes.
     pub changes: PathBuf,
 }
 
 /// The arguments of `status`.
 #[derive(Args)]
 pub struct StatusArguments {
-    /// The operators' file.
+    /// Path of the operators' file.
     #[arg(long)]
     pub operator: PathBuf,
-    /// How long to wait for each, in s.
+    /// Time limit of the request to each server, in seconds.
     #[arg(long, default_value_t = 2.0)]
     pub within: f64,
-    /// A line of JSON for each machine.
+    /// Prints one line of JSON for each server instead of a table.
     #[arg(long)]
     pub json: bool,
 }
--- a/control-plane/src/clock.rs
+++ b/control-plane/src/clock.rs
@@ -1,11 +1,12 @@
-//! A monotonic clock in milliseconds, the time base of the replication state machines.
+//! A monotonic clock in milliseconds, which the replication state machines take their times from.
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// The longest time from now to an instant that [`Clock::instant_at`] returns, in ms: a day.
+/// The longest time from now to an instant that [`Clock::instant_at`] returns: one day. Infinity stands for
+/// "no deadline" and has no [`Instant`].
 const MAX_WAIT_MS: f64 = 86_400_000.0;
 
-/// Milliseconds since the clock was started. Copies tell the same time.
+/// A clock that counts milliseconds from its start. Copies of a clock share its start and show the same time.
 #[derive(Clone, Copy, Debug)]
 pub struct Clock {
     started_at: Instant,
@@ -17,13 +18,13 @@
         Clock { started_at: Instant::now() }
     }
 
-    /// The time since the start, in ms.
+    /// Returns the time since the start of the clock, in ms.
     pub fn now_ms(&self) -> f64 {
         self.started_at.elapsed().as_secs_f64() * 1000.0
     }
 
-    /// The instant of a time in ms of this clock. Times before the start become the start; times later than a day from now,
-    /// infinity and NaN become a day from now.
+    /// Returns the instant at which this clock shows `time_ms`. A negative time gives the start of the clock;
+    /// a time more than a day ahead, infinity and NaN give the instant a day from now.
     pub fn instant_at(&self, time_ms: f64) -> Instant {
         let latest_ms = self.now_ms() + MAX_WAIT_MS;
         // `f64::min` returns the other operand for NaN.
--- a/control-plane/src/commands/mod.rs
+++ b/control-plane/src/commands/mod.rs
@@ -1,4 +1,4 @@
-//! The subcommands, and how their errors become exit codes.
+//! The subcommands of `ternstack-control`, and the exit codes of their errors.
 use std::io;
 use std::net::SocketAddr;
 use std::process::ExitCode;
@@ -16,77 +16,77 @@
 pub use serve::serve;
 pub use status::status;
 
-/// The exit code for a server that could not be reached, rejected a proposal or was too late.
-const EXIT_FAILED: u8 = 1;
-/// The exit code for a wrong flag or file.
+/// The exit code if a server could not be reached, rejected a proposal or did not respond in time.
+const EXIT_FAILURE: u8 = 1;
+/// The exit code if a flag or a file is not valid.
 const EXIT_INVALID_INPUT: u8 = 2;
-/// The shortest `--within`.
+/// The smallest value of `--within`.
 const MIN_TIME_LIMIT_S: f64 = 0.1;
-/// The longest `--within`.
+/// The largest value of `--within`.
 const MAX_TIME_LIMIT_S: f64 = 3600.0;
 
-/// Why a subcommand failed.
+/// An error of a subcommand.
 #[derive(Debug, Error)]
 pub enum CommandError {
-    /// The operators' file could not be read.
-    #[error("{0}")]
+    /// The operators' file could not be read, or is not valid.
+    #[error(transparent)]
     OperatorFile(#[from] OperatorFileError),
-    /// The operators' file has no server of that name and role.
-    #[error("{0}")]
+    /// The operators' file has no server with the given name and role.
+    #[error(transparent)]
     UnknownServer(#[from] UnknownServer),
     /// The file of changes could not be read.
-    #[error("{file}: {cause}")]
+    #[error("could not read {file}: {cause}")]
     ReadChanges {
-        /// The file.
+        /// The path of the file.
         file: String,
-        /// The cause.
+        /// The error of the file system.
         cause: io::Error,
     },
     /// The file of changes is not valid.
-    #[error("{0}")]
+    #[error(transparent)]
     InvalidChanges(#[from] InvalidFile),
     /// A time limit is out of range.
     #[error("{flag} {value}: expected a number of seconds from {MIN_TIME_LIMIT_S} to {MAX_TIME_LIMIT_S}")]
     TimeLimit {
-        /// The flag.
+        /// The flag that sets the time limit.
         flag: &'static str,
-        /// Its value, in s.
+        /// The value of the flag, in s.
         value: f64,
     },
-    /// The server could not listen, or could not handle signals.
-    #[error("{address}: {cause}")]
+    /// The server could not listen on its address, or could not install signal handlers.
+    #[error("could not serve on {address}: {cause}")]
     Serve {
-        /// The address to listen on.
+        /// The address on which the server was to listen.
         address: SocketAddr,
-        /// The cause.
+        /// The error of the operating system.
         cause: io::Error,
     },
     /// The operators' file has no primary.
-    #[error("there is no origin")]
+    #[error("the operators' file has no machine with the role origin")]
     NoPrimary,
     /// An admin request failed.
-    #[error("{0}")]
+    #[error(transparent)]
     Admin(#[from] AdminError),
-    /// An agreed version did not come into force in time.
-    #[error("{server}: version {version} is not in force yet")]
+    /// An agreed revision did not come into force within the time limit.
+    #[error("{server}: revision {revision} is agreed, but did not come into force in time")]
     NotInForce {
-        /// The primary.
+        /// The address of the primary.
         server: SocketAddr,
-        /// The version.
-        version: Revision,
+        /// The agreed revision.
+        revision: Revision,
     },
-    /// Servers did not respond to status requests.
-    #[error("{silent_count} of {server_count} machines did not answer")]
-    SilentServers {
-        /// How many did not respond.
-        silent_count: usize,
-        /// How many were asked.
-        server_count: usize,
+    /// Some servers did not respond to status requests.
+    #[error("{unresponsive} of {total} machines did not respond")]
+    UnresponsiveServers {
+        /// The number of servers that did not respond.
+        unresponsive: usize,
+        /// The number of servers in the operators' file.
+        total: usize,
     },
 }
 
 impl CommandError {
-    /// The exit code of the program.
+    /// Returns the exit code of the program for the error.
     pub fn exit_code(&self) -> ExitCode {
         match self {
             CommandError::OperatorFile(_)
@@ -98,12 +98,15 @@
             | CommandError::NoPrimary
             | CommandError::Admin(_)
             | CommandError::NotInForce { .. }
-            | CommandError::SilentServers { .. } => ExitCode::from(EXIT_FAILED),
+            | CommandError::UnresponsiveServers { .. } => ExitCode::from(EXIT_FAILURE),
         }
     }
 }
 
-/// The time limit that `--within` gives, in s.
+/// Returns the time limit for a value of `--within`.
+///
+/// # Errors
+/// [`CommandError::TimeLimit`] if the value is out of range.
 fn time_limit(within_s: f64) -> Result<Duration, CommandError> {
     if !(MIN_TIME_LIMIT_S..=MAX_TIME_LIMIT_S).contains(&within_s) {
         return Err(CommandError::TimeLimit { flag: "--within", value: within_s });
--- a/control-plane/src/commands/propose.rs
+++ b/control-plane/src/commands/propose.rs
@@ -1,4 +1,4 @@
-//! `propose`: proposes a file of changes, and waits until they are in force.
+//! The `propose` subcommand, which proposes the changes of a file and waits until they are in force.
 use super::{time_limit, CommandError};
 use crate::cli::ProposeArguments;
 use std::net::SocketAddr;
@@ -8,10 +8,10 @@
 use ternstack_replication::scope::Revision;
 use tokio::time::{sleep, Instant};
 
-/// The interval at which the primary is asked whether a version is in force.
+/// The interval of the status requests by which the command waits for a revision to come into force.
 const STATUS_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Proposes to the first primary that agrees, within the time limit.
+/// Proposes the changes to one primary after another until one accepts, within the time limit.
 pub async fn propose(arguments: ProposeArguments) -> Result<(), CommandError> {
     let time_limit = time_limit(arguments.within)?;
     let operator = OperatorFile::from_file(&arguments.operator)?;
@@ -23,12 +23,12 @@
     let mut failure = CommandError::NoPrimary;
     for primary in operator.primary_addresses() {
         match admin_client::propose(primary, changes.clone(), remaining(deadline)).await {
-            Ok(version) => {
-                println!("version {version} is agreed");
+            Ok(revision) => {
+                println!("revision {revision} is agreed");
                 if arguments.agreed {
                     return Ok(());
                 }
-                return wait_until_in_force(primary, version, deadline).await;
+                return wait_until_in_force(primary, revision, deadline).await;
             }
             Err(error) => failure = error.into(),
         }
@@ -37,15 +37,15 @@
 }
 
 async fn wait_until_in_force(
-    primary: SocketAddr, version: Revision, deadline: Instant,
+    primary: SocketAddr, revision: Revision, deadline: Instant,
 ) -> Result<(), CommandError> {
     loop {
         let remaining = remaining(deadline);
         if remaining.is_zero() {
-            return Err(CommandError::NotInForce { server: primary, version });
+            return Err(CommandError::NotInForce { server: primary, revision });
         }
-        if admin_client::status(primary, remaining).await?.in_force >= version {
-            println!("version {version} is in force");
+        if admin_client::status(primary, remaining).await?.in_force >= revision {
+            println!("revision {revision} is in force");
             return Ok(());
         }
         sleep(STATUS_INTERVAL).await;
--- a/control-plane/src/commands/serve.rs
+++ b/control-plane/src/commands/serve.rs
@@ -1,4 +1,4 @@
-//! `origin` and `distributor`: run a control server until a signal stops it.
+//! The `origin` and `distributor` subcommands, which run a control server until a signal arrives.
 use super::CommandError;
 use crate::cli::ServeArguments;
 use std::convert::Infallible;
@@ -10,7 +10,7 @@
 use tokio::signal::unix::{signal, SignalKind};
 use tracing::info;
 
-/// Serves until SIGTERM or SIGINT.
+/// Runs a control server until SIGTERM or SIGINT arrives.
 pub async fn serve(arguments: ServeArguments, role: ServerRole) -> Result<(), CommandError> {
     tracing_subscriber::fmt()
         .with_max_level(arguments.log)
@@ -20,10 +20,10 @@
     let name = arguments.name;
     let operator = OperatorFile::from_file(&arguments.operator)?;
     let address = operator.server(&name, role)?.address;
-    let failed = |cause: io::Error| CommandError::Serve { address, cause };
-    let mut terminate = signal(SignalKind::terminate()).map_err(failed)?;
-    let mut interrupt = signal(SignalKind::interrupt()).map_err(failed)?;
-    let listener = TcpListener::bind(address).await.map_err(failed)?;
+    let serve_error = |cause: io::Error| CommandError::Serve { address, cause };
+    let mut terminate = signal(SignalKind::terminate()).map_err(serve_error)?;
+    let mut interrupt = signal(SignalKind::interrupt()).map_err(serve_error)?;
+    let listener = TcpListener::bind(address).await.map_err(serve_error)?;
     info!(name, %address, ?role, "serving");
     tokio::select! {
         never = run(&name, role, &operator, listener) => match never {},
--- a/control-plane/src/commands/status.rs
+++ b/control-plane/src/commands/status.rs
@@ -1,4 +1,4 @@
-//! `status`: prints the status of every control server, as a table or as JSON lines.
+//! The `status` subcommand, which prints the status of every control server as a table or as JSON lines.
 use super::{time_limit, CommandError};
 use crate::cli::StatusArguments;
 use ternstack_control_plane::admin_client;
@@ -6,28 +6,28 @@
 use ternstack_replication::wire::{Status, TrafficByCause};
 use tracing::error;
 
-/// Requests the status of each server in turn.
+/// Requests and prints the status of one server after another.
 pub async fn status(arguments: StatusArguments) -> Result<(), CommandError> {
     let time_limit = time_limit(arguments.within)?;
     let operator = OperatorFile::from_file(&arguments.operator)?;
     if !arguments.json {
         print_table_head();
     }
-    let mut silent_count = 0;
+    let mut unresponsive = 0;
     for server in &operator.servers {
         match admin_client::status(server.address, time_limit).await {
             Ok(status) if arguments.json => print_json_line(&status),
             Ok(status) => print_table_row(&status),
             Err(failure) => {
-                silent_count += 1;
-                error!("{failure}");
+                unresponsive += 1;
+                error!("status request failed: {failure}");
                 println!("{:<20} {failure}", server.name);
             }
         }
     }
-    if silent_count > 0 {
-        let server_count = operator.servers.len();
-        return Err(CommandError::SilentServers { silent_count, server_count });
+    if unresponsive > 0 {
+        let total = operator.servers.len();
+        return Err(CommandError::UnresponsiveServers { unresponsive, total });
     }
     Ok(())
 }
@@ -55,7 +55,7 @@
         status.in_force,
         status.through,
         status.followers,
-        status.lease_ms.map_or("-".into(), |ms| ms.to_string()),
+        status.lease_ms.map_or("-".into(), |lease_ms| lease_ms.to_string()),
         total_bytes(&status.traffic.read),
         total_bytes(&status.traffic.written),
         status.digest.0
@@ -63,6 +63,6 @@
 }
 
 fn total_bytes(causes: &TrafficByCause) -> u64 {
-    let tallies = [causes.polls, causes.leases, causes.changes, causes.fetches, causes.admin];
-    tallies.iter().map(|tally| tally.bytes).sum()
+    let counts = [causes.polls, causes.leases, causes.changes, causes.fetches, causes.admin];
+    counts.iter().map(|count| count.bytes).sum()
 }
--- a/control-plane/src/frames.rs
+++ b/control-plane/src/frames.rs
@@ -1,27 +1,29 @@
-//! Reads and writes control messages, framed by [`wire`](ternstack_replication::wire), on byte streams with bounded buffers.
+//! Reads and writes control messages on byte streams, with bounded buffers. The frames are those of [`wire`].
 use bytes::{BufMut, BytesMut};
 use std::io;
 use ternstack_replication::wire::{self, decode, encode, Message, MAX_FRAME_BYTES};
 use thiserror::Error;
 use tokio::io::{AsyncRead, AsyncReadExt, AsyncWrite, AsyncWriteExt};
 
-/// Capacity that an empty buffer keeps; more is freed, since thousands of connections have a buffer each.
+/// The largest capacity that an empty buffer keeps. Larger buffers are freed because a server has thousands
+/// of connections with a buffer each.
 const IDLE_BUFFER_BYTES: usize = 2048;
-/// The least capacity that a full buffer grows by.
+/// The smallest amount by which the capacity of a full buffer grows.
 const MIN_BUFFER_GROWTH_BYTES: usize = IDLE_BUFFER_BYTES / 4;
-/// The most capacity that a full buffer grows by, so that a length field alone reserves nothing.
+/// The largest amount by which the capacity of a full buffer grows. A peer cannot make the reader reserve a
+/// whole frame by sending only the length field.
 const MAX_BUFFER_GROWTH_BYTES: usize = 16 << 10;
 
-/// Why no message could be read from or written to a connection.
+/// An error of reading or writing a message on a connection.
 #[derive(Debug, Error)]
 pub enum ConnectionError {
-    /// A frame is malformed. The connection cannot continue, since the start of the next frame is unknown.
-    #[error("{0}")]
+    /// A frame is malformed. The connection has to be closed because the start of the next frame is unknown.
+    #[error("malformed frame: {0}")]
     Malformed(wire::FrameError),
     /// The stream ended within a frame.
-    #[error("the connection ended after {received_bytes} bytes of a frame, expected all of it")]
+    #[error("the connection ended after {received_bytes} bytes of a frame, expected the whole frame")]
     Truncated {
-        /// The bytes of the frame that have come.
+        /// The number of bytes of the frame that were received.
         received_bytes: usize,
     },
     /// Reading or writing failed.
@@ -29,16 +31,16 @@
     Io(io::Error),
 }
 
-/// A message and its size on the wire.
+/// A message that was read from a connection, and its size on the wire.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ReceivedMessage {
-    /// The message.
+    /// The decoded message.
     pub message: Message,
-    /// The length of its frame, header included.
+    /// The length of the frame that held the message, header included.
     pub frame_bytes: usize,
 }
 
-/// Reads messages from a stream. Buffers at most [`MAX_FRAME_BYTES`] bytes.
+/// A reader of messages from a stream. The reader buffers at most [`MAX_FRAME_BYTES`] bytes.
 #[derive(Debug)]
 pub struct FrameReader<R> {
     stream: R,
@@ -47,12 +49,16 @@
 }
 
 impl<R: AsyncRead + Unpin> FrameReader<R> {
-    /// Reads from `stream`.
+    /// Creates a reader of `stream`, with an empty buffer.
     pub fn new(stream: R) -> Self {
         FrameReader { stream, buffer: BytesMut::new(), received_bytes: 0 }
     }
 
-    /// The next message; `None` at the end of the stream. Cancel safe: a future dropped before it is ready loses no bytes.
+    /// Returns the next message, or `None` at the end of the stream. The method is cancel safe: dropping the
+    /// future before it is ready loses no bytes.
+    ///
+    /// # Errors
+    /// A [`ConnectionError`] if the stream fails, ends within a frame, or holds a malformed frame.
     pub async fn next(&mut self) -> Result<Option<ReceivedMessage>, ConnectionError> {
         loop {
             if let Some((message, frame_bytes)) = decode(&self.buffer).map_err(ConnectionError::Malformed)? {
@@ -67,7 +73,7 @@
         }
     }
 
-    /// The bytes received so far, including those of an incomplete frame.
+    /// Returns the number of bytes received so far, including those of an incomplete frame.
     pub fn received_bytes(&self) -> u64 {
         self.received_bytes
     }
@@ -79,20 +85,25 @@
         }
     }
 
-    /// Reads once into the buffer; 0 at the end of the stream.
+    /// Reads once into the buffer and returns the number of bytes read, which is 0 at the end of the stream.
     async fn fill(&mut self) -> io::Result<usize> {
         let length = self.buffer.len();
         if self.buffer.capacity() == length {
             self.buffer.reserve(length.clamp(MIN_BUFFER_GROWTH_BYTES, MAX_BUFFER_GROWTH_BYTES));
         }
-        // An incomplete frame is shorter than `MAX_FRAME_BYTES`, so there is always room for a byte.
-        let room = MAX_FRAME_BYTES.saturating_sub(length);
-        self.stream.read_buf(&mut (&mut self.buffer).limit(room)).await
+        // Never 0, which would look like the end of the stream: an incomplete frame is shorter than the
+        // maximum.
+        let remaining_bytes = MAX_FRAME_BYTES.saturating_sub(length);
+        self.stream.read_buf(&mut (&mut self.buffer).limit(remaining_bytes)).await
     }
 }
 
-/// Writes one message and returns the length of its frame in bytes. `scratch` is empty before and after, and reused to save
-/// allocations.
+/// Writes one message and returns the length of its frame in bytes. `scratch` is only a buffer for the frame,
+/// which callers reuse to save allocations; its content is lost.
+///
+/// # Errors
+/// [`ConnectionError::Malformed`] if the message is too long for a frame, [`ConnectionError::Io`] if the
+/// stream cannot be written.
 pub async fn write_message(
     stream: &mut (impl AsyncWrite + Unpin), message: &Message, scratch: &mut Vec<u8>,
 ) -> Result<usize, ConnectionError> {
--- a/control-plane/src/gateway_client/config.rs
+++ b/control-plane/src/gateway_client/config.rs
@@ -1,4 +1,4 @@
-//! What a gateway's client is configured with.
+//! The configuration of a gateway's client.
 use std::net::SocketAddr;
 use std::path::PathBuf;
 use std::time::Duration;
@@ -9,52 +9,52 @@
 /// A control server that a gateway may connect to.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ServerEndpoint {
-    /// Its name, which no other server has.
+    /// The unique name of the server.
     pub name: String,
-    /// The address that it listens on.
+    /// The address on which the server listens.
     pub address: SocketAddr,
-    /// Its zone.
+    /// The name of the server's zone.
     pub zone: String,
-    /// The region of that zone.
+    /// The name of the region of the server's zone.
     pub region: String,
 }
 
-/// Where and how often a gateway writes its snapshot.
+/// The place and the interval of a gateway's snapshots.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct SnapshotConfig {
-    /// The file.
+    /// The path of the snapshot file.
     pub path: PathBuf,
-    /// The interval of writes; one without changes is skipped.
+    /// The interval between writes. A write is skipped if the state has not changed.
     pub write_interval: Duration,
-    /// Whether the file is written on a blocking thread: for gateways with traffic, not where hundreds of clients share a
-    /// process.
+    /// Whether the file is written on a blocking thread, so that the disk does not delay a gateway's
+    /// requests. Scale tests write without one because hundreds of clients share a process there.
     pub on_blocking_thread: bool,
 }
 
 /// The configuration of a [`GatewayClient`](super::GatewayClient).
 #[derive(Clone, Debug)]
 pub struct GatewayClientConfig {
-    /// Who it is. Each start has another incarnation.
+    /// The name of the gateway, and an incarnation that differs between starts.
     pub member: Member,
-    /// Its zone.
+    /// The name of the gateway's zone.
     pub zone: String,
-    /// The region of that zone.
+    /// The name of the region of the gateway's zone.
     pub region: String,
-    /// The servers that it may connect to, in any order.
+    /// The servers that the client may connect to, in any order.
     pub servers: Vec<ServerEndpoint>,
-    /// The lease and traffic settings, the same at all members.
+    /// The lease and traffic settings, which are the same at all members.
     pub lease: LeaseConfig,
-    /// Its snapshot, if it keeps one.
+    /// The snapshot settings; `None` if no snapshot is written or restored.
     pub snapshot: Option<SnapshotConfig>,
-    /// The scopes that it follows from the start, with their fetch priority: the highest comes first.
+    /// The scopes that the client follows from the start.
     pub scopes: Vec<ScopePriority>,
 }
 
-/// A scope to follow.
+/// A scope to follow, with a priority.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ScopePriority {
-    /// The scope.
+    /// The scope to follow.
     pub scope: Scope,
-    /// Scopes of a higher priority are fetched earlier.
+    /// The fetch priority; scopes with a higher one are fetched earlier.
     pub priority: f64,
 }
--- a/control-plane/src/gateway_client/events.rs
+++ b/control-plane/src/gateway_client/events.rs
@@ -1,35 +1,37 @@
-//! Events of a gateway's client, and the lease that two of them depend on.
+//! The events of a gateway's client, two of which report changes of the lease.
 use ternstack_replication::follower::FollowerEvent;
 
-/// What has happened to a client.
+/// An event of a gateway's client.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ClientEvent {
     /// A response has changed the replicated state.
     Follower(FollowerEvent),
-    /// It holds a lease, and held none before.
+    /// The client holds a lease, and held none before.
     LeaseAcquired,
-    /// Its lease has expired: it acts by the conservative rules.
+    /// The client's lease has expired, so that the conservative rules apply in all scopes.
     LeaseExpired,
 }
 
-/// Sends events to their handler, each change of the lease once.
+/// A sender of events to their handler, which sends each change of the lease once.
 pub(super) struct EventSender<F> {
     handler: F,
     holds_lease: bool,
 }
 
 impl<F: FnMut(f64, ClientEvent)> EventSender<F> {
-    /// Holds no lease yet: a client that never gets one sends no [`ClientEvent::LeaseExpired`].
+    /// Creates a sender for a client without a lease. [`ClientEvent::LeaseExpired`] is not sent before a
+    /// lease has been acquired.
     pub fn new(handler: F) -> Self {
         EventSender { handler, holds_lease: false }
     }
 
-    /// Sends an event of the follower.
+    /// Sends an event of the follower to the handler.
     pub fn send_follower_event(&mut self, now_ms: f64, event: FollowerEvent) {
         (self.handler)(now_ms, ClientEvent::Follower(event));
     }
 
-    /// Records whether it holds a lease, and sends an event if that has changed. Returns whether it has.
+    /// Records whether the client holds a lease, and sends an event if it has acquired or lost one. Returns
+    /// whether an event was sent.
     pub fn update_lease(&mut self, now_ms: f64, holds_lease: bool) -> bool {
         let has_changed = self.holds_lease != holds_lease;
         self.holds_lease = holds_lease;
--- a/control-plane/src/gateway_client/mod.rs
+++ b/control-plane/src/gateway_client/mod.rs
@@ -1,5 +1,6 @@
-//! A gateway's client: owns a [`Follower`], keeps it up to date by polling, and writes its snapshot. Used by gateways, and by
-//! the hollow gateways of scale tests, hundreds of which share a process.
+//! The client with which a gateway follows the control plane. The client owns a [`Follower`], keeps the
+//! follower up to date by polling, and writes snapshots. Scale tests run hundreds of clients in one process
+//! without a gateway around them.
 use crate::clock::Clock;
 use crate::lock::lock;
 use crate::polling_client::{connect_timeout, PollingClient, PollingObserver};
@@ -30,10 +31,10 @@
 pub use events::ClientEvent;
 use events::EventSender;
 
-/// The value of [`GatewayClient::connected_server`] while there is no connection.
+/// The value of the field `connected_server` of [`GatewayClient`] while there is no connection.
 const NOT_CONNECTED: usize = usize::MAX;
 
-/// A gateway's client. It polls for as long as the future of [`GatewayClient::run`] is polled.
+/// A gateway's client. The client polls for as long as the future of [`GatewayClient::run`] is polled.
 pub struct GatewayClient {
     name: String,
     core: Mutex<Follower<Tables>>,
@@ -41,16 +42,18 @@
     traffic: TrafficCounter,
     wake: Notify,
     servers: Vec<SocketAddr>,
-    /// Indices of `servers`, the preferred one first.
+    /// The indices of `servers`, the preferred server first.
     ranking: Vec<usize>,
     lease: LeaseConfig,
     snapshot: Option<SnapshotConfig>,
+    /// The index of the connected server in `servers`, or [`NOT_CONNECTED`].
     connected_server: AtomicUsize,
-    connection_count: AtomicU64,
+    connections_established: AtomicU64,
 }
 
 impl GatewayClient {
-    /// Restores the snapshot, if there is one; an unreadable one is logged and ignored. Blocks on the disk.
+    /// Creates a client and restores the snapshot if there is one. A snapshot that cannot be read is logged
+    /// and ignored. The call blocks on the disk.
     pub fn new(config: GatewayClientConfig) -> Arc<Self> {
         let name = config.member.name.clone();
         let ranking = rank_servers(&config);
@@ -58,8 +61,8 @@
             Some(snapshot) => Follower::restore(config.lease, config.member, snapshot),
             None => Follower::new(config.lease, config.member, Tables::new()),
         };
-        for wanted in config.scopes {
-            core.subscribe(wanted.scope, wanted.priority);
+        for followed in config.scopes {
+            core.subscribe(followed.scope, followed.priority);
         }
         Arc::new(GatewayClient {
             name,
@@ -72,12 +75,13 @@
             lease: config.lease,
             snapshot: config.snapshot,
             connected_server: AtomicUsize::new(NOT_CONNECTED),
-            connection_count: AtomicU64::new(0),
+            connections_established: AtomicU64::new(0),
         })
     }
 
-    /// Polls for as long as the future is polled. `on_event` is called with each event and its time in ms of the clock; it
-    /// must neither block nor call this client.
+    /// Polls control servers for as long as the returned future is polled. `on_event` is called with each
+    /// event and the time of the event, in ms of [`GatewayClient::clock`]. The callback must neither block
+    /// nor call the client.
     pub async fn run(&self, on_event: impl FnMut(f64, ClientEvent) + Send) -> Infallible {
         let events = Mutex::new(EventSender::new(on_event));
         let lease_acquired = Notify::new();
@@ -102,7 +106,7 @@
         }
     }
 
-    /// Sends an event at the moment a lease expires.
+    /// Sends [`ClientEvent::LeaseExpired`] when the lease expires.
     async fn watch_lease<F: FnMut(f64, ClientEvent)>(
         &self, events: &Mutex<EventSender<F>>, lease_acquired: &Notify,
     ) -> Infallible {
@@ -118,7 +122,7 @@
         }
     }
 
-    /// Writes the snapshot at its interval, if the state has changed.
+    /// Writes the snapshot at the configured interval, unless the state has not changed since the last write.
     async fn write_snapshots(&self) -> Infallible {
         let Some(config) = &self.snapshot else { return pending().await };
         let mut written = None;
@@ -130,12 +134,16 @@
             }
             match self.write_snapshot().await {
                 Ok(()) => written = Some(current),
-                Err(error) => warn!(name = self.name, "snapshot not written: {error}"),
+                Err(error) => warn!(name = self.name, "snapshot write failed: {error}"),
             }
         }
     }
 
     /// Writes the snapshot now, if one is configured.
+    ///
+    /// # Errors
+    /// A [`SnapshotFileError`] if the snapshot cannot be encoded or written. The previous file stays in
+    /// place.
     pub async fn write_snapshot(&self) -> Result<(), SnapshotFileError> {
         let Some(config) = &self.snapshot else { return Ok(()) };
         let snapshot = self.with_core(|core, _| core.snapshot());
@@ -147,48 +155,49 @@
         writing.await.unwrap_or_else(|error| Err(SnapshotFileError::WriterPanicked(error)))
     }
 
-    /// Follows a scope from now on, with a fetch priority.
+    /// Starts to follow a scope. Scopes with a higher priority are fetched earlier.
     pub fn subscribe(&self, scope: Scope, priority: f64) {
         lock(&self.core).subscribe(scope, priority);
         self.wake.notify_one();
     }
 
-    /// Follows a scope no longer.
+    /// Stops following a scope.
     pub fn unsubscribe(&self, scope: Scope) {
         lock(&self.core).unsubscribe(scope);
     }
 
-    /// The member's name.
+    /// Returns the name of the gateway as a member of the control plane.
     pub fn name(&self) -> &str {
         &self.name
     }
 
-    /// What to act by in a scope, now.
+    /// Returns the rules that apply in a scope at present.
     pub fn scope_mode(&self, scope: Scope) -> ScopeMode {
         self.with_core(|core, now_ms| core.scope_mode(now_ms, scope))
     }
 
-    /// The entry to act by under a key, now.
+    /// Returns the entry that applies to a key at present, which depends on [`GatewayClient::scope_mode`].
     pub fn entry(&self, scope: Scope, key: Key) -> Option<Entry> {
         self.with_core(|core, now_ms| core.entry(now_ms, scope, key))
     }
 
-    /// The revision that came into force last here.
+    /// Returns the last revision that came into force at this client.
     pub fn in_force(&self) -> Revision {
         lock(&self.core).in_force()
     }
 
-    /// Whether it holds a lease, now.
+    /// Returns whether the client holds a lease at present.
     pub fn holds_lease(&self) -> bool {
         self.with_core(|core, now_ms| now_ms < core.lease_until())
     }
 
-    /// Reads from the core, with the current time in ms of its clock. `read` must not block: it holds the core's lock.
+    /// Calls `read` with the follower and the current time, in ms of [`GatewayClient::clock`]. The follower
+    /// is locked during the call, so `read` must not block.
     pub fn with_core<R>(&self, read: impl FnOnce(&Follower<Tables>, f64) -> R) -> R {
         read(&lock(&self.core), self.clock.now_ms())
     }
 
-    /// Its clock.
+    /// Returns the clock from which the client takes its times.
     pub fn clock(&self) -> Clock {
         self.clock
     }
@@ -198,27 +207,28 @@
         self.traffic.counts()
     }
 
-    /// The server that it is connected to, as an index of [`GatewayClientConfig::servers`].
+    /// Returns the connected server, as an index of [`GatewayClientConfig::servers`].
     pub fn connected_server(&self) -> Option<usize> {
         Some(self.connected_server.load(Relaxed)).filter(|server| *server != NOT_CONNECTED)
     }
 
-    /// How many connections to servers it has established so far.
-    pub fn connection_count(&self) -> u64 {
-        self.connection_count.load(Relaxed)
+    /// Returns the number of connections to servers that were established so far.
+    pub fn connections_established(&self) -> u64 {
+        self.connections_established.load(Relaxed)
     }
 }
 
-/// What tells whether a snapshot would differ from the one written last.
+/// A summary of the replicated state. A snapshot is written only if the summary has changed since the last
+/// write.
 #[derive(Clone, Copy, PartialEq, Eq)]
 struct SnapshotState {
     in_force: Revision,
-    complete_scope_count: usize,
+    complete_scopes: usize,
 }
 
 impl SnapshotState {
     fn of(core: &Follower<Tables>) -> Self {
-        SnapshotState { in_force: core.in_force(), complete_scope_count: core.complete_scopes().count() }
+        SnapshotState { in_force: core.in_force(), complete_scopes: core.complete_scopes().count() }
     }
 }
 
@@ -235,12 +245,12 @@
 fn restore_snapshot(name: &str, config: Option<&SnapshotConfig>) -> Option<Snapshot> {
     let path = &config?.path;
     snapshot_file::read(path).unwrap_or_else(|error| {
-        warn!(name, path = %path.display(), "snapshot ignored, state is fetched anew: {error}");
+        warn!(name, path = %path.display(), "ignoring snapshot and fetching all state: {error}");
         None
     })
 }
 
-/// Records the connection, and sends events.
+/// An observer that records the connected server and sends events.
 struct Observer<'a, F> {
     client: &'a GatewayClient,
     events: &'a Mutex<EventSender<F>>,
@@ -250,7 +260,7 @@
 impl<F: FnMut(f64, ClientEvent)> PollingObserver for Observer<'_, F> {
     fn on_connected(&mut self, server: usize) {
         self.client.connected_server.store(server, Relaxed);
-        self.client.connection_count.fetch_add(1, Relaxed);
+        self.client.connections_established.fetch_add(1, Relaxed);
     }
 
     fn on_disconnected(&mut self) {
--- a/control-plane/src/lib.rs
+++ b/control-plane/src/lib.rs
@@ -1,11 +1,15 @@
-//! The control plane on sockets: runs the state machines of [`ternstack_replication`] on tokio's current-thread runtime.
+//! The control plane on sockets, which runs the state machines of [`ternstack_replication`] on tokio's
+//! current-thread runtime.
 //!
-//! - [`frames`] reads and writes messages; [`traffic`] counts them by cause.
-//! - [`server`] is a primary or a replica.
-//! - [`gateway_client`] is a gateway's client, with its snapshot in a [`snapshot_file`].
-//! - Gateways and replicas poll the servers above them: `polling_client` connects to one server after another in the order
-//!   of [`server_selection`], `server_connection` is one such connection.
-//! - [`operator_file`] parses the operators' file and their changes; [`admin_client`] proposes these and requests statuses.
+//! - [`frames`] reads and writes messages, and [`traffic`] counts messages by cause.
+//! - [`server`] holds the control servers: the primary and the replicas.
+//! - [`gateway_client`] is the client that a gateway runs, with a snapshot of the state in a
+//!   [`snapshot_file`].
+//! - Replicas poll the primary, and gateways poll replicas, or the primary where there are no replicas.
+//!   `polling_client` connects to one server after another in the order of [`server_selection`];
+//!   `server_connection` is one such connection.
+//! - [`operator_file`] parses the operators' file and the files of changes. [`admin_client`] proposes changes
+//!   and requests the status of servers.
 #![forbid(unsafe_code)]
 #![deny(missing_docs, clippy::too_many_lines, clippy::cognitive_complexity)]
 
--- a/control-plane/src/lock.rs
+++ b/control-plane/src/lock.rs
@@ -1,7 +1,7 @@
-//! Locks the state that tasks share.
+//! Locking of the state that tasks share.
 use std::sync::{Mutex, MutexGuard, PoisonError};
 
-/// Locks a core. A poisoned lock is taken all the same: a panic cannot leave a core between two states.
-pub(crate) fn lock<T>(core: &Mutex<T>) -> MutexGuard<'_, T> {
-    core.lock().unwrap_or_else(PoisonError::into_inner)
+/// Locks a mutex even if it is poisoned, because a panic cannot leave the shared state half changed.
+pub(crate) fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
+    mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
--- a/control-plane/src/main.rs
+++ b/control-plane/src/main.rs
@@ -1,4 +1,4 @@
-//! `ternstack-control`: runs control servers, and sends them the operators' proposals and status requests.
+//! The `ternstack-control` program, which runs control servers and sends them proposals and status requests.
 #![forbid(unsafe_code)]
 #![deny(missing_docs, clippy::too_many_lines, clippy::cognitive_complexity)]
 
--- a/control-plane/src/operator_file/changes.rs
+++ b/control-plane/src/operator_file/changes.rs
@@ -1,4 +1,4 @@
-//! The file of changes that `ternstack-control propose` reads.
+//! The parser of the file of changes that `ternstack-control propose` sends to the primary.
 use super::error::InvalidFile;
 use super::source_text::PathStep::{Index, Key as PathKey};
 use super::source_text::SourceText;
@@ -8,14 +8,14 @@
 use ternstack_replication::rules::RetryPolicy;
 use ternstack_replication::scope::{Change, Entry, Host, Key, Route, Scope};
 
-/// The least weight of a host.
+/// The smallest weight of a host, which is the resolution of [`Host::weight_milli`].
 const MIN_HOST_WEIGHT: f64 = 0.001;
-/// The greatest weight of a host.
+/// The largest weight of a host.
 const MAX_HOST_WEIGHT: f64 = 1e6;
-/// The weight of a host whose section has none.
+/// The weight of a host whose section has no `weight`.
 const DEFAULT_HOST_WEIGHT: f64 = 1.0;
 
-/// The state of a host that is proposed.
+/// The proposed state of a host.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "snake_case")]
 enum HostState {
@@ -24,16 +24,20 @@
     Removed,
 }
 
+/// A `[[host]]` section, which adds, changes or removes a host of a service.
 #[derive(Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 struct HostSection {
     service: String,
     uid: String,
     state: HostState,
+    /// Required unless the host is removed.
     address: Option<SocketAddrV4>,
+    /// Required unless the host is removed.
     zone: Option<String>,
     #[serde(default = "default_host_weight")]
     weight: f64,
+    /// The time at which the host started, in s since the Unix epoch.
     #[serde(default)]
     started_s: u32,
 }
@@ -42,6 +46,7 @@
     DEFAULT_HOST_WEIGHT
 }
 
+/// A `[[zone]]` section, which determines whether the hosts of a zone receive requests.
 #[derive(Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 struct ZoneSection {
@@ -49,13 +54,16 @@
     serves: bool,
 }
 
+/// A `[[quota]]` section, which sets or removes the quota of a tenant.
 #[derive(Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 struct QuotaSection {
     tenant: String,
+    /// The quota in requests per second; `None` removes the quota.
     per_s: Option<u32>,
 }
 
+/// A `[[route]]` section, which sets or removes a route of a service.
 #[derive(Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 struct RouteSection {
@@ -63,10 +71,13 @@
     name: String,
     #[serde(default)]
     removed: bool,
+    /// The number of a class; required unless the route is removed.
     class: Option<u16>,
+    /// The retry policy of the route; `None` stands for [`RetryPolicy::Never`].
     repeat: Option<RetryPolicy>,
 }
 
+/// A `[[class]]` section, which sets the retry policy of a class.
 #[derive(Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 struct ClassSection {
@@ -74,6 +85,7 @@
     repeat: RetryPolicy,
 }
 
+/// The sections of a file of changes.
 #[derive(Debug, Default, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 struct ChangesFile {
@@ -89,7 +101,11 @@
     classes: Vec<ClassSection>,
 }
 
-/// Parses a file of changes; `file` names it in errors. Zones and services are those of the operators' file.
+/// Parses the content of a file of changes. `file` is the name of the file in errors; `operator` defines the
+/// zones and services that the changes may refer to.
+///
+/// # Errors
+/// The first problem of the file: a syntax error, an invalid value, or a file without changes.
 pub fn parse_changes(operator: &OperatorFile, file: &str, text: &str) -> Result<Vec<Change>, InvalidFile> {
     let source = SourceText { file, text };
     let sections: ChangesFile = source.parse()?;
@@ -107,7 +123,7 @@
     }
     changes.extend(sections.classes.iter().map(class_change));
     if changes.is_empty() {
-        return Err(parser.source.unexpected(&[], "host, zone, quota, route or class at least once"));
+        return Err(parser.source.unexpected(&[], "at least one host, zone, quota, route or class"));
     }
     Ok(changes)
 }
@@ -122,7 +138,7 @@
     Change { scope: Scope::Fleet, key, entry: Some(Entry::RetryPolicy(class.repeat)) }
 }
 
-/// Turns sections that refer to the operators' file into changes.
+/// A converter of sections that refer to the operators' file into changes.
 struct ChangeParser<'a> {
     operator: &'a OperatorFile,
     source: SourceText<'a>,
@@ -145,8 +161,8 @@
     fn host_entry(
         &self, host: &HostSection, unexpected: impl Fn(&str, &str) -> InvalidFile,
     ) -> Result<Entry, InvalidFile> {
-        let no_address = || unexpected("address", "an address:port of a host that stays");
-        let address = host.address.ok_or_else(no_address)?;
+        let missing_address = || unexpected("address", "an address:port, unless the host is removed");
+        let address = host.address.ok_or_else(missing_address)?;
         if !(MIN_HOST_WEIGHT..=MAX_HOST_WEIGHT).contains(&host.weight) {
             return Err(unexpected("weight", "a number from 0.001 to 1000000"));
         }
@@ -180,8 +196,8 @@
         let entry = if route.removed {
             None
         } else {
-            let no_class = || unexpected("class", "a class' number, of a route that stays");
-            let class = route.class.ok_or_else(no_class)?;
+            let missing_class = || unexpected("class", "the number of a class, unless the route is removed");
+            let class = route.class.ok_or_else(missing_class)?;
             Some(Entry::Route(Route { class, retry_policy: route.repeat.unwrap_or(RetryPolicy::Never) }))
         };
         Ok(Change { scope: Scope::Routes(service.number), key: Key::of(&route.name), entry })
--- a/control-plane/src/operator_file/mod.rs
+++ b/control-plane/src/operator_file/mod.rs
@@ -1,8 +1,8 @@
-//! The operators' file, which tells control servers and gateways alike which servers, zones and services there are, and the
-//! file of changes to propose. Errors name the file, the line, the key and what was expected. The keys of the files are
-//! the operators' words; fields have the code's terms:
+//! The operators' file, from which control servers and gateways read the servers, zones and services of an
+//! installation, and the file of changes to propose. Errors name the file, the line, the key and the expected
+//! value. Some keys of the files have other names in the code:
 //!
-//! | in the files | in the code |
+//! | key in the files | term in the code |
 //! |---|---|
 //! | `machine` | control server, [`ServerSection`] |
 //! | `origin` | primary, [`ServerRole::Primary`] |
@@ -26,71 +26,71 @@
 pub use changes::parse_changes;
 pub use error::{InvalidContent, InvalidFile, OperatorFileError, UnknownServer};
 
-/// The snapshot interval of a gateway whose section has none.
+/// The snapshot interval of a gateway whose section has no `snapshot_every_s`.
 const DEFAULT_SNAPSHOT_INTERVAL_S: u64 = 60;
-/// The fetch priority of each of a gateway's services.
+/// The fetch priority of the services of a gateway, which are all equally important.
 const SERVICE_PRIORITY: f64 = 1.0;
 
-/// What a control server does.
+/// The role of a control server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
 pub enum ServerRole {
-    /// Puts proposals together into revisions and brings these into force.
+    /// The server that combines proposals into revisions and brings the revisions into force.
     #[serde(rename = "origin")]
     Primary,
-    /// Stands between the primary and the gateways.
+    /// A server that follows the primary and responds to the polls of gateways.
     #[serde(rename = "distributor")]
     Replica,
 }
 
-/// A `[[machine]]` section: a control server.
+/// A `[[machine]]` section, which describes a control server.
 #[derive(Clone, Debug, PartialEq, Eq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ServerSection {
-    /// Its name, which no other server has.
+    /// The unique name of the server.
     pub name: String,
-    /// The address that it listens on.
+    /// The address on which the server listens.
     pub address: SocketAddr,
-    /// What it does.
+    /// The role of the server.
     pub role: ServerRole,
-    /// The name of its zone.
+    /// The name of the server's zone.
     pub zone: String,
 }
 
-/// A `[[zone]]` section.
+/// A `[[zone]]` section, which describes a zone.
 #[derive(Clone, Debug, PartialEq, Eq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ZoneSection {
-    /// Its name, as in the gateways' settings.
+    /// The unique name of the zone, which is also the name in the settings of gateways.
     pub name: String,
-    /// Its number, which it keeps for good.
+    /// The unique number of the zone in the replicated state. The number must never change.
     pub number: u16,
-    /// The region that it is in.
+    /// The name of the region that contains the zone.
     pub region: String,
 }
 
-/// A `[[service]]` section.
+/// A `[[service]]` section, which describes a service.
 #[derive(Clone, Debug, PartialEq, Eq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ServiceSection {
-    /// Its name.
+    /// The unique name of the service.
     pub name: String,
-    /// Its number, which it keeps for good.
+    /// The unique number of the service in the replicated state. The number must never change.
     pub number: u32,
 }
 
-/// The `[gateway]` section: the gateway that reads the file.
+/// The `[gateway]` section, which describes the gateway that reads the file.
 #[derive(Clone, Debug, PartialEq, Eq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct GatewaySection {
-    /// Its name, which no other gateway has.
+    /// The name of the gateway, which must differ from that of every other gateway.
     pub name: String,
-    /// The name of its zone.
+    /// The name of the gateway's zone.
     pub zone: String,
-    /// The names of the services whose hosts it forwards to.
+    /// The names of the services to whose hosts the gateway forwards requests.
     pub services: Vec<String>,
-    /// The file of its snapshot; without one it starts with no state.
+    /// The path of the snapshot file; without a path the gateway starts without state.
     pub snapshot: Option<PathBuf>,
-    /// The interval of snapshots, in s.
+    /// The interval between snapshots, in s.
     #[serde(default = "default_snapshot_interval_s")]
     pub snapshot_every_s: u64,
 }
@@ -99,35 +99,41 @@
     DEFAULT_SNAPSHOT_INTERVAL_S
 }
 
-/// The operators' file.
+/// The content of the operators' file.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct OperatorFile {
-    /// The lease and traffic settings, the same at all members.
+    /// The lease and traffic settings, which have to be the same at all members.
     #[serde(default, rename = "terms")]
     pub lease: LeaseConfig,
-    /// The control servers.
+    /// The control servers, at least one of which is a primary.
     #[serde(rename = "machine")]
     pub servers: Vec<ServerSection>,
-    /// The zones.
+    /// The zones of the installation.
     #[serde(rename = "zone")]
     pub zones: Vec<ZoneSection>,
-    /// The services.
+    /// The services of the installation.
     #[serde(default, rename = "service")]
     pub services: Vec<ServiceSection>,
-    /// The gateway that reads the file.
+    /// The gateway that reads the file; `None` in the file of a control server.
     pub gateway: Option<GatewaySection>,
 }
 
 impl OperatorFile {
-    /// Reads and checks a file.
+    /// Reads and checks the file at `path`.
+    ///
+    /// # Errors
+    /// An [`OperatorFileError`] if the file cannot be read, or with the first problem of its content.
     pub fn from_file(path: &Path) -> Result<Self, OperatorFileError> {
         let read = std::fs::read_to_string(path);
         let text = read.map_err(|source| OperatorFileError::Read { path: path.to_path_buf(), source })?;
         Ok(Self::parse(&path.display().to_string(), &text)?)
     }
 
-    /// Parses and checks the content of a file; `file` names it in errors.
+    /// Parses and checks the content of a file. `file` is the name of the file in errors.
+    ///
+    /// # Errors
+    /// The first problem of the content.
     pub fn parse(file: &str, text: &str) -> Result<Self, InvalidFile> {
         let source = SourceText { file, text };
         let operator: OperatorFile = source.parse()?;
@@ -135,17 +141,20 @@
         Ok(operator)
     }
 
-    /// The zone of that name.
+    /// Returns the zone with that name.
     pub fn zone(&self, name: &str) -> Option<&ZoneSection> {
         self.zones.iter().find(|zone| zone.name == name)
     }
 
-    /// The service of that name.
+    /// Returns the service with that name.
     pub fn service(&self, name: &str) -> Option<&ServiceSection> {
         self.services.iter().find(|service| service.name == name)
     }
 
-    /// The control server of that name and role.
+    /// Returns the control server with that name and role.
+    ///
+    /// # Errors
+    /// [`UnknownServer`] if no server of that role has the name.
     pub fn server(&self, name: &str, role: ServerRole) -> Result<&ServerSection, UnknownServer> {
         let found = self.servers_of(role).find(|server| server.name == name);
         found.ok_or_else(|| UnknownServer {
@@ -154,13 +163,13 @@
         })
     }
 
-    /// The addresses of the primaries, in the file's order.
+    /// Returns the addresses of the primaries, in the order of the file.
     pub fn primary_addresses(&self) -> Vec<SocketAddr> {
         self.servers_of(ServerRole::Primary).map(|server| server.address).collect()
     }
 
-    /// The configuration of the gateway's client; `None` if the file has no `[gateway]`. Each call makes another
-    /// incarnation.
+    /// Returns the configuration of the gateway's client, or `None` if the file has no `[gateway]` section.
+    /// Each call creates a new incarnation of the member.
     pub fn gateway_client_config(&self) -> Option<GatewayClientConfig> {
         let gateway = self.gateway.as_ref()?;
         let snapshot = gateway.snapshot.as_ref().map(|path| SnapshotConfig {
@@ -168,7 +177,7 @@
             write_interval: Duration::from_secs(gateway.snapshot_every_s),
             on_blocking_thread: true,
         });
-        let scope_of = |name: &String| {
+        let scope_of_service = |name: &String| {
             let scope = Scope::Hosts(self.service(name)?.number);
             Some(ScopePriority { scope, priority: SERVICE_PRIORITY })
         };
@@ -179,11 +188,11 @@
             servers: self.gateway_servers(),
             lease: self.lease,
             snapshot,
-            scopes: gateway.services.iter().filter_map(scope_of).collect(),
+            scopes: gateway.services.iter().filter_map(scope_of_service).collect(),
         })
     }
 
-    /// The servers that gateways connect to: the replicas, or the primaries of an installation without replicas.
+    /// Returns the servers that gateways connect to: the replicas, or the primaries if there are no replicas.
     fn gateway_servers(&self) -> Vec<ServerEndpoint> {
         let endpoint = |server: &ServerSection| ServerEndpoint {
             name: server.name.clone(),
@@ -215,7 +224,7 @@
     }
 }
 
-/// A member that starts now: its incarnation is the time in us since the Unix epoch.
+/// Returns a member of that name whose incarnation is the current time in us since the Unix epoch.
 pub fn new_incarnation(name: &str) -> Member {
     let since_epoch = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
     Member { name: name.to_string(), incarnation: since_epoch.as_micros() as u64 }
--- a/control-plane/src/operator_file/validation.rs
+++ b/control-plane/src/operator_file/validation.rs
@@ -1,11 +1,11 @@
-//! Checks of the operators' file that its types do not express.
+//! Checks of the operators' file that the types of its fields do not express.
 use super::error::InvalidFile;
 use super::source_text::PathStep::{Index, Key};
 use super::source_text::SourceText;
 use super::{GatewaySection, OperatorFile, ServerRole};
 use ternstack_replication::lease::LeaseConfig;
 
-/// The values that a key of `[terms]` may have.
+/// A value of the `[terms]` section and the range in which the value must lie.
 struct Bounds {
     key: &'static str,
     value: f64,
@@ -19,18 +19,21 @@
     }
 }
 
-/// Checks a file; the error is the first problem in the order of the checks.
-pub(super) fn check(file: &OperatorFile, text: &SourceText) -> Result<(), InvalidFile> {
-    check_lease(&file.lease, text)?;
-    check_unique(file, text)?;
-    check_servers(file, text)?;
+/// Checks the content of a file.
+///
+/// # Errors
+/// The first problem, in the order of the checks.
+pub(super) fn check(file: &OperatorFile, source: &SourceText) -> Result<(), InvalidFile> {
+    check_lease(&file.lease, source)?;
+    check_unique(file, source)?;
+    check_servers(file, source)?;
     match &file.gateway {
-        Some(gateway) => check_gateway(file, gateway, text),
+        Some(gateway) => check_gateway(file, gateway, source),
         None => Ok(()),
     }
 }
 
-fn check_lease(lease: &LeaseConfig, text: &SourceText) -> Result<(), InvalidFile> {
+fn check_lease(lease: &LeaseConfig, source: &SourceText) -> Result<(), InvalidFile> {
     for bounds in [
         Bounds::new("lease_ms", lease.lease_ms, 100.0, 3_600_000.0),
         Bounds::new("drift", lease.clock_drift_ratio, 0.0, 0.2),
@@ -43,51 +46,55 @@
         let Bounds { key, value, min, max } = bounds;
         if !(min..=max).contains(&value) {
             let expected = format!("a number from {min} to {max}");
-            return Err(text.unexpected(&[Key("terms"), Key(key)], &expected));
+            return Err(source.unexpected(&[Key("terms"), Key(key)], &expected));
         }
     }
     Ok(())
 }
 
-fn check_unique(file: &OperatorFile, text: &SourceText) -> Result<(), InvalidFile> {
-    text.check_unique("machine", "name", file.servers.iter().map(|server| server.name.clone()))?;
-    text.check_unique("machine", "address", file.servers.iter().map(|server| server.address.to_string()))?;
-    text.check_unique("zone", "name", file.zones.iter().map(|zone| zone.name.clone()))?;
-    text.check_unique("zone", "number", file.zones.iter().map(|zone| zone.number.to_string()))?;
-    text.check_unique("service", "name", file.services.iter().map(|service| service.name.clone()))?;
-    text.check_unique("service", "number", file.services.iter().map(|service| service.number.to_string()))
+fn check_unique(file: &OperatorFile, source: &SourceText) -> Result<(), InvalidFile> {
+    source.check_unique("machine", "name", file.servers.iter().map(|server| server.name.clone()))?;
+    source.check_unique(
+        "machine",
+        "address",
+        file.servers.iter().map(|server| server.address.to_string()),
+    )?;
+    source.check_unique("zone", "name", file.zones.iter().map(|zone| zone.name.clone()))?;
+    source.check_unique("zone", "number", file.zones.iter().map(|zone| zone.number.to_string()))?;
+    source.check_unique("service", "name", file.services.iter().map(|service| service.name.clone()))?;
+    source.check_unique("service", "number", file.services.iter().map(|service| service.number.to_string()))
 }
 
-fn check_servers(file: &OperatorFile, text: &SourceText) -> Result<(), InvalidFile> {
+fn check_servers(file: &OperatorFile, source: &SourceText) -> Result<(), InvalidFile> {
     for (index, server) in file.servers.iter().enumerate() {
         if file.zone(&server.zone).is_none() {
             let path = [Key("machine"), Index(index), Key("zone")];
-            return Err(text.unexpected(&path, &file.zone_names()));
+            return Err(source.unexpected(&path, &file.zone_names()));
         }
     }
     if !file.servers.iter().any(|server| server.role == ServerRole::Primary) {
-        return Err(text.unexpected(&[Key("machine")], "one with the role origin"));
+        return Err(source.unexpected(&[Key("machine")], "at least one with the role origin"));
     }
     Ok(())
 }
 
 fn check_gateway(
-    file: &OperatorFile, gateway: &GatewaySection, text: &SourceText,
+    file: &OperatorFile, gateway: &GatewaySection, source: &SourceText,
 ) -> Result<(), InvalidFile> {
     if file.zone(&gateway.zone).is_none() {
-        return Err(text.unexpected(&[Key("gateway"), Key("zone")], &file.zone_names()));
+        return Err(source.unexpected(&[Key("gateway"), Key("zone")], &file.zone_names()));
     }
     if gateway.services.is_empty() {
-        return Err(text.unexpected(&[Key("gateway"), Key("services")], "one at least"));
+        return Err(source.unexpected(&[Key("gateway"), Key("services")], "at least one service"));
     }
     for (index, name) in gateway.services.iter().enumerate() {
         if file.service(name).is_none() {
             let path = [Key("gateway"), Key("services"), Index(index)];
-            return Err(text.unexpected(&path, &file.service_names()));
+            return Err(source.unexpected(&path, &file.service_names()));
         }
     }
     if gateway.snapshot_every_s == 0 {
-        return Err(text.unexpected(&[Key("gateway"), Key("snapshot_every_s")], "a number from 1 up"));
+        return Err(source.unexpected(&[Key("gateway"), Key("snapshot_every_s")], "a number of at least 1"));
     }
     Ok(())
 }
--- a/control-plane/src/polling_client.rs
+++ b/control-plane/src/polling_client.rs
@@ -1,6 +1,6 @@
-//! Polls one control server after another: connects to the selected server, backs off after failures, fails back to
-//! preferred servers. The replication core decides what is polled and applies the responses; [`ServerSelection`] decides
-//! which server is connected.
+//! A client that polls one control server at a time. The client connects to the selected server, backs off
+//! after failures and fails back to preferred servers. The replication core decides what to poll and applies
+//! the responses; [`ServerSelection`] decides which server to connect to.
 use crate::clock::Clock;
 use crate::frames::ConnectionError;
 use crate::lock::lock;
@@ -23,22 +23,22 @@
 use tokio::time::{sleep, timeout};
 use tracing::info;
 
-/// A connection attempt may take the response timeout divided by this.
-const CONNECT_TIMEOUTS_PER_RESPONSE_TIMEOUT_RATIO: f64 = 2.0;
+/// The response timeout divided by the time limit of a connection attempt.
+const CONNECT_TIMEOUTS_PER_RESPONSE_TIMEOUT: f64 = 2.0;
 
-/// A replication state machine that polls. Times are in ms of the client's clock.
+/// A replication state machine that polls a lessor. Times are in ms of the client's clock.
 pub(crate) trait PollingCore {
-    /// When the next poll is due if nothing comes until then.
+    /// Returns the time at which the next poll is due, unless a response or a subscription changes that time.
     fn next_poll_at_ms(&mut self, now_ms: f64) -> f64;
-    /// The next poll, if one is due.
+    /// Returns the next poll if one is due.
     fn poll(&mut self, now_ms: f64) -> Option<PollRequest>;
-    /// Applies a response.
+    /// Applies a response and returns what the response has changed.
     fn on_response(
         &mut self, now_ms: f64, response: PollResponse,
     ) -> Result<Vec<FollowerEvent>, ResponseError>;
-    /// Polls go over another connection from now on.
+    /// Records that the following polls are sent over a new connection.
     fn on_reconnected(&mut self);
-    /// When its lease expires.
+    /// Returns the time at which the lease of the state machine expires.
     fn lease_expires_at_ms(&self) -> f64;
 }
 
@@ -90,57 +90,61 @@
     }
 }
 
-/// Is notified of connections and of what responses change. Must not block.
+/// An observer of connections and of applied responses. The methods must not block.
 pub(crate) trait PollingObserver {
-    /// A connection to the server of that index has been established.
+    /// Handles an established connection. `server` is the index of the server in [`PollingClient::servers`].
     fn on_connected(&mut self, server: usize);
-    /// That connection has ended.
+    /// Handles the end of the connection.
     fn on_disconnected(&mut self);
-    /// A response has been applied, with these results.
+    /// Handles the events of a response that has been applied.
     fn on_applied(&mut self, now_ms: f64, events: Vec<FollowerEvent>);
 }
 
-/// Observes nothing.
+/// An observer that ignores everything.
 impl PollingObserver for () {
     fn on_connected(&mut self, _: usize) {}
     fn on_disconnected(&mut self) {}
     fn on_applied(&mut self, _: f64, _: Vec<FollowerEvent>) {}
 }
 
-/// Why there is no connection to a server, or no longer.
+/// The reason why a connection to a server was not established or has ended.
 #[derive(Debug, Error)]
 pub(crate) enum DisconnectReason {
     /// The list of servers is empty.
     #[error("no control server is configured")]
     NoServer,
-    /// The server could not be connected.
-    #[error("{0}")]
+    /// The connection could not be established.
+    #[error("could not connect: {0}")]
     Connect(#[source] io::Error),
-    /// The server has granted no lease until [`ServerSelection::deadline_ms`]: it sent nothing, or its responses granted
-    /// none. The two are not told apart.
+    /// The server granted no lease before [`ServerSelection::deadline_ms`], because it sent nothing or sent
+    /// responses without a lease. The variant covers both cases.
     #[error("no lease was granted in time")]
     NoLease,
-    /// The server did not read a poll until that time.
-    #[error("the server does not read")]
+    /// The server did not read a poll before [`ServerSelection::deadline_ms`].
+    #[error("the server did not read a poll in time")]
     WriteTimedOut,
-    /// The server sent a message that is no response.
+    /// The server sent a message that is not a poll response.
     #[error("the server sent a message that is not a poll response")]
     UnexpectedMessage,
     /// The server closed the connection.
     #[error("the server closed the connection")]
     Closed,
     /// The connection failed, or a frame is malformed.
-    #[error("{0}")]
+    #[error(transparent)]
     Frame(#[from] ConnectionError),
 }
 
-/// The time limit of a connection attempt: a part of the time in which a response has to arrive.
+/// Returns the time limit of a connection attempt, which is a part of the response timeout.
 pub(crate) fn connect_timeout(lease: &LeaseConfig) -> Duration {
-    let timeout_ms = lease.response_timeout_ms() / CONNECT_TIMEOUTS_PER_RESPONSE_TIMEOUT_RATIO;
+    let timeout_ms = lease.response_timeout_ms() / CONNECT_TIMEOUTS_PER_RESPONSE_TIMEOUT;
     Duration::from_secs_f64(timeout_ms / 1000.0)
 }
 
-/// Connects to `server`, within `connect_timeout`.
+/// Connects to `server` within `connect_timeout`.
+///
+/// # Errors
+/// [`DisconnectReason::NoServer`] if `server` is `None`, [`DisconnectReason::Connect`] if the connection
+/// fails or takes too long.
 pub(crate) async fn connect(
     server: Option<SocketAddr>, connect_timeout: Duration,
 ) -> Result<TcpStream, DisconnectReason> {
@@ -152,28 +156,28 @@
     Ok(stream)
 }
 
-/// Keeps a replication core up to date by polling control servers.
+/// A client that keeps a replication core up to date by polling control servers.
 pub(crate) struct PollingClient<'a, C> {
-    /// The name of the member, for the log.
+    /// The name of the member that polls, which log lines show.
     pub name: &'a str,
-    /// The state machine that polls.
+    /// The state machine that creates polls and applies responses.
     pub core: &'a Mutex<C>,
-    /// The core's clock.
+    /// The clock from which the core takes its times.
     pub clock: Clock,
-    /// The addresses of the servers.
+    /// The addresses of the servers. [`ServerSelection`] refers to a server by its index here.
     pub servers: &'a [SocketAddr],
-    /// Counts the messages of all connections.
+    /// The counter of the messages of all connections.
     pub traffic: &'a TrafficCounter,
-    /// Notified when the core may have a poll due earlier.
+    /// Notified when a change of the core may make a poll due earlier.
     pub wake: &'a Notify,
-    /// The core is checked at this interval, in ms, for polls that become due without a notification.
+    /// The interval in ms at which the core is checked for polls that became due without a notification.
     pub check_interval_ms: f64,
     /// The time limit of a connection attempt.
     pub connect_timeout: Duration,
 }
 
 impl<C: PollingCore> PollingClient<'_, C> {
-    /// Polls for as long as the future is polled.
+    /// Polls the servers for as long as the returned future is polled.
     pub async fn run(
         &self, mut selection: ServerSelection, observer: &mut impl PollingObserver,
     ) -> Infallible {
--- a/control-plane/src/server/mod.rs
+++ b/control-plane/src/server/mod.rs
@@ -1,4 +1,5 @@
-//! Control servers: a primary, and the replicas between it and the gateways. Each answers any number of clients.
+//! Control servers: the primary, and the replicas between the primary and the gateways. A server responds to
+//! any number of clients.
 use crate::clock::Clock;
 use crate::frames::ConnectionError;
 use crate::lock::lock;
@@ -19,7 +20,6 @@
 use tracing::warn;
 
 mod client_connection;
-
 mod primary;
 mod proposals;
 mod replica;
@@ -27,21 +27,25 @@
 
 pub use server_core::{ProposalRejected, ServerCore};
 
-/// The pause after a connection could not be accepted, which happens when no file descriptor is free.
+/// The delay before another connection is accepted after accepting one has failed, so that a server without a
+/// free file descriptor does not retry in a busy loop.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(100);
-/// How long tombstones of removed entries are kept: longer than a region may be partitioned.
+/// The time for which tombstones of removed entries are kept: longer than a region is expected to be
+/// partitioned, because a client that was disconnected for longer has to fetch the affected scopes again.
 const TOMBSTONE_RETENTION_MS: f64 = 2.0 * 3_600_000.0;
-/// The interval at which old tombstones are dropped.
-const TOMBSTONE_CHECK_INTERVAL_MS: f64 = 60_000.0;
+/// The interval at which expired tombstones are purged.
+const TOMBSTONE_PURGE_INTERVAL_MS: f64 = 60_000.0;
 
-/// A control server. It runs for as long as the future of its `run` is polled; dropping that closes its connections.
+/// A control server. The server runs for as long as the future of its `run` method is polled; dropping the
+/// future closes all connections.
 pub struct ControlServer<C> {
     name: String,
     core: Mutex<C>,
     clock: Clock,
     traffic: TrafficCounter,
-    /// Notified when the core may have to be advanced earlier: by a proposal or a poll.
+    /// Notified after a proposal or a poll, because the core may have to be advanced earlier then.
     wake: Notify,
+    /// The replies to the proposals that are accepted but not yet agreed.
     pending_replies: Mutex<PendingReplies>,
 }
 
@@ -57,7 +61,7 @@
         })
     }
 
-    /// The status of the server, as admin requests get it.
+    /// Returns the status of the server that admin requests receive.
     pub fn status(&self) -> Status {
         let now_ms = self.clock.now_ms();
         let core = lock(&self.core);
@@ -68,7 +72,7 @@
             through: store.through(),
             digest: store.total_digest(),
             followers: core.lease_count(now_ms) as u64,
-            lease_ms: core.remaining_lease_ms(now_ms).map(|ms| ms as u64),
+            lease_ms: core.remaining_lease_ms(now_ms).map(|remaining_ms| remaining_ms as u64),
             traffic: self.traffic.counts(),
         }
     }
@@ -78,7 +82,8 @@
         self.traffic.counts()
     }
 
-    /// Reads from the core, with the current time in ms of its clock. `read` must not block: it holds the core's lock.
+    /// Calls `read` with the core and the current time, in ms of the server's clock. The core is locked
+    /// during the call, so `read` must not block.
     pub fn with_core<R>(&self, read: impl FnOnce(&C, f64) -> R) -> R {
         read(&lock(&self.core), self.clock.now_ms())
     }
@@ -92,7 +97,7 @@
                         connections.spawn(self.clone().serve_connection(stream, client));
                     }
                     Err(error) => {
-                        warn!(name = self.name, "connection not accepted: {error}");
+                        warn!(name = self.name, "could not accept a connection: {error}");
                         sleep(ACCEPT_RETRY_DELAY).await;
                     }
                 },
@@ -108,44 +113,44 @@
         };
         match served {
             Ok(()) | Err(ConnectionError::Io(_)) => {}
-            Err(error) => warn!(name = self.name, %client, "client connection closed: {error}"),
+            Err(error) => warn!(name = self.name, %client, "closing client connection: {error}"),
         }
     }
 
-    /// Accepts a proposal of a client; `reply` is sent once it is part of a version.
+    /// Accepts a proposal of a client. `reply` is sent when the proposal has become part of a revision.
     fn accept_proposal(
         &self, client: SocketAddr, changes: Vec<Change>, reply: ProposalReply,
     ) -> Result<(), ProposalRejected> {
         let proposer = proposer(client.to_string());
-        // Locked over both steps, so that the proposal is not agreed before its reply is registered.
+        // The replies are locked first, so that the proposal is not agreed before its reply is registered.
         let mut pending_replies = lock(&self.pending_replies);
-        let proposal = lock(&self.core).propose(proposer, changes)?;
-        pending_replies.insert(proposal, reply);
+        let proposal_number = lock(&self.core).propose(proposer, changes)?;
+        pending_replies.insert(proposal_number, reply);
         self.wake.notify_one();
         Ok(())
     }
 
-    /// Drops tombstones that are older than [`TOMBSTONE_RETENTION_MS`].
-    async fn forget_tombstones(&self) -> Infallible {
-        let mut history: VecDeque<VersionInForce> = VecDeque::new();
+    /// Purges tombstones that are older than [`TOMBSTONE_RETENTION_MS`].
+    async fn purge_expired_tombstones(&self) -> Infallible {
+        let mut history: VecDeque<RevisionInForce> = VecDeque::new();
         loop {
-            sleep(Duration::from_secs_f64(TOMBSTONE_CHECK_INTERVAL_MS / 1000.0)).await;
+            sleep(Duration::from_secs_f64(TOMBSTONE_PURGE_INTERVAL_MS / 1000.0)).await;
             let now_ms = self.clock.now_ms();
             let mut core = lock(&self.core);
-            history.push_back(VersionInForce { at_ms: now_ms, number: core.store().in_force() });
-            let mut forget_before = None;
-            while history.front().is_some_and(|version| now_ms - version.at_ms > TOMBSTONE_RETENTION_MS) {
-                forget_before = history.pop_front().map(|version| version.number);
+            history.push_back(RevisionInForce { at_ms: now_ms, revision: core.store().in_force() });
+            let mut purge_before = None;
+            while history.front().is_some_and(|record| now_ms - record.at_ms > TOMBSTONE_RETENTION_MS) {
+                purge_before = history.pop_front().map(|record| record.revision);
             }
-            if let Some(before) = forget_before {
-                core.forget_removed(before);
+            if let Some(before) = purge_before {
+                core.purge_tombstones(before);
             }
         }
     }
 }
 
-/// The version that was in force at a moment.
-struct VersionInForce {
+/// The revision that was in force at a time, which shows which tombstones are expired.
+struct RevisionInForce {
     at_ms: f64,
-    number: Revision,
+    revision: Revision,
 }
--- a/control-plane/src/server/proposals.rs
+++ b/control-plane/src/server/proposals.rs
@@ -1,4 +1,4 @@
-//! Proposals that are accepted and not yet part of a version.
+//! Proposals that are accepted but not yet part of a revision, and the replies to their proposers.
 use std::collections::HashMap;
 use std::future::pending;
 use std::time::{SystemTime, UNIX_EPOCH};
@@ -6,19 +6,20 @@
 use ternstack_replication::scope::Revision;
 use tokio::sync::mpsc;
 
-/// Proposals of one connection that may be pending; further messages are read once some are agreed.
+/// The maximum number of pending proposals of one connection. At the maximum the server reads no further
+/// messages from the connection until a proposal is agreed.
 const MAX_PENDING_PROPOSALS: usize = 64;
 
-/// A proposal that has become part of a version.
+/// A proposal that has become part of a revision.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct AgreedProposal {
-    /// The number that the connection's client gave it.
+    /// The id that the client assigned to the proposal.
     pub proposal_id: u64,
-    /// The version, which comes into force later.
+    /// The revision that the proposal is part of, which comes into force later.
     pub revision: Revision,
 }
 
-/// Where to report that a proposal has become part of a version.
+/// A handle that reports to the proposer's connection that a proposal has become part of a revision.
 #[derive(Clone, Debug)]
 pub(super) struct ProposalReply {
     connection: mpsc::Sender<AgreedProposal>,
@@ -27,25 +28,26 @@
 
 impl ProposalReply {
     fn send(&self, revision: Revision) {
-        // Fails only if the connection has ended: it has no more proposals pending than the channel holds.
+        // Fails only if the connection has ended, because a connection never has more proposals pending than
+        // the channel holds.
         let _ = self.connection.try_send(AgreedProposal { proposal_id: self.proposal_id, revision });
     }
 }
 
-/// The replies of all pending proposals, by the number that the primary gave each.
+/// The replies to all pending proposals, by the number that the primary assigned to the proposal.
 #[derive(Debug, Default)]
 pub(super) struct PendingReplies {
-    by_proposal: HashMap<u64, ProposalReply>,
+    by_proposal_number: HashMap<u64, ProposalReply>,
 }
 
 impl PendingReplies {
-    pub fn insert(&mut self, proposal: u64, reply: ProposalReply) {
-        self.by_proposal.insert(proposal, reply);
+    pub fn insert(&mut self, proposal_number: u64, reply: ProposalReply) {
+        self.by_proposal_number.insert(proposal_number, reply);
     }
 
-    /// Reports to the proposers that their proposals are part of a version.
-    pub fn send(&mut self, proposals: &[u64], revision: Revision) {
-        for reply in proposals.iter().filter_map(|proposal| self.by_proposal.remove(proposal)) {
+    /// Reports to the proposers that their proposals have become part of a revision.
+    pub fn send(&mut self, proposal_numbers: &[u64], revision: Revision) {
+        for reply in proposal_numbers.iter().filter_map(|number| self.by_proposal_number.remove(number)) {
             reply.send(revision);
         }
     }
@@ -54,34 +56,35 @@
 /// The pending proposals of one connection.
 #[derive(Debug, Default)]
 pub(super) struct ConnectionProposals {
-    /// Created by the first proposal, since most connections make none.
+    /// The channel that reports agreed proposals to the connection. The first proposal creates the channel,
+    /// because most connections carry no proposals.
     channel: Option<(mpsc::Sender<AgreedProposal>, mpsc::Receiver<AgreedProposal>)>,
-    pending_count: usize,
+    pending: usize,
 }
 
 impl ConnectionProposals {
-    /// Whether another proposal may be read.
+    /// Returns whether another proposal may be read from the connection.
     pub fn has_capacity(&self) -> bool {
-        self.pending_count < MAX_PENDING_PROPOSALS
+        self.pending < MAX_PENDING_PROPOSALS
     }
 
-    /// The reply for the client's proposal of that number.
+    /// Returns the handle for the reply to the proposal to which the client has assigned this id.
     pub fn reply_for(&mut self, proposal_id: u64) -> ProposalReply {
         let (sender, _) = self.channel.get_or_insert_with(|| mpsc::channel(MAX_PENDING_PROPOSALS));
         ProposalReply { connection: sender.clone(), proposal_id }
     }
 
-    /// A proposal has been accepted.
+    /// Records that a proposal has been accepted and is pending.
     pub fn on_accepted(&mut self) {
-        self.pending_count += 1;
+        self.pending += 1;
     }
 
-    /// A proposal has been agreed, and is pending no longer.
+    /// Records that a proposal has been agreed and is no longer pending.
     pub fn on_agreed(&mut self) {
-        self.pending_count -= 1;
+        self.pending -= 1;
     }
 
-    /// Waits for the next proposal that is agreed. Cancel safe.
+    /// Waits for the next proposal that is agreed. The method is cancel safe.
     pub async fn next_agreed(&mut self) -> AgreedProposal {
         if let Some((_, receiver)) = &mut self.channel {
             if let Some(agreed) = receiver.recv().await {
@@ -92,7 +95,7 @@
     }
 }
 
-/// A proposer that proposes now.
+/// Returns a proposer of that name whose time of proposal is the current time.
 pub(super) fn proposer(name: String) -> Proposer {
     let since_epoch = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
     Proposer { name, proposed_ms: since_epoch.as_millis() as u64 }
--- a/control-plane/src/server/replica.rs
+++ b/control-plane/src/server/replica.rs
@@ -1,4 +1,4 @@
-//! A replica: follows the primary, and answers gateways in its place.
+//! A replica, which follows the primary and responds to the polls of gateways in place of the primary.
 use super::ControlServer;
 use crate::clock::Clock;
 use crate::polling_client::{connect_timeout, PollingClient};
@@ -13,19 +13,20 @@
 use tokio::sync::Notify;
 
 impl ControlServer<Replica> {
-    /// A replica that has no state yet, and so answers no poll.
+    /// Creates a replica without state. The replica responds to no poll until it has fetched the state.
     pub fn replica(member: Member, lease: LeaseConfig) -> Arc<Self> {
         let clock = Clock::start();
         let name = member.name.clone();
         Self::with_clock(&name, clock, Replica::new(lease, member, clock.now_ms()))
     }
 
-    /// Serves connections of `listener`, and follows the first of `upstreams` that grants it leases, for as long as the
-    /// future is polled.
+    /// Serves the connections that `listener` accepts, and follows the first server of `upstreams` that
+    /// grants leases, for as long as the returned future is polled.
     pub async fn run(
         self: Arc<Self>, listener: TcpListener, upstreams: Vec<SocketAddr>, lease: LeaseConfig,
     ) -> Infallible {
-        // Polls of clients change the core hundreds of times a second: it is checked at an interval instead.
+        // Polls of clients change the core hundreds of times a second, so the core is checked at an interval
+        // instead of after each notification.
         let never_notified = Notify::new();
         let lease_timeout_ms = lease.response_timeout_ms();
         let polling = PollingClient {
@@ -44,7 +45,7 @@
         tokio::select! {
             never = self.clone().accept_connections(listener) => never,
             never = polling.run(selection, &mut no_observer) => never,
-            never = self.forget_tombstones() => never,
+            never = self.purge_expired_tombstones() => never,
         }
     }
 }
--- a/control-plane/src/server/server_core.rs
+++ b/control-plane/src/server/server_core.rs
@@ -1,4 +1,4 @@
-//! The replication state machines behind a server.
+//! The interface of the replication state machines that run in a server.
 use ternstack_replication::primary::{Primary, ProposalError, Proposer};
 use ternstack_replication::replica::Replica;
 use ternstack_replication::scope::{Change, Revision};
@@ -6,36 +6,41 @@
 use ternstack_replication::wire::{PollRequest, PollResponse};
 use thiserror::Error;
 
-/// Why a server rejects a proposal.
+/// The reason why a server rejects a proposal.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum ProposalRejected {
     /// The changes are not valid.
-    #[error("{0}")]
+    #[error(transparent)]
     Invalid(ProposalError),
-    /// The server is a replica: only the primary takes proposals.
-    #[error("a distributor takes no proposals, expected an origin")]
+    /// The server is a replica, and only the primary accepts proposals.
+    #[error("a distributor does not accept proposals, expected an origin")]
     NotPrimary,
 }
 
 /// A state machine that responds to polls. Times are in ms of the server's clock.
 pub trait ServerCore: Send + 'static {
-    /// The response to a poll; `None` if there is none now: the client may find one at another server.
+    /// Returns the response to a poll; `None` while the replicated state is not complete or no revision is in
+    /// force. The client may get a response from another server then.
     fn on_poll(&mut self, now_ms: f64, poll: &PollRequest) -> Option<PollResponse>;
-    /// The replicated state.
+    /// Returns the replicated state.
     fn store(&self) -> &Store;
-    /// How many clients hold a lease that it has granted.
+    /// Returns the number of clients that hold a lease granted by this server.
     fn lease_count(&self, now_ms: f64) -> usize;
-    /// How long its own lease lasts yet, in ms; `None` if it needs none.
+    /// Returns the remaining time of this server's own lease, in ms; `None` for a primary, which needs no
+    /// lease.
     fn remaining_lease_ms(&self, now_ms: f64) -> Option<f64>;
-    /// Accepts a proposal and returns its number.
+    /// Accepts a proposal and returns the number assigned to the proposal.
+    ///
+    /// # Errors
+    /// A [`ProposalRejected`] if the changes are not valid or the server is a replica.
     fn propose(&mut self, proposer: Proposer, changes: Vec<Change>) -> Result<u64, ProposalRejected>;
-    /// Drops the tombstones of entries that were removed before a version.
-    fn forget_removed(&mut self, before: Revision);
+    /// Purges the tombstones of entries that were removed before a revision.
+    fn purge_tombstones(&mut self, before: Revision);
 }
 
 impl ServerCore for Primary {
     fn on_poll(&mut self, now_ms: f64, poll: &PollRequest) -> Option<PollResponse> {
-        // A single process is its own majority until there are voters.
+        // There are no other voters yet, so a single process is always the majority.
         self.confirm_leadership(now_ms);
         self.handle_poll(now_ms, poll)
     }
@@ -56,7 +61,7 @@
         Primary::propose(self, proposer, changes).map_err(ProposalRejected::Invalid)
     }
 
-    fn forget_removed(&mut self, before: Revision) {
+    fn purge_tombstones(&mut self, before: Revision) {
         self.compact(before);
     }
 }
@@ -82,7 +87,7 @@
         Err(ProposalRejected::NotPrimary)
     }
 
-    fn forget_removed(&mut self, before: Revision) {
+    fn purge_tombstones(&mut self, before: Revision) {
         Replica::purge_tombstones(self, before);
     }
 }
--- a/control-plane/src/server_connection.rs
+++ b/control-plane/src/server_connection.rs
@@ -1,5 +1,5 @@
-//! One connection of a [`PollingClient`]: sends polls when they are due, applies responses as they come, and meanwhile tries
-//! to reach a preferred server.
+//! One connection of a [`PollingClient`]. The connection sends polls when they are due, applies responses
+//! when they arrive, and meanwhile tries to connect to a preferred server.
 use crate::frames::{write_message, ConnectionError, FrameReader, ReceivedMessage};
 use crate::lock::lock;
 use crate::polling_client::{connect, DisconnectReason, PollingClient, PollingCore, PollingObserver};
@@ -12,11 +12,11 @@
 use tokio::time::{sleep_until, timeout_at};
 use tracing::{debug, warn};
 
-/// How a connection ended.
+/// The way in which a connection ended.
 pub(crate) enum ConnectionEnd {
-    /// A preferred server of that rank has been connected.
+    /// A new connection to a preferred server, `stream`, replaces this one. `rank` is the server's rank.
     Failback { rank: usize, stream: TcpStream },
-    /// The connection was lost or given up.
+    /// The connection could not be established, was lost or was given up.
     Disconnected(DisconnectReason),
 }
 
@@ -26,15 +26,17 @@
     connecting: Pin<Box<dyn Future<Output = Result<TcpStream, DisconnectReason>> + Send>>,
 }
 
-/// What a connection waits for.
+/// An event that a connection waits for.
 #[allow(
     clippy::large_enum_variant,
-    reason = "one event at a time, handled at once; boxing would allocate for each message"
+    reason = "only one event exists at a time and is handled at once; boxing would allocate for each message"
 )]
 enum Event {
+    /// A message was read, the stream ended (`None`), or reading failed.
     Read(Result<Option<ReceivedMessage>, ConnectionError>),
+    /// The connection attempt to a preferred server has ended.
     FailbackConnected(Result<TcpStream, DisconnectReason>),
-    /// A deadline has passed, or the core has been changed.
+    /// The time of a poll, a failback attempt or the deadline has been reached, or the core has been changed.
     Due,
 }
 
@@ -43,14 +45,19 @@
     client: &'a PollingClient<'a, C>,
     reader: FrameReader<ReadHalf<'a>>,
     writer: WriteHalf<'a>,
+    /// A buffer for frames to write, kept to save allocations.
     scratch: Vec<u8>,
+    /// The last poll that was sent. Traffic is counted by cause, which depends on what a response was asked
+    /// for.
     last_poll: Option<PollRequest>,
+    /// The number of bytes received when the selection was last notified.
     received_bytes: u64,
+    /// The running connection attempt to a preferred server.
     failback: Option<FailbackAttempt>,
 }
 
 impl<'a, C: PollingCore> ServerConnection<'a, C> {
-    /// Uses a stream that has just been connected.
+    /// Creates the state of a connection on a stream that has just been connected.
     pub fn new(client: &'a PollingClient<'a, C>, stream: &'a mut TcpStream) -> Self {
         let (reader, writer) = stream.split();
         ServerConnection {
@@ -64,7 +71,7 @@
         }
     }
 
-    /// Polls over the connection until it ends.
+    /// Polls over the connection until the connection ends.
     pub async fn run(
         mut self, selection: &mut ServerSelection, observer: &mut impl PollingObserver,
     ) -> ConnectionEnd {
@@ -88,7 +95,8 @@
         }
     }
 
-    /// Does all that is due now.
+    /// Does the work that is due now: notifies the selection of received bytes, checks the deadline, starts a
+    /// failback attempt and sends a poll.
     async fn advance(&mut self, selection: &mut ServerSelection) -> Result<(), DisconnectReason> {
         let now_ms = self.client.clock.now_ms();
         if self.reader.received_bytes() > self.received_bytes {
@@ -156,7 +164,7 @@
     ) -> Result<(), DisconnectReason> {
         let received = read.inspect_err(|error| {
             if matches!(error, ConnectionError::Malformed(_)) {
-                warn!(name = self.client.name, "malformed frame from a control server: {error}");
+                warn!(name = self.client.name, "received invalid data from a control server: {error}");
             }
         })?;
         let ReceivedMessage { message, frame_bytes } = received.ok_or(DisconnectReason::Closed)?;
@@ -186,11 +194,11 @@
                 }
                 observer.on_applied(now_ms, events);
             }
-            Err(error) => debug!(name = self.client.name, "poll response rejected: {error}"),
+            Err(error) => debug!(name = self.client.name, "rejecting poll response: {error}"),
         }
     }
 
-    /// The end of the connection, if the preferred server has been connected.
+    /// Returns the end of this connection if the attempt to connect to a preferred server succeeded.
     fn on_failback_connected(
         &mut self, connected: Result<TcpStream, DisconnectReason>,
     ) -> Option<ConnectionEnd> {
@@ -198,7 +206,7 @@
         match connected {
             Ok(stream) => Some(ConnectionEnd::Failback { rank: attempt.rank, stream }),
             Err(reason) => {
-                debug!(name = self.client.name, %reason, "preferred control server not reachable");
+                debug!(name = self.client.name, %reason, "could not connect to a preferred control server");
                 None
             }
         }
--- a/control-plane/src/traffic.rs
+++ b/control-plane/src/traffic.rs
@@ -1,10 +1,11 @@
-//! Counts messages and bytes by cause, for any number of connections.
+//! Counters of messages and bytes by cause, shared by any number of connections.
 use std::sync::atomic::{AtomicU64, Ordering::Relaxed};
 use ternstack_replication::wire::{
     Message, PollRequest, PollResponse, Traffic, TrafficByCause, TrafficCount,
 };
 
-/// Counts messages read and written. Shared between tasks; may be read at any time.
+/// A counter of the messages that were read and written. Tasks share one counter, which can be read at any
+/// time.
 #[derive(Debug, Default)]
 pub struct TrafficCounter {
     read: DirectionCounter,
@@ -12,17 +13,19 @@
 }
 
 impl TrafficCounter {
-    /// Counts a message that was read; `request` is the poll that it responds to, if it is a response.
+    /// Counts a message that was read. If the message is a poll response, `request` is the poll that it
+    /// answers.
     pub fn record_read(&self, message: &Message, frame_bytes: usize, request: Option<&PollRequest>) {
         self.read.record(message, frame_bytes, request);
     }
 
-    /// Counts a message that was written; `request` is the poll that it responds to, if it is a response.
+    /// Counts a message that was written. If the message is a poll response, `request` is the poll that it
+    /// answers.
     pub fn record_written(&self, message: &Message, frame_bytes: usize, request: Option<&PollRequest>) {
         self.written.record(message, frame_bytes, request);
     }
 
-    /// All messages and bytes so far.
+    /// Returns the messages and bytes counted so far.
     pub fn counts(&self) -> Traffic {
         Traffic { read: self.read.load(), written: self.written.load() }
     }
@@ -47,7 +50,8 @@
         }
     }
 
-    /// A response counts as one message, of its most important cause; its bytes are divided among all of them.
+    /// Counts a response as one message of the first cause that applies: fetches, changes, leases. The bytes
+    /// of the response are divided among all causes.
     fn record_response(&self, response: &PollResponse, frame_bytes: usize, request: Option<&PollRequest>) {
         let content = ResponseContent::of(response, request);
         let cause = if content.fetched_bytes > 0 {
@@ -74,7 +78,7 @@
     }
 }
 
-/// Messages and bytes of one cause.
+/// The counter of one cause.
 #[derive(Debug, Default)]
 struct CauseCounter {
     messages: AtomicU64,
@@ -92,25 +96,26 @@
     }
 }
 
-/// What the bytes of a response consist of, apart from the lease and the framing.
+/// The sizes of the parts of a response, apart from the lease and the framing.
 #[derive(Clone, Copy, Debug)]
 struct ResponseContent {
-    /// Pending versions, and changes in scopes that the client had in full.
+    /// The bytes of pending revisions, of the list of stale scopes, and of changes in scopes that were
+    /// complete at the client.
     changed_bytes: usize,
-    /// Chunks of scopes that were fetched; all chunks for a replica that has nothing yet.
+    /// The bytes of chunks of fetched scopes; of all chunks if the client had no state yet.
     fetched_bytes: usize,
 }
 
 impl ResponseContent {
     fn of(response: &PollResponse, request: Option<&PollRequest>) -> Self {
-        let has_nothing = request.is_some_and(|request| request.known == 0);
+        let client_has_no_state = request.is_some_and(|request| request.known == 0);
         let is_fetched =
             |scope| request.is_some_and(|request| request.fetch.iter().any(|(fetched, _)| *fetched == scope));
         let mut content = ResponseContent { changed_bytes: 0, fetched_bytes: 0 };
         content.changed_bytes += response.pending.iter().map(encoded_bytes).sum::<usize>();
         content.changed_bytes += response.stale.iter().map(encoded_bytes).sum::<usize>();
         for chunk in &response.chunks {
-            if has_nothing || is_fetched(chunk.scope) {
+            if client_has_no_state || is_fetched(chunk.scope) {
                 content.fetched_bytes += encoded_bytes(chunk);
             } else {
                 content.changed_bytes += encoded_bytes(chunk);
@@ -121,6 +126,6 @@
 }
 
 fn encoded_bytes(value: &impl serde::Serialize) -> usize {
-    // Measuring these types cannot fail.
+    // The size of these types can always be computed, so that the default is never used.
     postcard::serialize_with_flavor(value, postcard::ser_flavors::Size::default()).unwrap_or_default()
 }
--- a/control-plane/tests/faulty_connections.rs
+++ b/control-plane/tests/faulty_connections.rs
@@ -78,13 +78,13 @@
     oversized.push(1);
     let answer = Message::Proposed { proposal_id: 1, revision: Ok(1) };
     vec![
-        (sound[..sound.len() - 2].to_vec(), "expected all of it"),
+        (sound[..sound.len() - 2].to_vec(), "expected the whole frame"),
         (swapped, "checksum is not that of its bytes"),
         (format, "format 9, expected 1"),
         (content, "holds no message"),
         (oversized, "1048577 bytes, expected 9 to 1048576"),
         (b"GET /ready HTTP/1.1\r\n\r\n".to_vec(), "expected 9 to 1048576"),
-        (frame(&answer), "expected an ask, a proposal or a look"),
+        (frame(&answer), "expected a poll, a proposal or a status request"),
     ]
 }
 
@@ -95,13 +95,13 @@
     let distributor = distributor("d1", origin.at).await;
     let mut gateway = Gateway::start(client_config("g0", 1, vec![endpoint("d1", distributor.at, "a")]));
     gateway.whole().await;
-    let (was, moves) = (origin.server.status(), gateway.client.connection_count());
+    let (was, moves) = (origin.server.status(), gateway.client.connections_established());
     for at in [origin.at, distributor.at] {
         for (bytes, line) in malformed() {
             let before = log.lines(line);
             let mut stream = TcpStream::connect(at).await.expect("it listens");
             stream.write_all(&bytes).await.expect("it reads");
-            if line == "expected all of it" {
+            if line == "expected the whole frame" {
                 stream.shutdown().await.expect("it is up");
             }
             let mut rest = Vec::new();
@@ -117,7 +117,7 @@
     let number = admin_client::propose(origin.at, vec![host(3, true)], LONG).await.expect("it is taken");
     gateway.acts_on(number).await;
     assert!(drains(&gateway.client, 3));
-    assert_eq!(gateway.client.connection_count(), moves);
+    assert_eq!(gateway.client.connections_established(), moves);
 }
 
 #[tokio::test]
@@ -147,8 +147,8 @@
         let _ = copy_bidirectional(&mut stream, &mut link).await;
     });
     gateway.whole().await;
-    assert_eq!(gateway.client.connection_count(), 1 + malformed().len() as u64);
-    for (_, line) in malformed().iter().filter(|(_, line)| !line.contains("a proposal or a look")) {
+    assert_eq!(gateway.client.connections_established(), 1 + malformed().len() as u64);
+    for (_, line) in malformed().iter().filter(|(_, line)| !line.contains("a proposal or a status request")) {
         assert!(log.lines(line) >= 1, "{line}");
     }
     assert_eq!(log.lines("the server sent a message that is not a poll response"), 1);
@@ -179,7 +179,7 @@
         gateway.acts_on(number).await;
         assert!(drains(&gateway.client, n));
     }
-    assert_eq!(gateway.client.connection_count(), 1);
+    assert_eq!(gateway.client.connections_established(), 1);
     flooding.abort();
 }
 
--- a/control-plane/tests/operator_file.rs
+++ b/control-plane/tests/operator_file.rs
@@ -52,17 +52,21 @@
         ),
         ("role = \"origin\"", "role = \"origin\"\nport = 1", &["unknown field `port`", "`address`"]),
         ("address = \"10.1.0.6:7411\"", "address = \"10.1.0.6\"", &["address: ", "socket address"]),
-        ("address = \"10.1.0.6:7411\"", "address = \"10.1.0.5:7411\"", &["machine.address: ", "of its own"]),
+        (
+            "address = \"10.1.0.6:7411\"",
+            "address = \"10.1.0.5:7411\"",
+            &["machine.address: ", "a unique value"],
+        ),
         ("zone = \"south-a\"", "zone = \"west\"", &["machine.zone: expected one of north-a, south-a"]),
         ("zone = \"north-a\"\nservices", "zone = \"west\"\nservices", &["gateway.zone: expected one of"]),
         ("[\"desks\"]", "[\"rooms\"]", &["gateway.services: expected one of desks"]),
-        ("[\"desks\"]", "[]", &["gateway.services: expected one at least"]),
-        ("number = 2", "number = 1", &["zone.number: expected one of its own"]),
+        ("[\"desks\"]", "[]", &["gateway.services: expected at least one service"]),
+        ("number = 2", "number = 1", &["zone.number: expected a unique value"]),
         ("number = 2", "number = 70000", &["number: ", "u16"]),
         (
             "snapshot_every_s = 60",
             "snapshot_every_s = 0",
-            &["gateway.snapshot_every_s: expected a number from 1"],
+            &["gateway.snapshot_every_s: expected a number of at least 1"],
         ),
     ] {
         assert!(EXAMPLE.contains(was), "{was}");
@@ -86,7 +90,7 @@
     assert!(problem.starts_with("op.toml:1: "), "{problem}");
     let none = EXAMPLE.replace("role = \"origin\"", "role = \"distributor\"");
     let problem = OperatorFile::parse("op.toml", &none).expect_err("no origin").to_string();
-    assert!(problem.contains("machine: expected one with the role origin"), "{problem}");
+    assert!(problem.contains("machine: expected at least one with the role origin"), "{problem}");
     assert!(problem.starts_with(&format!("op.toml:{}: ", line("[[machine]]"))), "{problem}");
 }
 
@@ -153,7 +157,7 @@
         ("weight = 0.5", "weight = 0", "c.toml:8: "),
         ("state = \"removed\"", "state = \"gone\"", "c.toml:13: state: unknown variant `gone`"),
         ("name = \"south-a\"", "name = \"x\"", "c.toml:16: zone.name: expected one of"),
-        ("class = 1\n", "\n", "c.toml:26: route.class: expected a class' number"),
+        ("class = 1\n", "\n", "c.toml:26: route.class: expected the number of a class"),
         ("serves = false", "serve = false", "c.toml:17: unknown field `serve`"),
     ] {
         let problem =
@@ -161,5 +165,5 @@
         assert!(problem.starts_with(told), "{is}: {problem}");
     }
     let problem = parse_changes(&example(), "c.toml", "").expect_err("nothing").to_string();
-    assert_eq!(problem, "c.toml:1: expected host, zone, quota, route or class at least once");
+    assert_eq!(problem, "c.toml:1: expected at least one host, zone, quota, route or class");
 }
--- a/control-plane/tests/program.rs
+++ b/control-plane/tests/program.rs
@@ -61,7 +61,7 @@
     let (code, _, problem) = run(&["propose", "--operator", &operator, &changes]).await;
     assert!(code == Some(1) && problem.contains(&format!("127.0.0.1:{o}")), "{problem}");
     let (code, _, problem) = run(&["status", "--operator", &operator]).await;
-    assert!(code == Some(1) && problem.contains("2 of 2 machines did not answer"), "{problem}");
+    assert!(code == Some(1) && problem.contains("2 of 2 machines did not respond"), "{problem}");
 
     let machines = [start("origin", &operator, "o"), start("distributor", &operator, "d")];
     let proposed = timeout(LONG, async {
@@ -73,7 +73,7 @@
             }
         }
     });
-    assert_eq!(proposed.await.expect("it is taken"), "version 1 is agreed\nversion 1 is in force\n");
+    assert_eq!(proposed.await.expect("it is taken"), "revision 1 is agreed\nrevision 1 is in force\n");
     let states = timeout(LONG, async {
         loop {
             let (code, said, _) = run(&["status", "--operator", &operator, "--json"]).await;
--- a/control-plane/tests/recorded_bytes.rs
+++ b/control-plane/tests/recorded_bytes.rs
@@ -259,17 +259,17 @@
     assert_eq!(admin_client::status(at, LONG).await.expect("a status"), status());
     assert_eq!(admin_client::propose(at, changes(), LONG).await.expect("a version"), 15);
     let refused = admin_client::propose(at, vec![], LONG).await.expect_err("it is refused");
-    assert_eq!(refused.to_string(), format!("{at}: refused: it changes nothing"));
+    assert_eq!(refused.to_string(), format!("{at}: proposal rejected: it changes nothing"));
     let other = admin_client::status(at, LONG).await.expect_err("something else");
-    assert_eq!(other.to_string(), format!("{at}: expected a status"));
+    assert_eq!(other.to_string(), format!("{at}: unexpected response, expected a status"));
     let other = admin_client::propose(at, changes(), LONG).await.expect_err("something else");
-    assert_eq!(other.to_string(), format!("{at}: expected a version, or why there is none"));
+    assert_eq!(other.to_string(), format!("{at}: unexpected response, expected a revision or a rejection"));
     fixtures::assert_same_bytes("admin_calls.bin", &serving.await.expect("no panic"));
     let gone = admin_client::status(at, LONG).await.expect_err("nobody listens");
-    assert!(gone.to_string().starts_with(&format!("{at}: Connection refused")), "{gone}");
+    assert!(gone.to_string().starts_with(&format!("{at}: could not connect: Connection refused")), "{gone}");
     let (_silent, at) = listener().await;
     let silent = admin_client::status(at, Duration::from_millis(50)).await.expect_err("nobody answers");
-    assert_eq!(silent.to_string(), format!("{at}: no answer within 0.05 s"));
+    assert_eq!(silent.to_string(), format!("{at}: no response within 0.05 s"));
 }
 
 fn snapshot() -> Snapshot {
--- a/control-plane/tests/recorded_settings.rs
+++ b/control-plane/tests/recorded_settings.rs
@@ -154,6 +154,6 @@
     faults("changes_errors.txt", &text, problem);
     assert_eq!(
         problem("").expect("empty"),
-        "changes.toml:1: expected host, zone, quota, route or class at least once"
+        "changes.toml:1: expected at least one host, zone, quota, route or class"
     );
 }
