--- a/control-plane/tests/common/fixtures.rs
+++ b/control-plane/tests/common/fixtures.rs
@@ -1,40 +1,41 @@
-//! Recorded bytes and texts that a later version has to reproduce.
+//! Recorded bytes and texts that later versions of the program have to reproduce.
 use std::path::PathBuf;
 
-/// Set in the environment, fixtures are written instead of only compared. Left out in CI.
-const RECORD: &str = "TERNSTACK_RECORD_FIXTURES";
+/// The environment variable that makes tests write the fixtures before they compare them. CI does not set the
+/// variable.
+const RECORD_VARIABLE: &str = "TERNSTACK_RECORD_FIXTURES";
 
 pub fn path(name: &str) -> PathBuf {
     PathBuf::from(env!("CARGO_MANIFEST_DIR")).join("tests/fixtures").join(name)
 }
 
 pub fn bytes(name: &str) -> Vec<u8> {
-    std::fs::read(path(name)).unwrap_or_else(|e| panic!("{name}: {e}"))
+    std::fs::read(path(name)).unwrap_or_else(|error| panic!("could not read the fixture {name}: {error}"))
 }
 
 pub fn text(name: &str) -> String {
-    String::from_utf8(bytes(name)).expect("UTF-8")
+    String::from_utf8(bytes(name)).expect("the fixture is valid UTF-8")
 }
 
-/// The recorded bytes are these, to the last.
-pub fn assert_same_bytes(name: &str, now: &[u8]) {
-    if std::env::var_os(RECORD).is_some() {
-        std::fs::write(path(name), now).expect("the fixture is written");
+/// Asserts that the fixture consists of exactly these bytes.
+pub fn assert_same_bytes(name: &str, actual: &[u8]) {
+    if std::env::var_os(RECORD_VARIABLE).is_some() {
+        std::fs::write(path(name), actual).expect("the fixture can be written");
     }
     let recorded = bytes(name);
-    let first = recorded.iter().zip(now).position(|(a, b)| a != b);
-    let lengths = (recorded.len(), now.len());
+    let first_difference = recorded.iter().zip(actual).position(|(recorded, actual)| recorded != actual);
+    let lengths = (recorded.len(), actual.len());
     assert!(
-        first.is_none() && lengths.0 == lengths.1,
-        "{name}: first difference {first:?}, {lengths:?} bytes"
+        first_difference.is_none() && lengths.0 == lengths.1,
+        "the bytes equal the fixture {name}: first difference {first_difference:?}, {lengths:?} bytes"
     );
 }
 
-/// The recorded lines are these.
-pub fn assert_same_lines(name: &str, now: &[String]) {
-    let now = now.iter().fold(String::new(), |all, line| all + line + "\n");
-    if std::env::var_os(RECORD).is_some() {
-        std::fs::write(path(name), &now).expect("the fixture is written");
+/// Asserts that the fixture consists of exactly these lines.
+pub fn assert_same_lines(name: &str, actual: &[String]) {
+    let actual = actual.iter().fold(String::new(), |text, line| text + line + "\n");
+    if std::env::var_os(RECORD_VARIABLE).is_some() {
+        std::fs::write(path(name), &actual).expect("the fixture can be written");
     }
-    assert_eq!(text(name), now, "{name}");
+    assert_eq!(text(name), actual, "the lines equal the fixture {name}");
 }
--- a/control-plane/tests/common/mod.rs
+++ b/control-plane/tests/common/mod.rs
@@ -1,4 +1,5 @@
-//! An origin, distributors and followers as tasks on loopback, and what a test awaits of them.
+//! A primary, replicas and gateways that run as tasks on the loopback interface, and functions that wait for
+//! their states.
 #![allow(dead_code)]
 
 pub mod fixtures;
@@ -21,101 +22,103 @@
 use tokio::task::JoinHandle;
 use tokio::time::timeout;
 
-/// Far longer than anything here takes: a test that hangs ends, and none depends on speed.
-pub const LONG: Duration = Duration::from_secs(60);
-/// The service that all here follow.
-pub const SERVICE: Scope = Scope::Hosts(7);
+/// The time limit of each wait, far longer than any wait takes. A test that hangs fails, but no test depends
+/// on the speed of the machine.
+pub const TEST_TIMEOUT: Duration = Duration::from_secs(60);
+/// The scope of the service that all gateways follow.
+pub const SERVICE_SCOPE: Scope = Scope::Hosts(7);
 
-/// Short leases, so that what waits for one to run out does not wait long.
-pub fn terms() -> LeaseConfig {
+/// Returns settings with short leases, so that tests do not wait long for a lease to expire.
+pub fn lease_config() -> LeaseConfig {
     LeaseConfig { lease_ms: 700.0, batch_ms: 20.0, ..LeaseConfig::default() }
 }
 
-pub fn host(n: u64, drains: bool) -> Change {
-    let address = SocketAddrV4::new(Ipv4Addr::LOCALHOST, 1000 + n as u16);
-    let host = Host { address, zone: 1, draining: drains, weight_milli: 1000, started_s: 0 };
-    Change { scope: SERVICE, key: Key(n), entry: Some(Entry::Host(host)) }
+pub fn host_change(number: u64, draining: bool) -> Change {
+    let address = SocketAddrV4::new(Ipv4Addr::LOCALHOST, 1000 + number as u16);
+    let host = Host { address, zone: 1, draining, weight_milli: 1000, started_s: 0 };
+    Change { scope: SERVICE_SCOPE, key: Key(number), entry: Some(Entry::Host(host)) }
 }
 
-/// State with so many hosts of the service, in force as version 1.
-pub fn store(hosts: u64) -> Store {
+/// Returns a store in which revision 1 is in force, with `hosts` hosts of the service.
+pub fn store_with_hosts(hosts: u64) -> Store {
     let mut store = Store::new();
-    let mut changes: Vec<Change> = (0..hosts).map(|n| host(n, false)).collect();
+    let mut changes: Vec<Change> = (0..hosts).map(|number| host_change(number, false)).collect();
     changes.push(Change { scope: Scope::Zones, key: Key::from_number(1), entry: Some(Entry::Zone(true)) });
     store.add_pending(ChangeSet { revision: 1, changes });
     store.advance_to(1);
     store
 }
 
-pub async fn listener() -> (TcpListener, SocketAddr) {
-    let listener = TcpListener::bind("127.0.0.1:0").await.expect("a free port");
-    let at = listener.local_addr().expect("an address");
-    (listener, at)
+pub async fn bind_listener() -> (TcpListener, SocketAddr) {
+    let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port is free");
+    let address = listener.local_addr().expect("the listener has an address");
+    (listener, address)
 }
 
-/// A machine that runs until it is killed.
-pub struct Running<C> {
+/// A control server that runs until it is killed or dropped.
+pub struct RunningServer<C> {
     pub server: Arc<ControlServer<C>>,
-    pub at: SocketAddr,
+    pub address: SocketAddr,
     pub task: JoinHandle<()>,
 }
 
-impl<C> Running<C> {
-    /// Kills it: its listener and its connections end at once.
+impl<C> RunningServer<C> {
+    /// Stops the server at once, which closes its listener and its connections.
     pub async fn kill(&mut self) {
         self.task.abort();
         let _ = (&mut self.task).await;
     }
 }
 
-impl<C> Drop for Running<C> {
+impl<C> Drop for RunningServer<C> {
     fn drop(&mut self) {
         self.task.abort();
     }
 }
 
-pub async fn origin(hosts: u64) -> Running<Primary> {
-    let (listener, at) = listener().await;
-    let server = ControlServer::primary("o", terms(), store(hosts));
+pub async fn start_primary(hosts: u64) -> RunningServer<Primary> {
+    let (listener, address) = bind_listener().await;
+    let server = ControlServer::primary("o", lease_config(), store_with_hosts(hosts));
     let run = server.clone().run(listener);
-    Running { server, at, task: tokio::spawn(async move { match run.await {} }) }
+    RunningServer { server, address, task: tokio::spawn(async move { match run.await {} }) }
 }
 
-pub async fn distributor(name: &str, grantor: SocketAddr) -> Running<Replica> {
-    let (listener, at) = listener().await;
-    let server = ControlServer::replica(Member { name: name.into(), incarnation: 1 }, terms());
-    let run = server.clone().run(listener, vec![grantor], terms());
-    let running = Running { server, at, task: tokio::spawn(async move { match run.await {} }) };
-    let complete = || {
+/// Starts a replica that follows `upstream`, and waits until the replica is complete and holds a lease.
+pub async fn start_replica(name: &str, upstream: SocketAddr) -> RunningServer<Replica> {
+    let (listener, address) = bind_listener().await;
+    let server = ControlServer::replica(Member { name: name.into(), incarnation: 1 }, lease_config());
+    let run = server.clone().run(listener, vec![upstream], lease_config());
+    let running = RunningServer { server, address, task: tokio::spawn(async move { match run.await {} }) };
+    let is_ready = || {
         running
             .server
-            .with_core(|core, now| core.follower().is_complete() && core.follower().lease_until() > now)
+            .with_core(|core, now_ms| core.follower().is_complete() && core.follower().lease_until() > now_ms)
     };
-    let waited = timeout(LONG, async {
-        while !complete() {
+    let waiting = timeout(TEST_TIMEOUT, async {
+        while !is_ready() {
             tokio::time::sleep(Duration::from_millis(5)).await;
         }
     });
-    waited.await.expect("it has all in the end");
+    waiting.await.expect("the replica becomes complete and acquires a lease");
     running
 }
 
-/// A follower of the service.
-pub struct Gateway {
+/// A gateway's client that follows the service, and the events of the client.
+pub struct TestGateway {
     pub client: Arc<GatewayClient>,
     pub events: mpsc::UnboundedReceiver<ClientEvent>,
-    /// All that was told so far.
-    pub all: Arc<Mutex<Vec<ClientEvent>>>,
+    /// All events since the start, in order.
+    pub event_log: Arc<Mutex<Vec<ClientEvent>>>,
     pub task: JoinHandle<()>,
 }
 
-impl Drop for Gateway {
+impl Drop for TestGateway {
     fn drop(&mut self) {
         self.task.abort();
     }
 }
 
-pub fn endpoint(name: &str, address: SocketAddr, zone: &str) -> ServerEndpoint {
+pub fn server_endpoint(name: &str, address: SocketAddr, zone: &str) -> ServerEndpoint {
     ServerEndpoint { name: name.into(), address, zone: zone.into(), region: "north".into() }
 }
 
@@ -125,55 +128,57 @@
         zone: "a".into(),
         region: "north".into(),
         servers,
-        lease: terms(),
+        lease: lease_config(),
         snapshot: None,
-        scopes: vec![ScopePriority { scope: SERVICE, priority: 1.0 }],
+        scopes: vec![ScopePriority { scope: SERVICE_SCOPE, priority: 1.0 }],
     }
 }
 
 pub fn snapshot_config(path: &std::path::Path) -> Option<SnapshotConfig> {
-    Some(SnapshotConfig { path: path.to_path_buf(), write_interval: LONG, on_blocking_thread: true })
+    Some(SnapshotConfig { path: path.to_path_buf(), write_interval: TEST_TIMEOUT, on_blocking_thread: true })
 }
 
-impl Gateway {
+impl TestGateway {
     pub fn start(config: GatewayClientConfig) -> Self {
         let client = GatewayClient::new(config);
-        let (tell, events) = mpsc::unbounded_channel();
-        let (running, all) = (client.clone(), Arc::new(Mutex::new(Vec::new())));
-        let heard = all.clone();
+        let (event_sender, events) = mpsc::unbounded_channel();
+        let (running_client, event_log) = (client.clone(), Arc::new(Mutex::new(Vec::new())));
+        let log = event_log.clone();
         let task = tokio::spawn(async move {
-            let tell = move |_, what| {
-                heard.lock().expect("no panic").push(what);
-                let _ = tell.send(what);
+            let on_event = move |_, event| {
+                log.lock().expect("no holder of the lock has panicked").push(event);
+                let _ = event_sender.send(event);
             };
-            match running.run(tell).await {}
+            match running_client.run(on_event).await {}
         });
-        Gateway { client, events, all, task }
+        TestGateway { client, events, event_log, task }
     }
 
-    /// Waits until something holds here, looking at it after whatever is told.
-    pub async fn until(&mut self, what: &str, holds: impl Fn(&GatewayClient) -> bool) {
-        let waited = timeout(LONG, async {
+    /// Waits until a condition holds, which is checked after each event. `description` names the condition in
+    /// the failure message.
+    pub async fn wait_until(&mut self, description: &str, holds: impl Fn(&GatewayClient) -> bool) {
+        let waiting = timeout(TEST_TIMEOUT, async {
             while !holds(&self.client) {
-                self.events.recv().await.expect("it runs");
+                self.events.recv().await.expect("the client runs");
             }
         });
-        waited.await.unwrap_or_else(|_| panic!("{what}: never at {}", self.client.name()));
+        waiting.await.unwrap_or_else(|_| panic!("{} does not reach: {description}", self.client.name()));
     }
 
-    /// Waits until it acts on a version, or a later one, by a lease.
-    pub async fn acts_on(&mut self, number: Revision) {
-        let acts = |f: &GatewayClient| f.in_force() >= number && f.holds_lease();
-        self.until(&format!("version {number}"), acts).await;
+    /// Waits until a revision or a later one is in force at the client, which holds a lease.
+    pub async fn wait_for_revision(&mut self, revision: Revision) {
+        let is_in_force = |client: &GatewayClient| client.in_force() >= revision && client.holds_lease();
+        self.wait_until(&format!("revision {revision} in force"), is_in_force).await;
     }
 
-    /// Waits until it has its service whole.
-    pub async fn whole(&mut self) {
-        let whole = |f: &GatewayClient| f.with_core(|core, _| core.is_complete()) && f.holds_lease();
-        self.until("whole", whole).await;
+    /// Waits until all followed scopes are complete at the client, which holds a lease.
+    pub async fn wait_until_complete(&mut self) {
+        let is_complete =
+            |client: &GatewayClient| client.with_core(|core, _| core.is_complete()) && client.holds_lease();
+        self.wait_until("all scopes complete", is_complete).await;
     }
 }
 
-pub fn drains(client: &GatewayClient, n: u64) -> bool {
-    matches!(client.entry(SERVICE, Key(n)), Some(Entry::Host(host)) if host.draining)
+pub fn is_draining(client: &GatewayClient, host_number: u64) -> bool {
+    matches!(client.entry(SERVICE_SCOPE, Key(host_number)), Some(Entry::Host(host)) if host.draining)
 }
--- a/control-plane/tests/faulty_connections.rs
+++ b/control-plane/tests/faulty_connections.rs
@@ -1,4 +1,5 @@
-//! Connections that carry something else, or are not read: they end, or wait, and nobody else is touched.
+//! Connections with malformed or unexpected data, and connections that are not read. Each is closed or waits,
+//! and the other connections go on.
 mod common;
 use common::*;
 use std::io::Write;
@@ -15,13 +16,13 @@
 use tokio::sync::oneshot;
 use tokio::time::timeout;
 
-/// What is logged on this thread.
+/// The log output of this thread.
 #[derive(Clone, Default)]
-struct Log(Arc<Mutex<Vec<u8>>>);
+struct CapturedLog(Arc<Mutex<Vec<u8>>>);
 
-impl Write for Log {
+impl Write for CapturedLog {
     fn write(&mut self, bytes: &[u8]) -> std::io::Result<usize> {
-        self.0.lock().expect("no panic").extend(bytes);
+        self.0.lock().expect("no holder of the lock has panicked").extend(bytes);
         Ok(bytes.len())
     }
 
@@ -30,31 +31,31 @@
     }
 }
 
-impl Log {
+impl CapturedLog {
     fn start() -> (Self, tracing::subscriber::DefaultGuard) {
-        let log = Log::default();
+        let log = CapturedLog::default();
         let writer = log.clone();
         let subscriber =
             tracing_subscriber::fmt().with_ansi(false).with_writer(move || writer.clone()).finish();
         (log, tracing::subscriber::set_default(subscriber))
     }
 
-    fn lines(&self, with: &str) -> usize {
-        let log = self.0.lock().expect("no panic");
-        String::from_utf8_lossy(&log).lines().filter(|line| line.contains(with)).count()
+    fn count_lines_with(&self, text: &str) -> usize {
+        let log = self.0.lock().expect("no holder of the lock has panicked");
+        String::from_utf8_lossy(&log).lines().filter(|line| line.contains(text)).count()
     }
 }
 
 fn frame(message: &Message) -> Vec<u8> {
     let mut bytes = Vec::new();
-    encode(message, &mut bytes).expect("it fits");
+    encode(message, &mut bytes).expect("the message fits into a frame");
     bytes
 }
 
-fn ask(number: u64, fetch: Vec<(Scope, Cursor)>) -> Message {
+fn poll(sequence: u64, fetch: Vec<(Scope, Cursor)>) -> Message {
     Message::PollRequest(PollRequest {
         member: Member { name: "foreign".into(), incarnation: 1 },
-        sequence: number,
+        sequence,
         acknowledged: 0,
         known: 0,
         in_force: 0,
@@ -63,75 +64,86 @@
     })
 }
 
-/// What is no message, and what its log line says.
-fn malformed() -> Vec<(Vec<u8>, &'static str)> {
-    let sound = frame(&ask(1, vec![]));
-    let mut swapped = sound.clone();
-    swapped[HEADER_BYTES + 3] ^= 4;
-    let mut format = sound.clone();
-    format[4] = 9;
-    let mut content = Vec::from(((HEADER_BYTES + 20 - 4) as u32).to_be_bytes());
-    content.push(1);
-    content.extend(crc32fast::hash(&[0xff; 20]).to_be_bytes());
-    content.extend([0xff; 20]);
+/// Returns data that a server must reject, each with a part of the log line that reports the data.
+fn rejected_data() -> Vec<(Vec<u8>, &'static str)> {
+    let valid = frame(&poll(1, vec![]));
+    let mut corrupted = valid.clone();
+    corrupted[HEADER_BYTES + 3] ^= 4;
+    let mut unknown_format = valid.clone();
+    unknown_format[4] = 9;
+    let mut invalid_content = Vec::from(((HEADER_BYTES + 20 - 4) as u32).to_be_bytes());
+    invalid_content.push(1);
+    invalid_content.extend(crc32fast::hash(&[0xff; 20]).to_be_bytes());
+    invalid_content.extend([0xff; 20]);
     let mut oversized = Vec::from(((MAX_FRAME_BYTES - 3) as u32).to_be_bytes());
     oversized.push(1);
-    let answer = Message::Proposed { proposal_id: 1, revision: Ok(1) };
+    let response = Message::Proposed { proposal_id: 1, revision: Ok(1) };
     vec![
-        (sound[..sound.len() - 2].to_vec(), "expected the whole frame"),
-        (swapped, "checksum is not that of its bytes"),
-        (format, "format 9, expected 1"),
-        (content, "holds no message"),
+        (valid[..valid.len() - 2].to_vec(), "expected the whole frame"),
+        (corrupted, "checksum is not that of its bytes"),
+        (unknown_format, "format 9, expected 1"),
+        (invalid_content, "holds no message"),
         (oversized, "1048577 bytes, expected 9 to 1048576"),
         (b"GET /ready HTTP/1.1\r\n\r\n".to_vec(), "expected 9 to 1048576"),
-        (frame(&answer), "expected a poll, a proposal or a status request"),
+        (frame(&response), "expected a poll, a proposal or a status request"),
     ]
 }
 
 #[tokio::test]
-async fn what_is_malformed_ends_its_connection_with_a_line_in_the_log_and_changes_nothing() {
-    let (log, _guard) = Log::start();
-    let origin = origin(20).await;
-    let distributor = distributor("d1", origin.at).await;
-    let mut gateway = Gateway::start(client_config("g0", 1, vec![endpoint("d1", distributor.at, "a")]));
-    gateway.whole().await;
-    let (was, moves) = (origin.server.status(), gateway.client.connections_established());
-    for at in [origin.at, distributor.at] {
-        for (bytes, line) in malformed() {
-            let before = log.lines(line);
-            let mut stream = TcpStream::connect(at).await.expect("it listens");
-            stream.write_all(&bytes).await.expect("it reads");
-            if line == "expected the whole frame" {
-                stream.shutdown().await.expect("it is up");
+async fn server_closes_and_logs_a_connection_with_invalid_data_and_keeps_its_state() {
+    let (log, _guard) = CapturedLog::start();
+    let primary = start_primary(20).await;
+    let replica = start_replica("d1", primary.address).await;
+    let mut gateway =
+        TestGateway::start(client_config("g0", 1, vec![server_endpoint("d1", replica.address, "a")]));
+    gateway.wait_until_complete().await;
+    let (status_before, connections_before) =
+        (primary.server.status(), gateway.client.connections_established());
+    for address in [primary.address, replica.address] {
+        for (bytes, log_text) in rejected_data() {
+            let lines_before = log.count_lines_with(log_text);
+            let mut stream = TcpStream::connect(address).await.expect("the server listens");
+            stream.write_all(&bytes).await.expect("the server reads");
+            if log_text == "expected the whole frame" {
+                stream.shutdown().await.expect("the connection is still open");
             }
-            let mut rest = Vec::new();
-            let ended = timeout(LONG, stream.read_to_end(&mut rest)).await.expect("it is closed");
-            assert!(ended.is_err() || rest.is_empty(), "{line}");
-            assert_eq!(log.lines(line), before + 1, "{line}");
+            let mut received = Vec::new();
+            let closed = timeout(TEST_TIMEOUT, stream.read_to_end(&mut received))
+                .await
+                .expect("the server closes the connection");
+            assert!(closed.is_err() || received.is_empty(), "no response is sent: {log_text}");
+            assert_eq!(log.count_lines_with(log_text), lines_before + 1, "one line is logged: {log_text}");
         }
     }
-    let is = origin.server.status();
-    assert_eq!((is.in_force, is.through, is.digest), (was.in_force, was.through, was.digest));
-    assert_eq!(is.followers, 1);
-    // Whoever was connected still is, and hears of what comes.
-    let number = admin_client::propose(origin.at, vec![host(3, true)], LONG).await.expect("it is taken");
-    gateway.acts_on(number).await;
-    assert!(drains(&gateway.client, 3));
-    assert_eq!(gateway.client.connections_established(), moves);
+    let status = primary.server.status();
+    assert_eq!(
+        (status.in_force, status.through, status.digest),
+        (status_before.in_force, status_before.through, status_before.digest)
+    );
+    assert_eq!(status.followers, 1);
+    // The gateway is still connected and receives further revisions.
+    let revision = admin_client::propose(primary.address, vec![host_change(3, true)], TEST_TIMEOUT)
+        .await
+        .expect("the proposal is accepted");
+    gateway.wait_for_revision(revision).await;
+    assert!(is_draining(&gateway.client, 3));
+    assert_eq!(gateway.client.connections_established(), connections_before);
 }
 
 #[tokio::test]
-async fn a_machine_that_answers_something_else_is_left_and_changes_nothing() {
-    let (log, _guard) = Log::start();
-    let origin = origin(20).await;
-    let (between, at) = listener().await;
-    let (tell, told) = oneshot::channel();
-    let mut gateway = Gateway::start(client_config("g0", 1, vec![endpoint("d1", at, "a")]));
-    // It answers the first ask of each connection with another piece of rubbish; from then on it is a link to the origin.
-    let (to, all) = (origin.at, gateway.all.clone());
-    let playing = tokio::spawn(async move {
-        for (bytes, _) in malformed() {
-            let (mut stream, _) = between.accept().await.expect("one comes");
+async fn gateway_leaves_a_server_that_sends_invalid_data_and_keeps_its_state() {
+    let (log, _guard) = CapturedLog::start();
+    let primary = start_primary(20).await;
+    let (faulty_listener, faulty_address) = bind_listener().await;
+    let (events_sender, events_receiver) = oneshot::channel();
+    let mut gateway =
+        TestGateway::start(client_config("g0", 1, vec![server_endpoint("d1", faulty_address, "a")]));
+    // The faulty server responds to the first poll of each connection with other invalid data, and forwards
+    // the last connection to the primary.
+    let (primary_address, event_log) = (primary.address, gateway.event_log.clone());
+    let faulty_server = tokio::spawn(async move {
+        for (bytes, _) in rejected_data() {
+            let (mut stream, _) = faulty_listener.accept().await.expect("the gateway connects again");
             let (reader, mut writer) = stream.split();
             assert!(matches!(
                 FrameReader::new(reader).next().await,
@@ -139,84 +151,99 @@
             ));
             let _ = writer.write_all(&bytes).await;
         }
-        let (mut stream, _) = between.accept().await.expect("one comes");
-        // It calls anew once it has done with the last of them.
-        let heard = all.lock().expect("no panic").clone();
-        let mut link = TcpStream::connect(to).await.expect("it listens");
-        let _ = tell.send(heard);
-        let _ = copy_bidirectional(&mut stream, &mut link).await;
+        let (mut gateway_side, _) = faulty_listener.accept().await.expect("the gateway connects again");
+        // The gateway has handled the last invalid data before it connects again.
+        let events = event_log.lock().expect("no holder of the lock has panicked").clone();
+        let mut primary_side = TcpStream::connect(primary_address).await.expect("the primary listens");
+        let _ = events_sender.send(events);
+        let _ = copy_bidirectional(&mut gateway_side, &mut primary_side).await;
     });
-    gateway.whole().await;
-    assert_eq!(gateway.client.connections_established(), 1 + malformed().len() as u64);
-    for (_, line) in malformed().iter().filter(|(_, line)| !line.contains("a proposal or a status request")) {
-        assert!(log.lines(line) >= 1, "{line}");
+    gateway.wait_until_complete().await;
+    assert_eq!(gateway.client.connections_established(), 1 + rejected_data().len() as u64);
+    for (_, log_text) in
+        rejected_data().iter().filter(|(_, log_text)| !log_text.contains("a proposal or a status request"))
+    {
+        assert!(log.count_lines_with(log_text) >= 1, "a line is logged: {log_text}");
     }
-    assert_eq!(log.lines("the server sent a message that is not a poll response"), 1);
-    assert_eq!(told.await.expect("it was told"), [], "not one of them told it anything");
+    assert_eq!(log.count_lines_with("the server sent a message that is not a poll response"), 1);
+    assert_eq!(
+        events_receiver.await.expect("the faulty server sends the events"),
+        [],
+        "invalid data causes no events"
+    );
     assert_eq!(gateway.client.in_force(), 1);
-    let sum = gateway.client.with_core(|core, _| core.storage().digest(SERVICE));
-    assert_eq!(sum, origin.server.with_core(|core, _| core.store().digest(SERVICE)));
-    playing.abort();
+    let digest = gateway.client.with_core(|core, _| core.storage().digest(SERVICE_SCOPE));
+    assert_eq!(digest, primary.server.with_core(|core, _| core.store().digest(SERVICE_SCOPE)));
+    faulty_server.abort();
 }
 
 #[tokio::test]
-async fn whoever_asks_and_does_not_read_holds_nobody_up() {
-    let origin = origin(2000).await;
-    let mut gateway = Gateway::start(client_config("g0", 1, vec![endpoint("o", origin.at, "a")]));
-    gateway.whole().await;
-    // Asks without end, of which it reads no answer: what it is owed fills its connection, and its asks wait there.
-    let mut stream = TcpStream::connect(origin.at).await.expect("it listens");
+async fn client_that_does_not_read_responses_does_not_delay_other_clients() {
+    let primary = start_primary(2000).await;
+    let mut gateway =
+        TestGateway::start(client_config("g0", 1, vec![server_endpoint("o", primary.address, "a")]));
+    gateway.wait_until_complete().await;
+    // The polls on this connection are endless and their responses are never read, so that the responses fill
+    // the buffers of the connection and the server stops reading polls.
+    let mut stream = TcpStream::connect(primary.address).await.expect("the primary listens");
     let flooding = tokio::spawn(async move {
-        for number in 1.. {
-            let message = ask(number, vec![(SERVICE, Cursor::default())]);
+        for sequence in 1.. {
+            let message = poll(sequence, vec![(SERVICE_SCOPE, Cursor::default())]);
             if write_message(&mut stream, &message, &mut Vec::new()).await.is_err() {
                 return;
             }
         }
     });
-    for n in 0..3 {
-        let number = admin_client::propose(origin.at, vec![host(n, true)], LONG).await.expect("it is taken");
-        gateway.acts_on(number).await;
-        assert!(drains(&gateway.client, n));
+    for host_number in 0..3 {
+        let revision =
+            admin_client::propose(primary.address, vec![host_change(host_number, true)], TEST_TIMEOUT)
+                .await
+                .expect("the proposal is accepted");
+        gateway.wait_for_revision(revision).await;
+        assert!(is_draining(&gateway.client, host_number));
     }
     assert_eq!(gateway.client.connections_established(), 1);
     flooding.abort();
 }
 
 #[tokio::test]
-async fn a_proposal_that_does_not_fit_is_refused_with_the_reason_and_others_go_on() {
-    let origin = origin(1).await;
-    let distributor = distributor("d1", origin.at).await;
-    let wrong = Change { scope: Scope::Zones, key: Key(1), entry: Some(Entry::Quota(1)) };
-    let refused =
-        admin_client::propose(origin.at, vec![wrong], LONG).await.expect_err("it does not fit").to_string();
-    assert!(refused.contains("may not stand in Zones"), "{refused}");
-    let refused = admin_client::propose(origin.at, vec![], LONG).await.expect_err("it is empty").to_string();
-    assert!(refused.contains("changes nothing"), "{refused}");
-    let refused = admin_client::propose(distributor.at, vec![host(0, true)], LONG)
+async fn invalid_proposal_is_rejected_with_the_reason_and_valid_ones_are_accepted() {
+    let primary = start_primary(1).await;
+    let replica = start_replica("d1", primary.address).await;
+    let misplaced = Change { scope: Scope::Zones, key: Key(1), entry: Some(Entry::Quota(1)) };
+    let error = admin_client::propose(primary.address, vec![misplaced], TEST_TIMEOUT)
+        .await
+        .expect_err("a quota is not valid in the scope of zones")
+        .to_string();
+    assert!(error.contains("may not stand in Zones"), "the error names the scope: {error}");
+    let error = admin_client::propose(primary.address, vec![], TEST_TIMEOUT)
+        .await
+        .expect_err("an empty proposal is not valid")
+        .to_string();
+    assert!(error.contains("changes nothing"), "the error names the problem: {error}");
+    let error = admin_client::propose(replica.address, vec![host_change(0, true)], TEST_TIMEOUT)
         .await
-        .expect_err("no origin")
+        .expect_err("a replica does not accept proposals")
         .to_string();
-    assert!(refused.contains("expected an origin"), "{refused}");
-    // Several on one connection, before any answer is read: each gets its own.
-    let mut stream = TcpStream::connect(origin.at).await.expect("it listens");
-    for number in 10..15 {
-        let message = Message::Propose { proposal_id: number, changes: vec![host(0, true)] };
-        write_message(&mut stream, &message, &mut Vec::new()).await.expect("it reads");
+    assert!(error.contains("expected an origin"), "the error names the expected role: {error}");
+    // Several proposals are sent on one connection before a response is read. Each gets its own response.
+    let mut stream = TcpStream::connect(primary.address).await.expect("the primary listens");
+    for proposal_id in 10..15 {
+        let message = Message::Propose { proposal_id, changes: vec![host_change(0, true)] };
+        write_message(&mut stream, &message, &mut Vec::new()).await.expect("the primary reads");
     }
     let mut frames = FrameReader::new(&mut stream);
-    let mut answered = Vec::new();
+    let mut agreed_ids = Vec::new();
     for _ in 0..5 {
-        match timeout(LONG, frames.next()).await.expect("an answer") {
+        match timeout(TEST_TIMEOUT, frames.next()).await.expect("the primary responds") {
             Ok(Some(ReceivedMessage {
-                message: Message::Proposed { proposal_id: number, revision: Ok(_) },
-                ..
-            })) => answered.push(number),
-            other => panic!("{other:?}"),
+                message: Message::Proposed { proposal_id, revision: Ok(_) }, ..
+            })) => agreed_ids.push(proposal_id),
+            other => panic!("the response is an agreed proposal, not {other:?}"),
         }
     }
-    answered.sort_unstable();
-    assert_eq!(answered, [10, 11, 12, 13, 14]);
-    let status = admin_client::status(distributor.at, LONG).await.expect("it answers");
+    agreed_ids.sort_unstable();
+    assert_eq!(agreed_ids, [10, 11, 12, 13, 14]);
+    let status = admin_client::status(replica.address, TEST_TIMEOUT).await.expect("the replica responds");
     assert_eq!(status.name, "d1");
 }
--- a/control-plane/tests/frames.rs
+++ b/control-plane/tests/frames.rs
@@ -1,4 +1,5 @@
-//! Frames on a stream: cut anywhere, joined anyhow, and none that is malformed gets through.
+//! Frames on a stream: messages that arrive in parts or together, malformed frames, and the counting of
+//! traffic.
 use ternstack_control_plane::frames::{write_message, ConnectionError, FrameReader};
 use ternstack_control_plane::traffic::TrafficCounter;
 use ternstack_replication::scope::{Change, ChangeSet, Digest, Entry, Key, Scope};
@@ -8,7 +9,7 @@
 };
 use tokio::io::{duplex, AsyncWriteExt};
 
-fn grant(chunks: Vec<ScopeChunk>, pending: Vec<ChangeSet>) -> Message {
+fn poll_response(chunks: Vec<ScopeChunk>, pending: Vec<ChangeSet>) -> Message {
     Message::PollResponse(PollResponse {
         sequence: 7,
         generation: 1,
@@ -21,65 +22,70 @@
     })
 }
 
-fn part(scope: Scope, entries: u64) -> ScopeChunk {
-    let entries =
-        (0..entries).map(|n| ChunkEntry { revision: 1, key: Key(n), entry: Some(Entry::Quota(9)) }).collect();
+fn chunk(scope: Scope, entries: u64) -> ScopeChunk {
+    let entries = (0..entries)
+        .map(|key| ChunkEntry { revision: 1, key: Key(key), entry: Some(Entry::Quota(9)) })
+        .collect();
     ScopeChunk { scope, restart: true, entries, final_digest: Some(Digest(1)) }
 }
 
-async fn bytes(message: &Message) -> Vec<u8> {
+async fn encoded(message: &Message) -> Vec<u8> {
     let (mut bytes, mut scratch) = (Vec::new(), Vec::new());
-    let n = write_message(&mut bytes, message, &mut scratch).await.expect("it fits");
-    assert_eq!(n, bytes.len());
+    let frame_bytes =
+        write_message(&mut bytes, message, &mut scratch).await.expect("the message fits into a frame");
+    assert_eq!(frame_bytes, bytes.len());
     bytes
 }
 
 #[tokio::test]
-async fn messages_come_whole_however_their_bytes_come() {
+async fn messages_are_read_complete_for_any_split_of_the_stream() {
     let messages =
-        [Message::GetStatus, grant(vec![part(Scope::Tenants(1), 5000)], vec![]), Message::GetStatus];
-    let mut all = Vec::new();
+        [Message::GetStatus, poll_response(vec![chunk(Scope::Tenants(1), 5000)], vec![]), Message::GetStatus];
+    let mut stream = Vec::new();
     for message in &messages {
-        all.extend(bytes(message).await);
+        stream.extend(encoded(message).await);
     }
-    for chunk in [1, 7, 4096, all.len()] {
-        let (mut to, from) = duplex(chunk);
-        let sent = all.clone();
-        let writing = tokio::spawn(async move { to.write_all(&sent).await });
-        let mut frames = FrameReader::new(from);
+    for buffer_bytes in [1, 7, 4096, stream.len()] {
+        let (mut sender, receiver) = duplex(buffer_bytes);
+        let sent = stream.clone();
+        let writing = tokio::spawn(async move { sender.write_all(&sent).await });
+        let mut frames = FrameReader::new(receiver);
         for message in &messages {
-            assert_eq!(frames.next().await.expect("sound").expect("one more").message, *message);
+            assert_eq!(
+                frames.next().await.expect("the frame is valid").expect("a message follows").message,
+                *message
+            );
         }
-        assert!(frames.next().await.expect("a clean end").is_none());
-        assert_eq!(frames.received_bytes(), all.len() as u64);
-        writing.await.expect("no panic").expect("written");
+        assert!(frames.next().await.expect("the stream ends between frames").is_none());
+        assert_eq!(frames.received_bytes(), stream.len() as u64);
+        writing.await.expect("the writing task does not panic").expect("the stream can be written");
     }
 }
 
 #[tokio::test]
-async fn malformed_frames_are_reported_with_what_was_expected() {
-    let sound = bytes(&Message::GetStatus).await;
-    let mut swapped = sound.clone();
-    *swapped.last_mut().expect("a byte") ^= 1;
-    let long = ((MAX_FRAME_BYTES - 3) as u32).to_be_bytes();
-    for (given, told) in [
-        (&sound[..HEADER_BYTES], "ended after 9 bytes"),
-        (&swapped, "checksum"),
-        (&long, "expected 9 to 1048576"),
+async fn malformed_frames_are_rejected_with_the_expected_value() {
+    let valid = encoded(&Message::GetStatus).await;
+    let mut corrupted = valid.clone();
+    *corrupted.last_mut().expect("the frame is not empty") ^= 1;
+    let too_long = ((MAX_FRAME_BYTES - 3) as u32).to_be_bytes();
+    for (bytes, expected_error) in [
+        (&valid[..HEADER_BYTES], "ended after 9 bytes"),
+        (&corrupted, "checksum"),
+        (&too_long, "expected 9 to 1048576"),
         (b"GET / HTTP/1.1\r\n\r\n", "expected 9 to 1048576"),
         (&[0, 0, 0, 9, 77], "format 77, expected 1"),
     ] {
-        let words = match FrameReader::new(given).next().await {
+        let error = match FrameReader::new(bytes).next().await {
             Err(error) => error.to_string(),
-            other => panic!("{told}: {other:?}"),
+            other => panic!("the bytes are rejected with {expected_error:?}, not read as {other:?}"),
         };
-        assert!(words.contains(told), "{words}");
+        assert!(error.contains(expected_error), "the error contains {expected_error:?}: {error}");
     }
 }
 
 #[tokio::test]
-async fn a_frame_of_the_longest_length_is_read_and_a_byte_more_is_not() {
-    // Content that is no message, of a length that is allowed: the whole of it is read before that is told.
+async fn frame_of_the_maximum_length_is_read_completely() {
+    // The content is not a message, which the reader notices only after the whole frame has been read.
     let content = vec![0xff; MAX_FRAME_BYTES - HEADER_BYTES];
     let mut longest = ((MAX_FRAME_BYTES - 4) as u32).to_be_bytes().to_vec();
     longest.push(1);
@@ -91,12 +97,12 @@
 }
 
 #[tokio::test]
-async fn bytes_are_counted_by_cause_and_none_is_lost() {
+async fn every_byte_is_counted_under_one_cause() {
     let counter = TrafficCounter::default();
     let change = Change { scope: Scope::Zones, key: Key(1), entry: Some(Entry::Zone(false)) };
-    let version = ChangeSet { revision: 4, changes: vec![change] };
-    let (news, fetched) = (part(Scope::Hosts(1), 2), part(Scope::Hosts(2), 50));
-    let ask = |known, fetch| PollRequest {
+    let pending = ChangeSet { revision: 4, changes: vec![change] };
+    let (changed, fetched) = (chunk(Scope::Hosts(1), 2), chunk(Scope::Hosts(2), 50));
+    let poll = |known, fetch| PollRequest {
         member: Member { name: "g".into(), incarnation: 1 },
         sequence: 7,
         acknowledged: 6,
@@ -105,26 +111,26 @@
         subscription: Subscription::Unchanged { generation: 1 },
         fetch,
     };
-    let (quiet, fetches) = (ask(3, vec![]), ask(3, vec![(Scope::Hosts(2), Cursor::default())]));
-    let begins = ask(0, vec![]);
-    let mut all = 0;
-    for (message, asked) in [
-        (grant(vec![], vec![]), Some(&quiet)),
-        (grant(vec![news.clone()], vec![]), Some(&quiet)),
-        (grant(vec![news.clone()], vec![]), Some(&begins)),
-        (grant(vec![], vec![version.clone()]), Some(&quiet)),
-        (grant(vec![news, fetched], vec![version]), Some(&fetches)),
+    let (lease_poll, fetch_poll) = (poll(3, vec![]), poll(3, vec![(Scope::Hosts(2), Cursor::default())]));
+    let first_poll = poll(0, vec![]);
+    let mut total_bytes = 0;
+    for (message, request) in [
+        (poll_response(vec![], vec![]), Some(&lease_poll)),
+        (poll_response(vec![changed.clone()], vec![]), Some(&lease_poll)),
+        (poll_response(vec![changed.clone()], vec![]), Some(&first_poll)),
+        (poll_response(vec![], vec![pending.clone()]), Some(&lease_poll)),
+        (poll_response(vec![changed, fetched], vec![pending]), Some(&fetch_poll)),
         (Message::GetStatus, None),
     ] {
-        let n = bytes(&message).await.len();
-        counter.record_written(&message, n, asked);
-        all += n as u64;
+        let frame_bytes = encoded(&message).await.len();
+        counter.record_written(&message, frame_bytes, request);
+        total_bytes += frame_bytes as u64;
     }
-    let counts = counter.counts();
-    let written = counts.written;
-    let tallies = [written.polls, written.leases, written.changes, written.fetches, written.admin];
-    assert_eq!(tallies.map(|t| t.messages), [0, 1, 2, 2, 1]);
-    assert_eq!(tallies.iter().map(|t| t.bytes).sum::<u64>(), all);
+    let traffic = counter.counts();
+    let written = traffic.written;
+    let counts = [written.polls, written.leases, written.changes, written.fetches, written.admin];
+    assert_eq!(counts.map(|count| count.messages), [0, 1, 2, 2, 1]);
+    assert_eq!(counts.iter().map(|count| count.bytes).sum::<u64>(), total_bytes);
     assert!(written.fetches.bytes > 100 && written.changes.bytes > 20 && written.leases.bytes > 40);
-    assert_eq!(counts.read, Default::default());
+    assert_eq!(traffic.read, Default::default());
 }
--- a/control-plane/tests/recorded_settings.rs
+++ b/control-plane/tests/recorded_settings.rs
@@ -1,5 +1,5 @@
-//! The operators' file and the file of proposed changes, recorded: every key is read to the same value, and what is wrong is
-//! told in the same words at the same place.
+//! Recorded parses of the operators' file and the file of changes. Later versions have to read the same value
+//! for each key, and to report the same errors at the same positions.
 mod common;
 use common::fixtures;
 use std::fmt::Debug;
@@ -8,152 +8,169 @@
 use ternstack_replication::rules::RetryPolicy;
 use ternstack_replication::scope::{Change, Entry, Scope};
 
-/// A line for a value: what it is, and the value as it is written for people.
-fn line(what: &str, value: impl Debug) -> String {
-    format!("{what} = {value:?}")
+/// Returns a line of a fixture: the label of a value, and the value in its debug format.
+fn line(label: &str, value: impl Debug) -> String {
+    format!("{label} = {value:?}")
 }
 
-fn terms(operator: &OperatorFile) -> Vec<String> {
-    let t = &operator.lease;
+fn lease_lines(operator: &OperatorFile) -> Vec<String> {
+    let lease = &operator.lease;
     [
-        ("lease_ms", t.lease_ms),
-        ("drift", t.clock_drift_ratio),
-        ("batch_ms", t.batch_ms),
-        ("round_trip_ms", t.round_trip_ms),
-        ("bytes_per_s", t.bytes_per_s),
-        ("between_bytes_per_s", t.replica_bytes_per_s),
-        ("burst_s", t.burst_s),
+        ("lease_ms", lease.lease_ms),
+        ("drift", lease.clock_drift_ratio),
+        ("batch_ms", lease.batch_ms),
+        ("round_trip_ms", lease.round_trip_ms),
+        ("bytes_per_s", lease.bytes_per_s),
+        ("between_bytes_per_s", lease.replica_bytes_per_s),
+        ("burst_s", lease.burst_s),
     ]
-    .map(|(what, value)| line(what, (value, value.to_bits())))
+    .map(|(label, value)| line(label, (value, value.to_bits())))
     .to_vec()
 }
 
-/// All values of a file, without the names that the code has for them.
-fn values(operator: &OperatorFile) -> Vec<String> {
-    let mut all = terms(operator);
-    for m in &operator.servers {
-        let role = match m.role {
+/// Returns lines with all values of a file. The labels are fixed, so that renamed fields do not change the
+/// fixture.
+fn value_lines(operator: &OperatorFile) -> Vec<String> {
+    let mut lines = lease_lines(operator);
+    for server in &operator.servers {
+        let role = match server.role {
             ServerRole::Primary => "origin",
             ServerRole::Replica => "distributor",
         };
-        all.push(line("machine", (&m.name, m.address.to_string(), role, &m.zone)));
+        lines.push(line("machine", (&server.name, server.address.to_string(), role, &server.zone)));
     }
-    all.extend(operator.zones.iter().map(|z| line("zone", (&z.name, z.number, &z.region))));
-    all.extend(operator.services.iter().map(|s| line("service", (&s.name, s.number))));
+    lines.extend(operator.zones.iter().map(|zone| line("zone", (&zone.name, zone.number, &zone.region))));
+    lines.extend(operator.services.iter().map(|service| line("service", (&service.name, service.number))));
     let gateway = operator.gateway.as_ref();
-    all.push(line("gateway", gateway.map(|g| (&g.name, &g.zone, &g.services))));
-    all.push(line("snapshot", gateway.map(|g| (&g.snapshot, g.snapshot_every_s))));
-    all.push(line("origins", operator.primary_addresses()));
-    let Some(config) = operator.gateway_client_config() else { return all };
-    all.push(line("member", &config.member.name));
-    all.push(line("place", (&config.zone, &config.region)));
-    for m in &config.servers {
-        all.push(line("server", (&m.name, m.address.to_string(), &m.zone, &m.region)));
+    lines.push(line("gateway", gateway.map(|gateway| (&gateway.name, &gateway.zone, &gateway.services))));
+    lines.push(line("snapshot", gateway.map(|gateway| (&gateway.snapshot, gateway.snapshot_every_s))));
+    lines.push(line("origins", operator.primary_addresses()));
+    let Some(config) = operator.gateway_client_config() else { return lines };
+    lines.push(line("member", &config.member.name));
+    lines.push(line("place", (&config.zone, &config.region)));
+    for server in &config.servers {
+        lines.push(line("server", (&server.name, server.address.to_string(), &server.zone, &server.region)));
     }
-    all.push(line("same terms", config.lease == operator.lease));
-    let snapshot =
-        config.snapshot.as_ref().map(|s| (&s.path, s.write_interval.as_millis(), s.on_blocking_thread));
-    all.push(line("snapshot file", snapshot));
+    lines.push(line("same terms", config.lease == operator.lease));
+    let snapshot = config
+        .snapshot
+        .as_ref()
+        .map(|snapshot| (&snapshot.path, snapshot.write_interval.as_millis(), snapshot.on_blocking_thread));
+    lines.push(line("snapshot file", snapshot));
     for ScopePriority { scope, priority } in &config.scopes {
-        let Scope::Hosts(service) = scope else { panic!("{scope:?}") };
-        all.push(line("wanted", (service, priority.to_bits())));
+        let Scope::Hosts(service) = scope else { panic!("a gateway follows hosts, not {scope:?}") };
+        lines.push(line("wanted", (service, priority.to_bits())));
     }
-    all
+    lines
 }
 
 #[test]
-fn every_key_of_the_operators_file_is_read_to_the_recorded_value() {
+fn every_key_of_the_operators_file_has_the_recorded_value() {
     for name in ["operator_all_keys", "operator_defaults", "operator_without_gateway"] {
         let text = fixtures::text(&format!("{name}.toml"));
         let operator = OperatorFile::parse(name, &text).expect(name);
-        fixtures::assert_same_lines(&format!("{name}.values.txt"), &values(&operator));
-        let read = OperatorFile::from_file(&fixtures::path(&format!("{name}.toml"))).expect(name);
-        assert_eq!(read, operator);
+        fixtures::assert_same_lines(&format!("{name}.values.txt"), &value_lines(&operator));
+        let from_file = OperatorFile::from_file(&fixtures::path(&format!("{name}.toml"))).expect(name);
+        assert_eq!(from_file, operator);
     }
 }
 
-fn repeat(repeat: RetryPolicy) -> String {
-    match repeat {
+fn retry_policy_text(policy: RetryPolicy) -> String {
+    match policy {
         RetryPolicy::Never => "never".into(),
-        RetryPolicy::Within(ms) => format!("within {ms} ms"),
+        RetryPolicy::Within(limit_ms) => format!("within {limit_ms} ms"),
         RetryPolicy::Always => "always".into(),
     }
 }
 
-fn change(change: &Change) -> String {
+fn change_line(change: &Change) -> String {
     let scope = match change.scope {
         Scope::Zones => "zones".into(),
         Scope::Fleet => "fleet".into(),
-        Scope::Hosts(n) => format!("hosts {n}"),
-        Scope::Routes(n) => format!("routes {n}"),
-        Scope::Tenants(n) => format!("tenants {n}"),
+        Scope::Hosts(service) => format!("hosts {service}"),
+        Scope::Routes(service) => format!("routes {service}"),
+        Scope::Tenants(shard) => format!("tenants {shard}"),
     };
     let entry = match change.entry {
         None => "removed".into(),
-        Some(Entry::Host(h)) => {
-            format!("host {} {} {} {} {}", h.address, h.zone, h.draining, h.weight_milli, h.started_s)
+        Some(Entry::Host(host)) => {
+            format!(
+                "host {} {} {} {} {}",
+                host.address, host.zone, host.draining, host.weight_milli, host.started_s
+            )
+        }
+        Some(Entry::Route(route)) => {
+            format!("route {} {}", route.class, retry_policy_text(route.retry_policy))
         }
-        Some(Entry::Route(r)) => format!("route {} {}", r.class, repeat(r.retry_policy)),
         Some(Entry::Quota(per_s)) => format!("quota {per_s}"),
-        Some(Entry::RetryPolicy(r)) => format!("repeat {}", repeat(r)),
+        Some(Entry::RetryPolicy(policy)) => format!("repeat {}", retry_policy_text(policy)),
         Some(Entry::Zone(serves)) => format!("zone {serves}"),
     };
     format!("{scope} / {:016x}: {entry}", change.key.0)
 }
 
-fn operator() -> OperatorFile {
-    OperatorFile::parse("op.toml", &fixtures::text("operator_all_keys.toml")).expect("sound")
+fn operator_file() -> OperatorFile {
+    OperatorFile::parse("op.toml", &fixtures::text("operator_all_keys.toml")).expect("the fixture is valid")
 }
 
 #[test]
-fn every_key_of_the_file_of_changes_is_read_to_the_recorded_value() {
+fn every_key_of_the_file_of_changes_has_the_recorded_value() {
     let text = fixtures::text("changes_all_keys.toml");
-    let read = parse_changes(&operator(), "changes.toml", &text).expect("sound");
-    let lines: Vec<String> = read.iter().map(change).collect();
+    let changes = parse_changes(&operator_file(), "changes.toml", &text).expect("the fixture is valid");
+    let lines: Vec<String> = changes.iter().map(change_line).collect();
     fixtures::assert_same_lines("changes_all_keys.values.txt", &lines);
 }
 
-/// Faults are listed in a fixture, three lines each: what is replaced (once), with what, and the words that were recorded.
-fn faults(name: &str, text: &str, problem: impl Fn(&str) -> Option<String>) {
-    let listed = fixtures::text(name);
-    let lines: Vec<&str> = listed.lines().collect();
-    let mut now = Vec::new();
-    for fault in lines.chunks(3) {
-        let (was, is) = (fault[0].replace("\\n", "\n"), fault[1].replace("\\n", "\n"));
-        assert!(text.contains(&was), "{was}");
-        let told = problem(&text.replacen(&was, &is, 1)).unwrap_or_else(|| panic!("{was} -> {is}: no fault"));
-        now.extend([fault[0].to_string(), fault[1].to_string(), told.replace('\n', "\\n")]);
+/// Asserts that each invalid edit in a fixture gives the recorded error. An edit has three lines in the
+/// fixture: the text that is replaced once, the replacement, and the error.
+fn assert_same_errors(name: &str, text: &str, error_of: impl Fn(&str) -> Option<String>) {
+    let fixture = fixtures::text(name);
+    let lines: Vec<&str> = fixture.lines().collect();
+    let mut actual = Vec::new();
+    for edit in lines.chunks(3) {
+        let (original, replacement) = (edit[0].replace("\\n", "\n"), edit[1].replace("\\n", "\n"));
+        assert!(text.contains(&original), "the file contains {original}");
+        let error = error_of(&text.replacen(&original, &replacement, 1))
+            .unwrap_or_else(|| panic!("{replacement} instead of {original} gives an error"));
+        actual.extend([edit[0].to_string(), edit[1].to_string(), error.replace('\n', "\\n")]);
     }
-    assert!(now.len() >= 36, "a dozen at least");
-    fixtures::assert_same_lines(name, &now);
+    assert!(actual.len() >= 36, "the fixture {name} has at least 12 edits");
+    fixtures::assert_same_lines(name, &actual);
 }
 
 #[test]
-fn a_faulty_operators_file_is_reported_in_the_recorded_words() {
+fn invalid_operators_file_gives_the_recorded_errors() {
     let text = fixtures::text("operator_all_keys.toml");
-    faults("operator_errors.txt", &text, |text| {
-        OperatorFile::parse("op.toml", text).err().map(|e| e.to_string())
+    assert_same_errors("operator_errors.txt", &text, |text| {
+        OperatorFile::parse("op.toml", text).err().map(|error| error.to_string())
     });
     let text = fixtures::text("operator_without_gateway.toml");
-    let whole = ["", "[[machine]]\nname = 1", "[terms\n", &text.replace("\"origin\"", "\"distributor\"")];
-    let words = whole.map(|text| OperatorFile::parse("op.toml", text).expect_err(text).to_string());
-    fixtures::assert_same_lines("operator_whole_file_errors.txt", &words.map(|w| w.replace('\n', "\\n")));
-    let operator = operator();
-    let words = [
-        operator.server("north-1", ServerRole::Primary).expect_err("another role").to_string(),
-        operator.server("nobody", ServerRole::Replica).expect_err("unknown").to_string(),
-        OperatorFile::from_file("/nowhere/op.toml".as_ref()).expect_err("no file").to_string(),
+    let invalid_files =
+        ["", "[[machine]]\nname = 1", "[terms\n", &text.replace("\"origin\"", "\"distributor\"")];
+    let errors = invalid_files.map(|text| OperatorFile::parse("op.toml", text).expect_err(text).to_string());
+    fixtures::assert_same_lines(
+        "operator_whole_file_errors.txt",
+        &errors.map(|error| error.replace('\n', "\\n")),
+    );
+    let operator = operator_file();
+    let errors = [
+        operator.server("north-1", ServerRole::Primary).expect_err("north-1 has another role").to_string(),
+        operator.server("nobody", ServerRole::Replica).expect_err("no server has that name").to_string(),
+        OperatorFile::from_file("/nowhere/op.toml".as_ref())
+            .expect_err("the file does not exist")
+            .to_string(),
     ];
-    fixtures::assert_same_lines("operator_lookup_errors.txt", &words);
+    fixtures::assert_same_lines("operator_lookup_errors.txt", &errors);
 }
 
 #[test]
-fn a_faulty_file_of_changes_is_reported_in_the_recorded_words() {
-    let (operator, text) = (operator(), fixtures::text("changes_all_keys.toml"));
-    let problem = |text: &str| parse_changes(&operator, "changes.toml", text).err().map(|e| e.to_string());
-    faults("changes_errors.txt", &text, problem);
+fn invalid_file_of_changes_gives_the_recorded_errors() {
+    let (operator, text) = (operator_file(), fixtures::text("changes_all_keys.toml"));
+    let error_of =
+        |text: &str| parse_changes(&operator, "changes.toml", text).err().map(|error| error.to_string());
+    assert_same_errors("changes_errors.txt", &text, error_of);
     assert_eq!(
-        problem("").expect("empty"),
+        error_of("").expect("a file without changes is not valid"),
         "changes.toml:1: expected at least one host, zone, quota, route or class"
     );
 }
--- a/control-plane/tests/replication.rs
+++ b/control-plane/tests/replication.rs
@@ -1,4 +1,5 @@
-//! An origin, two distributors and followers on real sockets. No outcome here depends on how fast the machine is.
+//! A primary, two replicas and gateways on real sockets. The tests wait for states, so that no result depends
+//! on the speed of the machine.
 mod common;
 use common::*;
 use ternstack_control_plane::gateway_client::ClientEvent;
@@ -7,143 +8,172 @@
 use tokio::io::copy_bidirectional;
 use tokio::net::TcpStream;
 
-/// Waits until a proposal from within is agreed on: the number of its version follows the last one.
-fn propose(origin: &Running<ternstack_replication::primary::Primary>, changes: Vec<Change>) -> Revision {
-    let next = origin.server.with_core(|core, _| core.store().through()) + 1;
-    origin.server.propose(changes).expect("it is sound");
-    next
+/// Proposes changes within the process and returns the revision that they become part of, which is the next
+/// one.
+fn propose(
+    primary: &RunningServer<ternstack_replication::primary::Primary>, changes: Vec<Change>,
+) -> Revision {
+    let next_revision = primary.server.with_core(|core, _| core.store().through()) + 1;
+    primary.server.propose(changes).expect("the proposal is valid");
+    next_revision
 }
 
 #[tokio::test]
-async fn a_change_comes_into_force_at_every_follower_through_two_distributors() {
-    let origin = origin(20).await;
-    let d = [distributor("d1", origin.at).await, distributor("d2", origin.at).await];
-    let all = vec![endpoint("d1", d[0].at, "a"), endpoint("d2", d[1].at, "b")];
-    let mut gateways: Vec<Gateway> =
-        (0..6).map(|n| Gateway::start(client_config(&format!("g{n}"), 1, all.clone()))).collect();
+async fn change_comes_into_force_at_every_gateway_through_two_replicas() {
+    let primary = start_primary(20).await;
+    let replicas = [start_replica("d1", primary.address).await, start_replica("d2", primary.address).await];
+    let servers = vec![
+        server_endpoint("d1", replicas[0].address, "a"),
+        server_endpoint("d2", replicas[1].address, "b"),
+    ];
+    let mut gateways: Vec<TestGateway> = (0..6)
+        .map(|number| TestGateway::start(client_config(&format!("g{number}"), 1, servers.clone())))
+        .collect();
     for gateway in &mut gateways {
-        gateway.whole().await;
-        assert!(!drains(&gateway.client, 3));
+        gateway.wait_until_complete().await;
+        assert!(!is_draining(&gateway.client, 3));
     }
-    let zone = Change { scope: Scope::Zones, key: Key::from_number(2), entry: Some(Entry::Zone(false)) };
-    let number = propose(&origin, vec![host(3, true), zone]);
+    let zone_change =
+        Change { scope: Scope::Zones, key: Key::from_number(2), entry: Some(Entry::Zone(false)) };
+    let revision = propose(&primary, vec![host_change(3, true), zone_change]);
     for gateway in &mut gateways {
-        gateway.acts_on(number).await;
-        assert!(drains(&gateway.client, 3) && !drains(&gateway.client, 4));
+        gateway.wait_for_revision(revision).await;
+        assert!(is_draining(&gateway.client, 3) && !is_draining(&gateway.client, 4));
         let zone = gateway.client.entry(Scope::Zones, Key::from_number(2));
         assert_eq!(zone, Some(Entry::Zone(false)));
-        // It was told of as to come before it came into force.
-        let heard = gateway.all.lock().expect("no panic").clone();
-        let at =
-            |what| heard.iter().position(|told| *told == ClientEvent::Follower(what)).expect("it was told");
-        assert!(at(FollowerEvent::Known(number)) < at(FollowerEvent::InForce(number)));
-        assert_eq!(gateway.client.connected_server(), Some(0), "the one of its zone");
+        // The revision is known as pending before it comes into force.
+        let events = gateway.event_log.lock().expect("no holder of the lock has panicked").clone();
+        let position = |expected| {
+            events
+                .iter()
+                .position(|event| *event == ClientEvent::Follower(expected))
+                .expect("the event was sent")
+        };
+        assert!(position(FollowerEvent::Known(revision)) < position(FollowerEvent::InForce(revision)));
+        assert_eq!(gateway.client.connected_server(), Some(0), "the gateway prefers the replica of its zone");
     }
-    let status = origin.server.status();
-    assert_eq!((status.name.as_str(), status.in_force, status.lease_ms), ("o", number, None));
-    assert_eq!(status.followers, 2);
-    assert!(status.traffic.read.polls.messages > 0 && status.traffic.written.fetches.messages > 0);
-    // The distributor may hear of it a little later than those that it answers.
-    let held = d[0].server.status();
-    assert_eq!(held.followers, 6);
-    assert!(held.in_force == number && held.digest == status.digest && held.lease_ms.is_some());
+    let primary_status = primary.server.status();
+    assert_eq!(
+        (primary_status.name.as_str(), primary_status.in_force, primary_status.lease_ms),
+        ("o", revision, None)
+    );
+    assert_eq!(primary_status.followers, 2);
+    assert!(
+        primary_status.traffic.read.polls.messages > 0 && primary_status.traffic.written.fetches.messages > 0
+    );
+    let replica_status = replicas[0].server.status();
+    assert_eq!(replica_status.followers, 6);
+    assert!(
+        replica_status.in_force == revision
+            && replica_status.digest == primary_status.digest
+            && replica_status.lease_ms.is_some()
+    );
 }
 
 #[tokio::test]
-async fn followers_of_a_distributor_that_is_killed_go_on_at_the_other() {
-    let origin = origin(20).await;
-    let mut d = [distributor("d1", origin.at).await, distributor("d2", origin.at).await];
-    let all = vec![endpoint("d1", d[0].at, "a"), endpoint("d2", d[1].at, "b")];
-    let mut gateways: Vec<Gateway> =
-        (0..4).map(|n| Gateway::start(client_config(&format!("g{n}"), 1, all.clone()))).collect();
+async fn gateways_move_to_the_other_replica_when_theirs_is_killed() {
+    let primary = start_primary(20).await;
+    let mut replicas =
+        [start_replica("d1", primary.address).await, start_replica("d2", primary.address).await];
+    let servers = vec![
+        server_endpoint("d1", replicas[0].address, "a"),
+        server_endpoint("d2", replicas[1].address, "b"),
+    ];
+    let mut gateways: Vec<TestGateway> = (0..4)
+        .map(|number| TestGateway::start(client_config(&format!("g{number}"), 1, servers.clone())))
+        .collect();
     for gateway in &mut gateways {
-        gateway.whole().await;
+        gateway.wait_until_complete().await;
         assert_eq!(gateway.client.connected_server(), Some(0));
     }
-    d[0].kill().await;
-    let number = propose(&origin, vec![host(5, true)]);
+    replicas[0].kill().await;
+    let revision = propose(&primary, vec![host_change(5, true)]);
     for gateway in &mut gateways {
-        gateway.acts_on(number).await;
-        assert!(drains(&gateway.client, 5));
+        gateway.wait_for_revision(revision).await;
+        assert!(is_draining(&gateway.client, 5));
         assert_eq!(gateway.client.connected_server(), Some(1));
     }
 }
 
 #[tokio::test]
-async fn whoever_returns_with_its_snapshot_is_sent_what_changed_and_no_more() {
-    let origin = origin(400).await;
-    let distributor = distributor("d1", origin.at).await;
-    let all = vec![endpoint("d1", distributor.at, "a")];
-    let dir = tempfile::tempdir().expect("a directory");
-    let path = dir.path().join("g0.snapshot");
-    let mut first = client_config("g0", 1, all.clone());
-    first.snapshot = snapshot_config(&path);
-    let mut gateway = Gateway::start(first.clone());
-    gateway.whole().await;
-    let start = gateway.client.traffic().read.fetches;
-    assert!(start.messages > 0 && start.bytes > 400 * 15, "{start:?}");
-    gateway.client.write_snapshot().await.expect("it is written");
+async fn restarted_gateway_with_a_snapshot_fetches_only_what_has_changed() {
+    let primary = start_primary(400).await;
+    let replica = start_replica("d1", primary.address).await;
+    let servers = vec![server_endpoint("d1", replica.address, "a")];
+    let folder = tempfile::tempdir().expect("a temporary folder can be created");
+    let path = folder.path().join("g0.snapshot");
+    let mut config = client_config("g0", 1, servers.clone());
+    config.snapshot = snapshot_config(&path);
+    let mut gateway = TestGateway::start(config.clone());
+    gateway.wait_until_complete().await;
+    let fetches = gateway.client.traffic().read.fetches;
+    assert!(fetches.messages > 0 && fetches.bytes > 400 * 15, "the gateway fetches all hosts: {fetches:?}");
+    gateway.client.write_snapshot().await.expect("the snapshot can be written");
     drop(gateway);
 
-    let number = propose(&origin, vec![host(5, true)]);
-    let mut watcher = Gateway::start(client_config("g1", 1, all.clone()));
-    watcher.acts_on(number).await;
+    let revision = propose(&primary, vec![host_change(5, true)]);
+    let mut reference = TestGateway::start(client_config("g1", 1, servers.clone()));
+    reference.wait_for_revision(revision).await;
 
-    first.member.incarnation = 2;
-    let mut back = Gateway::start(first.clone());
-    back.acts_on(number).await;
-    assert!(drains(&back.client, 5) && !drains(&back.client, 6));
-    let counts = back.client.traffic().read;
-    // A scope without entries is in no snapshot, and told anew.
-    assert!(counts.fetches.bytes < 100 && counts.changes.bytes < 100, "{counts:?}");
-    let digest = |g: &Gateway| g.client.with_core(|core, _| core.storage().total_digest());
-    watcher.whole().await;
-    assert_eq!(digest(&back), digest(&watcher));
-    drop(back);
+    config.member.incarnation = 2;
+    let mut restarted = TestGateway::start(config.clone());
+    restarted.wait_for_revision(revision).await;
+    assert!(is_draining(&restarted.client, 5) && !is_draining(&restarted.client, 6));
+    let traffic = restarted.client.traffic().read;
+    // Some bytes are fetched even so, because a snapshot does not contain scopes without entries.
+    assert!(
+        traffic.fetches.bytes < 100 && traffic.changes.bytes < 100,
+        "the restarted gateway fetches no hosts: {traffic:?}"
+    );
+    let digest = |gateway: &TestGateway| gateway.client.with_core(|core, _| core.storage().total_digest());
+    reference.wait_until_complete().await;
+    assert_eq!(digest(&restarted), digest(&reference));
+    drop(restarted);
 
-    // One byte is another: it is left unused, and all is fetched anew.
-    let mut bytes = std::fs::read(&path).expect("it is there");
+    // A snapshot with a changed byte is ignored, and all state is fetched.
+    let mut bytes = std::fs::read(&path).expect("the snapshot can be read");
     let middle = bytes.len() / 2;
     bytes[middle] ^= 1;
-    std::fs::write(&path, bytes).expect("it can be written");
-    first.member.incarnation = 3;
-    let mut again = Gateway::start(first);
-    again.whole().await;
-    assert!(again.client.traffic().read.fetches.bytes > 400 * 15);
-    assert_eq!(digest(&again), digest(&watcher));
+    std::fs::write(&path, bytes).expect("the snapshot can be written");
+    config.member.incarnation = 3;
+    let mut restarted_without_snapshot = TestGateway::start(config);
+    restarted_without_snapshot.wait_until_complete().await;
+    assert!(restarted_without_snapshot.client.traffic().read.fetches.bytes > 400 * 15);
+    assert_eq!(digest(&restarted_without_snapshot), digest(&reference));
 }
 
 #[tokio::test]
-async fn a_distributor_that_lost_its_origin_and_one_that_hangs_are_left() {
-    let origin = origin(20).await;
-    // The first one follows by a link that is to be cut.
-    let (between, at) = listener().await;
-    let to = origin.at;
+async fn gateways_leave_a_replica_that_is_cut_off_from_the_primary_or_hangs() {
+    let primary = start_primary(20).await;
+    // The first replica follows the primary through a link that the test cuts.
+    let (link_listener, link_address) = bind_listener().await;
+    let primary_address = primary.address;
     let link = tokio::spawn(async move {
-        let (mut stream, _) = between.accept().await.expect("it is called");
-        let mut origin = TcpStream::connect(to).await.expect("it listens");
-        let _ = copy_bidirectional(&mut stream, &mut origin).await;
+        let (mut replica_side, _) = link_listener.accept().await.expect("the replica connects to the link");
+        let mut primary_side = TcpStream::connect(primary_address).await.expect("the primary listens");
+        let _ = copy_bidirectional(&mut replica_side, &mut primary_side).await;
     });
-    let cut_off = distributor("d1", at).await;
-    let sound = distributor("d2", origin.at).await;
-    // It takes connections, and nothing is ever read there, as of a process that is stopped.
-    let (hanging, hangs_at) = listener().await;
-    let all = |first| vec![endpoint("d1", first, "a"), endpoint("d2", sound.at, "b")];
-    let mut one = Gateway::start(client_config("g1", 1, all(cut_off.at)));
-    one.whole().await;
-    assert_eq!(one.client.connected_server(), Some(0));
+    let cut_off_replica = start_replica("d1", link_address).await;
+    let healthy_replica = start_replica("d2", primary.address).await;
+    // Connections to this address are established but never read, like those to a stopped process.
+    let (hanging_listener, hanging_address) = bind_listener().await;
+    let servers =
+        |first| vec![server_endpoint("d1", first, "a"), server_endpoint("d2", healthy_replica.address, "b")];
+    let mut gateway_of_cut_off = TestGateway::start(client_config("g1", 1, servers(cut_off_replica.address)));
+    gateway_of_cut_off.wait_until_complete().await;
+    assert_eq!(gateway_of_cut_off.client.connected_server(), Some(0));
     link.abort();
     let _ = link.await;
-    let mut other = Gateway::start(client_config("g2", 1, all(hangs_at)));
-    let number = propose(&origin, vec![host(5, true)]);
-    for gateway in [&mut one, &mut other] {
-        gateway.acts_on(number).await;
-        gateway.whole().await;
-        assert!(drains(&gateway.client, 5));
+    let mut gateway_of_hanging = TestGateway::start(client_config("g2", 1, servers(hanging_address)));
+    let revision = propose(&primary, vec![host_change(5, true)]);
+    for gateway in [&mut gateway_of_cut_off, &mut gateway_of_hanging] {
+        gateway.wait_for_revision(revision).await;
+        gateway.wait_until_complete().await;
+        assert!(is_draining(&gateway.client, 5));
         assert_eq!(gateway.client.connected_server(), Some(1));
     }
-    // The one that was cut off still answers, without a lease: what it has is not in force any more.
-    let status = cut_off.server.status();
+    // The replica that was cut off still responds, but has no lease and stays at its old revision.
+    let status = cut_off_replica.server.status();
     assert_eq!((status.in_force, status.lease_ms), (1, Some(0)));
-    drop(hanging);
+    drop(hanging_listener);
 }
