--- a/control-plane/src/frames.rs
+++ b/control-plane/src/frames.rs
@@ -98,8 +98,8 @@
     }
 }
 
-/// Writes one message and returns the length of its frame in bytes. `scratch` is only a buffer for the frame,
-/// which callers reuse to save allocations; its content is lost.
+/// Writes one message and returns the length of its frame in bytes. `scratch` buffers the frame and is empty
+/// afterwards; callers reuse the buffer to save allocations.
 ///
 /// # Errors
 /// [`ConnectionError::Malformed`] if the message is too long for a frame, [`ConnectionError::Io`] if the
--- a/control-plane/src/server/client_connection.rs
+++ b/control-plane/src/server/client_connection.rs
@@ -38,7 +38,7 @@
     ProposalAgreed(AgreedProposal),
 }
 
-/// What to do with a connection after an event.
+/// The step that follows an event of a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Next {
     Continue,
--- a/control-plane/src/server_connection.rs
+++ b/control-plane/src/server_connection.rs
@@ -47,8 +47,8 @@
     writer: WriteHalf<'a>,
     /// A buffer for frames to write, kept to save allocations.
     scratch: Vec<u8>,
-    /// The last poll that was sent. Traffic is counted by cause, which depends on what a response was asked
-    /// for.
+    /// The last poll that was sent. The traffic counter needs the poll to count the bytes of the response by
+    /// cause.
     last_poll: Option<PollRequest>,
     /// The number of bytes received when the selection was last notified.
     received_bytes: u64,
--- a/control-plane/tests/recorded_settings.rs
+++ b/control-plane/tests/recorded_settings.rs
@@ -75,7 +75,7 @@
     }
 }
 
-fn retry_policy_text(policy: RetryPolicy) -> String {
+fn policy_text(policy: RetryPolicy) -> String {
     match policy {
         RetryPolicy::Never => "never".into(),
         RetryPolicy::Within(limit_ms) => format!("within {limit_ms} ms"),
@@ -99,11 +99,9 @@
                 host.address, host.zone, host.draining, host.weight_milli, host.started_s
             )
         }
-        Some(Entry::Route(route)) => {
-            format!("route {} {}", route.class, retry_policy_text(route.retry_policy))
-        }
+        Some(Entry::Route(route)) => format!("route {} {}", route.class, policy_text(route.retry_policy)),
         Some(Entry::Quota(per_s)) => format!("quota {per_s}"),
-        Some(Entry::RetryPolicy(policy)) => format!("repeat {}", retry_policy_text(policy)),
+        Some(Entry::RetryPolicy(policy)) => format!("repeat {}", policy_text(policy)),
         Some(Entry::Zone(serves)) => format!("zone {serves}"),
     };
     format!("{scope} / {:016x}: {entry}", change.key.0)
