--- a/control-plane/src/commands/propose.rs
+++ b/control-plane/src/commands/propose.rs
@@ -24,7 +24,8 @@
     for primary in operator.primary_addresses() {
         match admin_client::propose(primary, changes.clone(), remaining(deadline)).await {
             Ok(revision) => {
-                println!("revision {revision} is agreed");
+                // Operators' tools read the printed word "version".
+                println!("version {revision} is agreed");
                 if arguments.agreed {
                     return Ok(());
                 }
@@ -45,7 +46,8 @@
             return Err(CommandError::NotInForce { server: primary, revision });
         }
         if admin_client::status(primary, remaining).await?.in_force >= revision {
-            println!("revision {revision} is in force");
+            // Operators' tools read the printed word "version".
+            println!("version {revision} is in force");
             return Ok(());
         }
         sleep(STATUS_INTERVAL).await;
--- a/control-plane/src/frames.rs
+++ b/control-plane/src/frames.rs
@@ -14,14 +14,15 @@
 /// whole frame by sending only the length field.
 const MAX_BUFFER_GROWTH_BYTES: usize = 16 << 10;
 
-/// An error of reading or writing a message on a connection.
+/// An error of reading or writing a message on a connection. The texts of the variants must not
+/// change because the `status` subcommand prints the texts and operators' tools read the output.
 #[derive(Debug, Error)]
 pub enum ConnectionError {
     /// A frame is malformed. The connection has to be closed because the start of the next frame is unknown.
-    #[error("malformed frame: {0}")]
+    #[error("{0}")]
     Malformed(wire::FrameError),
     /// The stream ended within a frame.
-    #[error("the connection ended after {received_bytes} bytes of a frame, expected the whole frame")]
+    #[error("the connection ended after {received_bytes} bytes of a frame, expected all of it")]
     Truncated {
         /// The number of bytes of the frame that were received.
         received_bytes: usize,
