--- a/replication/src/scope.rs
+++ b/replication/src/scope.rs
@@ -11,7 +11,7 @@
 pub type Revision = u64;
 
 /// How many scopes the tenants are sharded over, by their key.
-pub const TENANT_SCOPE_COUNT: u32 = 4096;
+pub const TENANT_SHARDS: u32 = 4096;
 
 /// The unit of replication: a follower has all entries of a scope or fetches them.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
@@ -24,14 +24,14 @@
     Hosts(u32),
     /// The routes that lead to a service, by the [`Key`] of their name.
     Routes(u32),
-    /// The tenants of one of [`TENANT_SCOPE_COUNT`] shards, by the [`Key`] of their name.
+    /// The tenants of one of [`TENANT_SHARDS`] shards, by the [`Key`] of their name.
     Tenants(u32),
 }
 
 impl Scope {
     /// The scope that holds a tenant.
     pub fn of_tenant(tenant: Key) -> Scope {
-        Scope::Tenants((tenant.0 % u64::from(TENANT_SCOPE_COUNT)) as u32)
+        Scope::Tenants((tenant.0 % u64::from(TENANT_SHARDS)) as u32)
     }
 
     /// Whether every member follows it.
--- a/scale-tests/src/world.rs
+++ b/scale-tests/src/world.rs
@@ -5,7 +5,7 @@
 use std::collections::VecDeque;
 use std::net::{Ipv4Addr, SocketAddrV4};
 use ternstack_replication::rules::RetryPolicy;
-use ternstack_replication::scope::{Change, Entry, Host, Key, Route, Scope, TENANT_SCOPE_COUNT};
+use ternstack_replication::scope::{Change, Entry, Host, Key, Route, Scope, TENANT_SHARDS};
 
 /// How large an installation is.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
@@ -173,8 +173,8 @@
             }
         }
         drawn.clear();
-        while drawn.len() < shards.min(TENANT_SCOPE_COUNT as usize) {
-            let shard = rng.random_range(0..TENANT_SCOPE_COUNT);
+        while drawn.len() < shards.min(TENANT_SHARDS as usize) {
+            let shard = rng.random_range(0..TENANT_SHARDS);
             if drawn.insert(shard) {
                 scopes.push(Scope::Tenants(shard));
             }
