--- a/control-plane/tests/faulty_connections.rs
+++ b/control-plane/tests/faulty_connections.rs
@@ -79,9 +79,9 @@
     let answer = Message::Proposed { proposal_id: 1, revision: Ok(1) };
     vec![
         (sound[..sound.len() - 2].to_vec(), "expected all of it"),
-        (swapped, "checksum is not that of its bytes"),
+        (swapped, "checksum that does not match its bytes"),
         (format, "format 9, expected 1"),
-        (content, "holds no message"),
+        (content, "does not contain a valid message"),
         (oversized, "1048577 bytes, expected 9 to 1048576"),
         (b"GET /ready HTTP/1.1\r\n\r\n".to_vec(), "expected 9 to 1048576"),
         (frame(&answer), "expected an ask, a proposal or a look"),
--- a/replication/src/endpoint_list.rs
+++ b/replication/src/endpoint_list.rs
@@ -1,28 +1,28 @@
-//! Decides which endpoint lists from discovery may be proposed. Discovery may lag, restart at an older revision, or report an
-//! empty list by mistake.
+//! Decides which endpoint lists from discovery may be proposed, because discovery may lag, restart at an older
+//! revision, or report an empty list by mistake.
 use crate::rules::{Host, Rules};
 use std::collections::BTreeMap;
 
-/// A list of hosts, or changes in one, as read from discovery.
+/// A complete list of hosts, or the changes to one, as read from discovery.
 #[derive(Clone, Debug, PartialEq)]
 pub struct EndpointList {
-    /// Discovery's revision.
+    /// The revision that discovery gives to the list.
     pub revision: u64,
-    /// Whether the list is complete: a host that is not in it is gone.
+    /// Whether the list is complete, so that a host that is not in the list has been removed.
     pub complete: bool,
-    /// Hosts by uid; `None` for one that was removed explicitly.
+    /// Hosts by uid; `None` for a host that was removed explicitly.
     pub hosts: BTreeMap<String, Option<Host>>,
 }
 
-/// What is to be done with a list.
+/// The decision about an endpoint list.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Verdict {
-    /// Nothing: it is no newer than the rules in force.
+    /// The list is ignored, because it is no newer than the rules in force.
     Outdated,
-    /// Propose these rules.
+    /// The list may be proposed as these rules.
     Propose(Rules),
-    /// More than half of the hosts are missing without an explicit removal: a second gateway has to read the same list, or
-    /// an operator has to confirm it. Until then only the explicit changes are proposed.
+    /// More than half of the hosts are missing without an explicit removal, so a second gateway has to read the
+    /// same list, or an operator has to confirm the list. Until then only the explicit changes may be proposed.
     NeedsConfirmation {
         /// The rules with the explicit changes only.
         explicit_changes: Rules,
@@ -31,8 +31,8 @@
     },
 }
 
-/// Compares a list with the rules in force. `confirmed` says that another gateway has read the same list, or an operator has
-/// confirmed it.
+/// Compares an endpoint list with the rules in force. `confirmed` is true if another gateway has read the same
+/// list, or if an operator has confirmed the list.
 pub fn validate(in_force: &Rules, list: &EndpointList, confirmed: bool) -> Verdict {
     if list.revision <= in_force.list_rev {
         return Verdict::Outdated;
@@ -49,8 +49,8 @@
         all_changes.hosts.retain(|uid, _| list.hosts.contains_key(uid));
     }
     all_changes.list_rev = list.revision;
-    let missing_count = explicit_changes.hosts.len() - all_changes.hosts.len();
-    if 2 * missing_count > in_force.hosts.len() && !confirmed {
+    let missing = explicit_changes.hosts.len() - all_changes.hosts.len();
+    if 2 * missing > in_force.hosts.len() && !confirmed {
         return Verdict::NeedsConfirmation { explicit_changes, all_changes };
     }
     Verdict::Propose(all_changes)
--- a/replication/src/follower.rs
+++ b/replication/src/follower.rs
@@ -1,8 +1,9 @@
-//! The following side: polls, applies responses, fetches scopes, and says which rules apply.
+//! The polling side of the protocol: polls a lessor, applies responses, fetches scopes, and decides which rules
+//! apply.
 //!
-//! One poll is outstanding at a time, and only the response to the last poll is accepted, completely or not at all. A lease
-//! lasts from the moment of the poll. Whoever acts on the state has to ask with the time of the action: a process that was
-//! suspended wakes up without a lease.
+//! At most one poll is outstanding, and only the response to the last poll is accepted, completely or not at
+//! all. A lease lasts from the moment of the poll. The caller has to query the state with the time of its
+//! action, so that a process that was suspended has no lease when it resumes.
 mod apply;
 mod event;
 mod fetch;
@@ -22,20 +23,20 @@
 use std::collections::BTreeMap;
 use subscription::SubscriptionState;
 
-/// The most scopes that one poll of a gateway fetches. Its budget of bytes limits a response further.
-const MAX_FETCHES_COUNT: usize = 64;
-/// The same for a replica, whose responses may be as long as a frame.
-const MAX_REPLICA_FETCHES_COUNT: usize = 4096;
+/// The most scopes that one poll of a gateway fetches. The gateway's byte budget limits a response further.
+const MAX_FETCHES: usize = 64;
+/// The most scopes that one poll of a replica fetches, whose responses may be as long as a frame.
+const MAX_REPLICA_FETCHES: usize = 4096;
 
-/// A follower with its state in `S`. Times are in ms of the caller's clock.
+/// A follower that stores its entries in an `S`. Times are in ms of the caller's clock.
 #[derive(Clone, Debug)]
 pub struct Follower<S> {
     config: LeaseConfig,
     member: Member,
     storage: S,
-    /// It follows every scope, as a replica does.
+    /// Whether the follower follows every scope, as a replica does.
     all_scopes: bool,
-    /// Complete scopes, with their priority.
+    /// The complete scopes, with the priority of each.
     complete: BTreeMap<Scope, f64>,
     fetching: BTreeMap<Scope, Fetch>,
     /// Changes of revisions after `in_force`, in complete and stale scopes.
@@ -48,7 +49,7 @@
 }
 
 impl<S: Storage> Follower<S> {
-    /// A gateway that knows nothing; `storage` has to be empty.
+    /// Creates a gateway that knows no revision; `storage` has to be empty.
     pub fn new(config: LeaseConfig, member: Member, storage: S) -> Self {
         let mut follower = Follower::without_scopes(config, member, storage, config.poll_interval_ms());
         for scope in [Scope::Zones, Scope::Fleet] {
@@ -57,7 +58,7 @@
         follower
     }
 
-    /// A replica, which follows every scope. Its owner keeps the pending revisions.
+    /// Creates a replica, which follows every scope. The caller keeps the pending revisions.
     pub fn following_all(config: LeaseConfig, member: Member, storage: S) -> Self {
         let interval_ms = config.replica_poll_interval_ms();
         Follower { all_scopes: true, ..Follower::without_scopes(config, member, storage, interval_ms) }
@@ -80,7 +81,8 @@
         }
     }
 
-    /// Follows a scope, or changes its priority: the scopes with the highest priority are fetched first.
+    /// Subscribes to a scope, or changes the priority of a followed scope. Scopes with the highest priority are
+    /// fetched first.
     pub fn subscribe(&mut self, scope: Scope, priority: f64) {
         let priority = if scope.is_global() { f64::INFINITY } else { priority };
         if let Some(current) = self.complete.get_mut(&scope) {
@@ -91,7 +93,7 @@
         }
     }
 
-    /// Stops following a scope. Scopes that every member follows stay.
+    /// Unsubscribes from a scope. Scopes that every member follows stay subscribed.
     pub fn unsubscribe(&mut self, scope: Scope) {
         if scope.is_global() || self.all_scopes {
             return;
@@ -109,8 +111,8 @@
         self.storage.remove_scope(scope);
     }
 
-    /// The next poll goes to another lessor, or over another connection: it is due at once, and carries the complete
-    /// subscription.
+    /// Records that the next poll goes to another lessor, or over another connection: the poll is due at once,
+    /// and carries the complete subscription.
     pub fn reconnected(&mut self) {
         self.subscription.reset();
         self.poll.reset();
@@ -124,20 +126,21 @@
         }
     }
 
-    /// When the next poll is due, in ms; in the past if it is due at once.
+    /// Returns when the next poll is due, in ms; a time in the past if the poll is due at once.
     ///
-    /// Without a response the next poll is due after the regular interval; when responses arrive too late, the wait doubles,
-    /// up to [`LeaseConfig::response_timeout_ms`].
+    /// Without a response the next poll is due after the regular interval; when responses arrive too late, the
+    /// wait doubles, up to [`LeaseConfig::response_timeout_ms`].
     pub fn next_poll(&self) -> f64 {
         self.poll.next_due()
     }
 
-    /// The next poll, if it is due at `now`. The response to the previous one will be rejected.
+    /// Returns the next poll, if it is due at `now`. The response to the previous poll will be rejected.
     pub fn poll(&mut self, now: f64) -> Option<PollRequest> {
         (now >= self.next_poll()).then(|| self.poll_for(now, self.known, self.in_force))
     }
 
-    /// A poll that reports the progress of others, too, which is no higher than this follower's.
+    /// Returns a poll that reports the given progress, which covers other members as well and is no higher than
+    /// this follower's own progress.
     pub(crate) fn poll_for(&mut self, now: f64, known: Revision, in_force: Revision) -> PollRequest {
         self.poll.sequence += 1;
         self.subscription.begin_poll();
@@ -165,8 +168,8 @@
         }
     }
 
-    /// Restarts all fetches. A fetch does not continue at another lessor: that one may have started since, and not know what
-    /// was removed before.
+    /// Restarts all fetches. A fetch does not continue at another lessor, because that lessor may have started
+    /// since the fetch began, and may not know what was removed before.
     fn restart_fetches(&mut self) {
         for (scope, fetch) in &mut self.fetching {
             if !fetch.is_stale() && fetch.cursor != fetch.since {
@@ -183,25 +186,26 @@
         self.subscription.message(self.complete.keys())
     }
 
-    /// The scopes to fetch next, by descending priority.
+    /// Returns the scopes to fetch next, by descending priority.
     fn next_fetches(&self) -> Vec<(Scope, Cursor)> {
-        let max_count = if self.all_scopes { MAX_REPLICA_FETCHES_COUNT } else { MAX_FETCHES_COUNT };
+        let max_fetches = if self.all_scopes { MAX_REPLICA_FETCHES } else { MAX_FETCHES };
         let by_priority =
             |a: &(f64, Scope, Cursor), b: &(f64, Scope, Cursor)| b.0.total_cmp(&a.0).then(a.1.cmp(&b.1));
         let mut fetches: Vec<_> =
             self.fetching.iter().map(|(scope, fetch)| (fetch.priority, *scope, fetch.cursor)).collect();
-        if fetches.len() > max_count {
-            fetches.select_nth_unstable_by(max_count, by_priority);
-            fetches.truncate(max_count);
+        if fetches.len() > max_fetches {
+            fetches.select_nth_unstable_by(max_fetches, by_priority);
+            fetches.truncate(max_fetches);
         }
         fetches.sort_by(by_priority);
         fetches.into_iter().map(|(_, scope, cursor)| (scope, cursor)).collect()
     }
 
-    /// Applies a response that has arrived at `now`, and says what it has changed.
+    /// Applies a response that has arrived at `now`, and returns what the response has changed.
     ///
     /// # Errors
-    /// A [`ResponseError`] if the response is rejected; the follower is then as before, but for the time of its next poll.
+    /// Returns a [`ResponseError`] if the response is rejected. A rejected response changes no state, but may
+    /// change the time and the subscription of the next poll.
     pub fn handle_response(
         &mut self, now: f64, response: PollResponse,
     ) -> Result<Vec<FollowerEvent>, ResponseError> {
@@ -209,7 +213,8 @@
         Ok(self.apply_response(now, poll, response))
     }
 
-    /// Takes the outstanding poll if a response may be applied; no other response to it will be accepted.
+    /// Returns the outstanding poll if its response may be applied; no other response to that poll will be
+    /// accepted.
     pub(crate) fn accept(&mut self, response: &PollResponse) -> Result<OutstandingPoll, ResponseError> {
         let poll = self.poll.accept(response.sequence, self.config.response_timeout_ms())?;
         if response.generation != poll.generation {
@@ -217,7 +222,7 @@
             self.poll.due = poll.sent_at + self.config.prompt_poll_delay_ms();
             return Err(ResponseError::SubscriptionMismatch);
         }
-        // If the lessor knew fewer pending revisions, a scope that becomes complete with its response would lack some.
+        // If the lessor knew fewer pending revisions, a scope that this response completes would lack some.
         let is_outdated =
             response.in_force < self.in_force || response.through < self.known.max(response.in_force);
         if is_outdated {
@@ -227,7 +232,7 @@
         Ok(poll)
     }
 
-    /// Which rules apply in a scope at `now`, which has to be the time of the action.
+    /// Returns which rules apply in a scope at `now`, which has to be the time of the action.
     pub fn scope_mode(&self, now: f64, scope: Scope) -> ScopeMode {
         match self.fetching.get(&scope) {
             Some(fetch) if fetch.is_stale() => ScopeMode::Conservative,
@@ -242,7 +247,7 @@
         }
     }
 
-    /// The entry that applies under a key at `now`, by [`Follower::scope_mode`].
+    /// Returns the entry that applies under a key at `now`, according to [`Follower::scope_mode`].
     pub fn entry(&self, now: f64, scope: Scope, key: Key) -> Option<Entry> {
         match self.scope_mode(now, scope) {
             ScopeMode::InForce(_) => self.storage.get(scope, key),
@@ -251,7 +256,8 @@
         }
     }
 
-    /// The value of a key by the conservative rules: the [`stricter`] one of its stored, staged and pending values.
+    /// Returns the value of a key by the conservative rules: the [`stricter`] one of its stored, staged and
+    /// pending values.
     fn conservative_entry(&self, scope: Scope, key: Key) -> Option<Entry> {
         let staged = self.fetching.get(&scope).and_then(|fetch| fetch.staged.as_ref()?.entries.get(&key));
         let changes = self.pending.values().flatten();
@@ -260,27 +266,28 @@
         others.fold(self.storage.get(scope, key), |strictest, entry| stricter(scope, strictest, entry))
     }
 
-    /// When the lease expires, in ms; there is none from then on.
+    /// Returns when the lease expires, in ms; the follower has no lease from that time on.
     pub fn lease_until(&self) -> f64 {
         self.lease_until
     }
 
-    /// All revisions up to this one are known, in complete scopes.
+    /// Returns the revision up to which all revisions are known in complete scopes.
     pub fn known(&self) -> Revision {
         self.known
     }
 
-    /// The revision that came into force last.
+    /// Returns the revision that came into force last.
     pub fn in_force(&self) -> Revision {
         self.in_force
     }
 
-    /// Who polls.
+    /// Returns the member that polls.
     pub fn member(&self) -> &Member {
         &self.member
     }
 
-    /// The entries at the revision in force. Scopes that are fetched for the first time are in there in part.
+    /// Returns the entries at the revision in force. Scopes that are fetched for the first time are included in
+    /// part.
     pub fn storage(&self) -> &S {
         &self.storage
     }
@@ -289,30 +296,30 @@
         &mut self.storage
     }
 
-    /// Whether a poll is outstanding.
+    /// Returns whether a poll is outstanding.
     pub fn is_polling(&self) -> bool {
         self.poll.outstanding.is_some()
     }
 
-    /// The complete scopes, with their priority.
+    /// Returns the complete scopes, with the priority of each.
     pub fn complete_scopes(&self) -> impl Iterator<Item = (Scope, f64)> + '_ {
         self.complete.iter().map(|(scope, priority)| (*scope, *priority))
     }
 
-    /// The scopes that are being fetched, for the first time or because they are stale.
+    /// Returns the scopes that are being fetched, for the first time or because they are stale.
     pub fn fetching_scopes(&self) -> impl Iterator<Item = Scope> + '_ {
         self.fetching.keys().copied()
     }
 
-    /// Whether all scopes that it follows are complete.
+    /// Returns whether all followed scopes are complete.
     pub fn is_complete(&self) -> bool {
         self.known > 0 && self.fetching.is_empty()
     }
 }
 
 impl Follower<Tables> {
-    /// A gateway that restarts with a snapshot. The scopes in it are complete at the snapshot's revision in force; pending
-    /// revisions are not part of it and have to be sent again.
+    /// Creates a gateway that restarts with a snapshot. The scopes in the snapshot are complete at the
+    /// snapshot's revision in force; pending revisions are not part of a snapshot and have to be sent again.
     pub fn restore(config: LeaseConfig, member: Member, snapshot: Snapshot) -> Self {
         let scopes: Vec<Scope> = snapshot.tables.scopes().collect();
         let mut follower = Follower::new(config, member, snapshot.tables);
@@ -324,7 +331,8 @@
         follower
     }
 
-    /// The complete scopes at the revision in force, to restart with. The cost is that of a copy.
+    /// Returns a snapshot of the complete scopes at the revision in force, to restart with. The tables are
+    /// copied.
     pub fn snapshot(&self) -> Snapshot {
         let mut tables = self.storage.clone();
         self.fetching.keys().for_each(|scope| tables.remove_scope(*scope));
--- a/replication/src/follower/apply.rs
+++ b/replication/src/follower/apply.rs
@@ -1,4 +1,4 @@
-//! Applies a response: known revisions come into force, chunks are stored or staged, and pending revisions are kept.
+//! Applies a response: brings known revisions into force, stores or stages chunks, and keeps pending revisions.
 use super::fetch::{store_chunk, Fetch};
 use super::poll_state::OutstandingPoll;
 use super::{Follower, FollowerEvent};
@@ -7,17 +7,18 @@
 use crate::storage::Storage;
 use crate::wire::{Cursor, PollResponse, ScopeChunk};
 
-/// So many short round trips take one poll interval; after a short one the timeout is the interval again.
-const SHORT_ROUND_TRIPS_PER_INTERVAL_COUNT: f64 = 2.0;
+/// A round trip is short if at least this many fit one poll interval; a short round trip resets the timeout to
+/// the interval.
+const SHORT_ROUND_TRIPS_PER_INTERVAL: f64 = 2.0;
 
 impl<S: Storage> Follower<S> {
-    /// Applies a response that was accepted.
+    /// Applies a response that was accepted for `poll`, and returns what the response has changed.
     pub(crate) fn apply_response(
         &mut self, now: f64, poll: OutstandingPoll, response: PollResponse,
     ) -> Vec<FollowerEvent> {
         let mut events = Vec::new();
         self.subscription.confirm(poll.generation);
-        // Known revisions first: what the response carries is newer.
+        // Known revisions come into force first, because the chunks in the response are newer.
         let still_pending = self.pending.split_off(&(response.in_force + 1));
         for (revision, changes) in std::mem::replace(&mut self.pending, still_pending) {
             self.apply_revision(revision, &changes, &mut events);
@@ -29,13 +30,16 @@
             self.mark_stale(*scope, poll.known, &mut events);
         }
         if !self.all_scopes {
-            for change_set in response.pending.iter().filter(|c| c.revision > response.in_force) {
+            for change_set in
+                response.pending.iter().filter(|change_set| change_set.revision > response.in_force)
+            {
                 self.stage_pending_revision(change_set.revision, &change_set.changes, &mut events);
             }
         }
         self.record_progress(&response, &mut events);
         if response.lease_us > 0 {
-            // The lease lasts from the poll on, not from its response: the lessor counts from a later moment.
+            // The lease lasts from the poll on, not from its response, because the lessor counts from a later
+            // moment.
             self.lease_until = self.lease_until.max(poll.sent_at + response.lease_us as f64 / US_PER_MS);
         }
         self.schedule_next_poll(now, &poll);
@@ -52,12 +56,13 @@
         (self.known, self.in_force) = (response.through, response.in_force);
     }
 
-    /// The next poll is prompt if it has something to report or to fetch: progress, or that the first response of a lessor
-    /// has arrived, without which that lessor grants no lease.
+    /// Schedules the next poll. The next poll is prompt if there is progress to report or a scope to fetch, or
+    /// if the first response of a lessor has arrived, because the lessor grants no lease before that response
+    /// is acknowledged.
     fn schedule_next_poll(&mut self, now: f64, poll: &OutstandingPoll) {
         let interval_ms = self.poll_interval_ms();
-        // The round trip is short again.
-        if now - poll.sent_at < interval_ms / SHORT_ROUND_TRIPS_PER_INTERVAL_COUNT {
+        // The round trip is short again, so the timeout need not be longer than the interval.
+        if now - poll.sent_at < interval_ms / SHORT_ROUND_TRIPS_PER_INTERVAL {
             self.poll.timeout_ms = interval_ms;
         }
         let is_fetching_all = self.all_scopes && !self.fetching.is_empty();
@@ -67,7 +72,7 @@
         self.poll.due = (poll.sent_at + delay_ms).max(now.min(poll.sent_at + interval_ms));
     }
 
-    /// A known revision comes into force.
+    /// Applies the changes of a known revision that comes into force.
     fn apply_revision(&mut self, revision: Revision, changes: &[Change], events: &mut Vec<FollowerEvent>) {
         for change in changes {
             if self.complete.contains_key(&change.scope) {
@@ -82,28 +87,29 @@
         }
     }
 
-    /// Keeps a pending revision. One that is known may carry more now: its changes in a scope that has just become complete.
+    /// Keeps a pending revision. A revision that is known already may carry more changes now, in a scope that
+    /// has just become complete.
     fn stage_pending_revision(
         &mut self, revision: Revision, changes: &[Change], events: &mut Vec<FollowerEvent>,
     ) {
-        let is_concerned = |change: &&Change| {
+        let is_relevant = |change: &&Change| {
             let is_stale = self.fetching.get(&change.scope).is_some_and(Fetch::is_stale);
             is_stale || self.complete.contains_key(&change.scope)
         };
-        let concerning: Vec<Change> = changes.iter().filter(is_concerned).copied().collect();
-        if concerning.is_empty() {
+        let relevant: Vec<Change> = changes.iter().filter(is_relevant).copied().collect();
+        if relevant.is_empty() {
             return;
         }
-        let known = self.pending.entry(revision).or_default();
-        for change in concerning {
-            if !known.contains(&change) {
-                known.push(change);
+        let kept = self.pending.entry(revision).or_default();
+        for change in relevant {
+            if !kept.contains(&change) {
+                kept.push(change);
                 events.push(FollowerEvent::EntryChanged(change.scope, change.key));
             }
         }
     }
 
-    /// Applies a chunk of a scope that is fetched, or the changes in a complete scope.
+    /// Applies a chunk of a scope that is being fetched, or the changes in a complete scope.
     fn apply_chunk(&mut self, chunk: &ScopeChunk, poll: &OutstandingPoll, events: &mut Vec<FollowerEvent>) {
         let scope = chunk.scope;
         let Some(fetch) = self.fetching.get_mut(&scope) else {
@@ -112,7 +118,8 @@
             }
             return;
         };
-        // The scope was not in the poll, or has been unsubscribed and subscribed since: the chunk does not continue the fetch.
+        // The scope was not in the poll, or was unsubscribed and subscribed since, so the chunk does not
+        // continue the fetch.
         if poll.fetch.get(&scope) != Some(&fetch.cursor) {
             return;
         }
@@ -128,7 +135,7 @@
         }
     }
 
-    /// All chunks of a scope have arrived.
+    /// Marks a scope as complete, because all of its chunks have arrived.
     fn complete_fetch(&mut self, scope: Scope, digest: Digest, events: &mut Vec<FollowerEvent>) {
         let Some(fetch) = self.fetching.remove(&scope) else { return };
         if let Some(staged) = fetch.staged {
@@ -143,8 +150,8 @@
         }
     }
 
-    /// Applies the changes in a complete scope. A lessor that cannot send all of them sends the scope as stale, so a chunk
-    /// that does not complete the scope makes it stale.
+    /// Applies the changes in a complete scope. A lessor that cannot send all changes reports the scope as
+    /// stale, so a chunk that does not complete the scope makes the scope stale.
     fn apply_changes(&mut self, chunk: &ScopeChunk, known: Revision, events: &mut Vec<FollowerEvent>) {
         let scope = chunk.scope;
         let Some(digest) = chunk.final_digest else {
@@ -163,7 +170,7 @@
         }
     }
 
-    /// Drops a scope whose digest differs from the lessor's, and fetches it from the start.
+    /// Drops a scope whose digest differs from the lessor's, and fetches the scope from the start.
     fn restart_fetch(&mut self, scope: Scope, events: &mut Vec<FollowerEvent>) {
         let priority = self.complete.get(&scope).copied().unwrap_or_default();
         self.drop_scope(scope);
@@ -171,7 +178,8 @@
         events.push(FollowerEvent::Restarted(scope));
     }
 
-    /// The changes of a scope since a revision did not fit the response: they are to be fetched.
+    /// Marks a scope as stale, because its changes since the revision `known` did not fit the response and have
+    /// to be fetched.
     fn mark_stale(&mut self, scope: Scope, known: Revision, events: &mut Vec<FollowerEvent>) {
         if let Some(priority) = self.complete.remove(&scope) {
             self.fetching.insert(scope, Fetch::after(known, priority));
--- a/replication/src/follower/event.rs
+++ b/replication/src/follower/event.rs
@@ -1,49 +1,50 @@
-//! What a follower reports to its caller.
+//! The events and errors that a follower reports to its caller.
 use crate::scope::{Key, Revision, Scope};
 
 /// The rules that apply in a scope.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ScopeMode {
-    /// The entries at this revision, which is in force; the lease lasts.
+    /// The entries at this revision apply, which is in force, because there is a lease.
     InForce(Revision),
-    /// The stricter of all known values of each entry: there is no lease, or the scope is stale.
+    /// The stricter of all known values of each entry applies, because there is no lease or the scope is stale.
     Conservative,
-    /// The scope has not been fetched.
+    /// No entry is known, because the scope has not been fetched.
     Unknown,
 }
 
-/// What a response has changed.
+/// A change that a response has made.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FollowerEvent {
-    /// A revision is in force.
+    /// This revision has come into force.
     InForce(Revision),
-    /// All revisions up to this one are known.
+    /// All revisions up to this one have become known.
     Known(Revision),
-    /// A scope is complete.
+    /// A scope has become complete.
     Complete(Scope),
-    /// A scope that was complete is stale; conservative rules apply in it until it is fetched.
+    /// A complete scope has become stale, and conservative rules apply in the scope until it is fetched.
     Stale(Scope),
-    /// The digest of a scope differs from the lessor's. It is dropped and fetched from the start.
+    /// The digest of a scope differs from the lessor's, so the scope is dropped and fetched from the start.
     Restarted(Scope),
     /// A revision in force, or a pending one, changes an entry.
     EntryChanged(Scope, Key),
 }
 
-/// Why a response was rejected.
+/// The reason why a response was rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum ResponseError {
-    /// It does not answer the last poll: it is a duplicate, late, or another member's.
-    #[error("response to no outstanding poll")]
+    /// The response does not answer the last poll, because it is a duplicate, late, or for another member.
+    #[error("response does not answer the outstanding poll")]
     Unsolicited,
-    /// The lessor does not know which scopes are complete here. The next poll tells it.
-    #[error("lessor does not know which scopes are complete here")]
+    /// The lessor does not know which scopes are complete at this follower. The next poll carries the complete
+    /// subscription.
+    #[error("lessor does not know which scopes are complete at this follower")]
     SubscriptionMismatch,
-    /// The lessor knows less, or has an older revision in force, than the follower.
-    #[error("lessor is outdated: revision {in_force} in force there, {through} known")]
+    /// The lessor knows fewer revisions, or has an older revision in force, than the follower.
+    #[error("lessor is outdated: revision {in_force} in force, {through} known")]
     Outdated {
-        /// The revision in force there.
+        /// The revision in force at the lessor.
         in_force: Revision,
-        /// The last revision known there.
+        /// The last revision that the lessor knows.
         through: Revision,
     },
 }
--- a/replication/src/follower/fetch.rs
+++ b/replication/src/follower/fetch.rs
@@ -1,4 +1,4 @@
-//! Scopes that are being fetched.
+//! The fetches of scopes that are not complete.
 use crate::scope::{Entry, Key, Revision, Scope};
 use crate::storage::Storage;
 use crate::wire::{Cursor, ScopeChunk};
@@ -7,23 +7,24 @@
 /// The fetch of a scope that is not complete.
 #[derive(Clone, Debug)]
 pub(super) struct Fetch {
-    /// Where the fetch began.
+    /// The position at which the fetch began.
     pub since: Cursor,
-    /// How far it has come.
+    /// The position that the fetch has reached.
     pub cursor: Cursor,
-    /// The highest priority is fetched first.
+    /// The priority of the scope; scopes with the highest priority are fetched first.
     pub priority: f64,
-    /// The entries so far, if the scope is stale. Those of a scope that is fetched for the first time are stored at once.
+    /// The entries fetched so far if the scope is stale; `None` for a scope that is fetched for the first time,
+    /// whose entries are stored at once.
     pub staged: Option<Staged>,
 }
 
 impl Fetch {
-    /// Fetches a scope from the start.
+    /// Creates a fetch of a whole scope from the start.
     pub fn from_start(priority: f64) -> Self {
         Fetch { since: Cursor::default(), cursor: Cursor::default(), priority, staged: None }
     }
 
-    /// Fetches what has changed in a stale scope after a revision.
+    /// Creates a fetch of the changes in a stale scope after a revision.
     pub fn after(revision: Revision, priority: f64) -> Self {
         let since = Cursor::after(revision);
         Fetch { since, cursor: since, priority, staged: Some(Staged::default()) }
@@ -37,7 +38,7 @@
 /// The fetched part of a stale scope.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Staged {
-    /// It replaces all entries of the scope.
+    /// Whether the fetched part replaces all entries of the scope.
     restart: bool,
     pub entries: BTreeMap<Key, (Revision, Option<Entry>)>,
 }
@@ -50,7 +51,8 @@
         }
     }
 
-    /// Stages a chunk. If it restarts the fetch, what was staged before is stored, so that conservative rules still know it.
+    /// Stages a chunk. If the chunk restarts the fetch, all entries staged before are stored, so that
+    /// conservative rules still include them.
     pub fn put_chunk(&mut self, chunk: &ScopeChunk, storage: &mut impl Storage) {
         if chunk.restart {
             self.store(chunk.scope, storage);
@@ -61,7 +63,7 @@
         }
     }
 
-    /// Stores everything in the scope, which is complete.
+    /// Stores all staged entries of a scope that has become complete.
     pub fn complete(mut self, scope: Scope, storage: &mut impl Storage) {
         if self.restart {
             storage.clear(scope);
@@ -76,7 +78,7 @@
     }
 }
 
-/// Stores a chunk.
+/// Stores a chunk, and removes the scope's previous entries if the chunk restarts the fetch.
 pub(super) fn store_chunk(chunk: &ScopeChunk, storage: &mut impl Storage) {
     if chunk.restart {
         storage.clear(chunk.scope);
--- a/replication/src/follower/subscription.rs
+++ b/replication/src/follower/subscription.rs
@@ -1,18 +1,19 @@
-//! Which scopes are complete, as far as the lessor has been told.
+//! The set of complete scopes, as far as the lessor has been told.
 use crate::scope::Scope;
 use crate::wire::Subscription;
 use std::collections::BTreeMap;
 
-/// Changes of the set of complete scopes since the lessor last confirmed it. In the maps, true stands for a scope that has
-/// become complete and false for one that is complete no longer.
+/// Changes of the set of complete scopes since the lessor last confirmed the set. In the maps, true stands for
+/// a scope that has become complete, and false for a scope that is no longer complete.
 #[derive(Clone, Debug)]
 pub(super) struct SubscriptionState {
+    /// The number of the current set, which counts up with every change that is sent.
     generation: u64,
-    /// The generation that the lessor has confirmed.
+    /// The generation that the lessor has confirmed; `None` if the lessor may not know the set.
     confirmed: Option<u64>,
-    /// Changes since `confirmed` that the last poll carried.
+    /// The changes since `confirmed` that the last poll carried.
     sent: BTreeMap<Scope, bool>,
-    /// Changes since the last poll.
+    /// The changes since the last poll.
     unsent: BTreeMap<Scope, bool>,
 }
 
@@ -25,7 +26,7 @@
         self.generation
     }
 
-    /// Whether a lessor has confirmed any generation.
+    /// Returns whether the current lessor has confirmed any generation.
     pub fn is_confirmed(&self) -> bool {
         self.confirmed.is_some()
     }
@@ -34,7 +35,7 @@
         self.unsent.insert(scope, is_complete);
     }
 
-    /// The next poll carries all changes so far, as a new generation if there are new ones.
+    /// Moves all changes so far into the next poll, as a new generation if there are any unsent changes.
     pub fn begin_poll(&mut self) {
         if !self.unsent.is_empty() {
             self.generation += 1;
@@ -42,28 +43,28 @@
         }
     }
 
-    /// The lessor has confirmed the generation of the last poll.
+    /// Records that the lessor has confirmed the generation of the last poll.
     pub fn confirm(&mut self, generation: u64) {
         self.confirmed = Some(generation);
         self.sent.clear();
     }
 
-    /// The next poll carries the complete set: its lessor is another, or does not know the set.
+    /// Makes the next poll carry the complete set, because the lessor is another one or does not know the set.
     pub fn reset(&mut self) {
         self.confirmed = None;
     }
 
-    /// The message for the lessor; `complete` are all complete scopes.
+    /// Returns the message for the lessor; `complete` has to contain all complete scopes.
     pub fn message<'a>(&self, complete: impl Iterator<Item = &'a Scope>) -> Subscription {
         let generation = self.generation;
         match self.confirmed {
             Some(confirmed) if confirmed == generation => Subscription::Unchanged { generation },
             Some(from) => {
-                let with = |is_complete: bool| {
+                let changed_to = |is_complete: bool| {
                     let scopes = self.sent.iter().filter(move |change| *change.1 == is_complete);
                     scopes.map(|change| *change.0).collect()
                 };
-                Subscription::Delta { from, generation, added: with(true), removed: with(false) }
+                Subscription::Delta { from, generation, added: changed_to(true), removed: changed_to(false) }
             }
             None => Subscription::Complete { generation, scopes: complete.copied().collect() },
         }
--- a/replication/src/lessor.rs
+++ b/replication/src/lessor.rs
@@ -1,6 +1,8 @@
-//! The responding side, in the primary and in replicas: grants leases, and sends changes and chunks within a budget of bytes.
+//! The responding side of the primary and of replicas: grants leases, and sends changes and chunks within a
+//! byte budget.
 //!
-//! It has no queue for any follower: a response is computed from the store and the request, at the cost of what has changed.
+//! A lessor has no queue for any follower: each response is computed from the store and the request, and its
+//! cost depends on how much has changed.
 mod holder;
 mod response;
 mod scope_set;
@@ -14,32 +16,34 @@
 use scope_set::ScopeIndex;
 use std::collections::BTreeMap;
 
-/// A follower is forgotten after this many times the longer of a lease and of the time in which its budget fills.
-const EXPIRY_RATIO: f64 = 2.0;
+/// A follower is removed after it has not polled for this multiple of the longer of a lease and the time in
+/// which its byte budget fills.
+const EXPIRY_MULTIPLIER: f64 = 2.0;
 
-/// Answers followers. Times are in ms of the caller's clock.
+/// Answers the polls of followers. Times are in ms of the caller's clock.
 #[derive(Clone, Debug)]
 pub struct Lessor {
     config: LeaseConfig,
-    /// Every follower that is remembered, also those without a lease.
+    /// The state of every known follower, including followers without a lease.
     followers: BTreeMap<Member, Holder>,
     index: ScopeIndex,
-    expired_at: f64,
+    last_expiry_at: f64,
 }
 
 impl Lessor {
-    /// A lessor that has not granted a lease.
+    /// Creates a lessor that has not granted a lease.
     pub fn new(config: LeaseConfig, now: f64) -> Self {
-        Lessor { config, followers: BTreeMap::new(), index: ScopeIndex::default(), expired_at: now }
+        Lessor { config, followers: BTreeMap::new(), index: ScopeIndex::default(), last_expiry_at: now }
     }
 
-    /// The response to a poll that has arrived at `now`, from the content of the store. Its lease lasts for at most
-    /// `max_lease_ms`; 0 grants none.
+    /// Returns the response to a poll that has arrived at `now`, from the content of `store`. The lease in the
+    /// response lasts for at most `max_lease_ms`; 0 grants no lease.
     ///
-    /// A lease ends no later than one lease's time after the first response that its holder has not acknowledged: a follower
-    /// whose responses are lost on a link that is cut in one direction delays the others no longer than if it had died then.
-    /// For the same reason the first response to a follower grants no lease: it might move from lessor to lessor and receive
-    /// nothing.
+    /// A lease ends no later than one lease duration after the first response that its holder has not
+    /// acknowledged. A follower whose responses are lost on a link that is cut in one direction therefore
+    /// delays the other members no longer than if the follower had died at that time. For the same reason the
+    /// first response to a follower grants no lease, because the follower might move from lessor to lessor
+    /// without receiving anything.
     pub fn handle_poll(
         &mut self, now: f64, store: &Store, max_lease_ms: f64, request: &PollRequest,
     ) -> PollResponse {
@@ -49,8 +53,8 @@
         let bytes_per_s = if is_replica { config.replica_bytes_per_s } else { config.bytes_per_s };
         let burst_bytes = bytes_per_s * config.burst_s;
         let request_bytes = frame_bytes(request);
-        let new = || Holder::new(now, burst_bytes, request.sequence);
-        let holder = self.followers.entry(request.member.clone()).or_insert_with(new);
+        let new_holder = || Holder::new(now, burst_bytes, request.sequence);
+        let holder = self.followers.entry(request.member.clone()).or_insert_with(new_holder);
         holder.accrue(now, bytes_per_s, burst_bytes);
         let first_unacknowledged = holder.acknowledge(now, request);
         let is_subscribed = holder.update_subscription(&mut self.index, &request.subscription);
@@ -64,7 +68,7 @@
             fill_response(store, &self.index, holder, request, response, max_chunk_bytes);
         let latest_end = first_unacknowledged.sent_at + config.lease_ms;
         let lease_ms = config.lease_ms.min(max_lease_ms).min(latest_end - now);
-        // A follower that is not told all pending revisions must not count as knowing them.
+        // A follower that was not sent all pending revisions must not count as knowing them.
         if has_all_pending && lease_ms > 0.0 {
             response.lease_us = (lease_ms * US_PER_MS) as u64;
             let held_ms = config.held_for_ms(response.lease_us as f64 / US_PER_MS);
@@ -76,34 +80,35 @@
         response
     }
 
-    /// Forgets followers that have not polled for so long that their leases are over and their budgets full.
+    /// Removes followers that have not polled for so long that their leases have expired and their budgets are
+    /// full.
     fn expire(&mut self, now: f64) {
         let config = &self.config;
-        let idle_ms = config.max_held_ms().max(config.burst_s * MS_PER_S) * EXPIRY_RATIO;
-        if now > self.expired_at + idle_ms {
-            self.expired_at = now;
+        let idle_ms = config.max_held_ms().max(config.burst_s * MS_PER_S) * EXPIRY_MULTIPLIER;
+        if now > self.last_expiry_at + idle_ms {
+            self.last_expiry_at = now;
             self.followers.retain(|_, holder| holder.lease_until > now || now - holder.polled_at < idle_ms);
         }
     }
 
-    /// The lowest progress among all whose leases last at `now`; `None` if there are none.
+    /// Returns the lowest progress among all members whose leases last at `now`, or `None` if there are none.
     pub fn min_progress(&self, now: f64) -> Option<Progress> {
         self.holders(now).map(|(_, progress)| progress).reduce(Progress::min)
     }
 
-    /// The members whose leases last at `now`, with the progress that they have reported.
+    /// Returns the members whose leases last at `now`, with the progress that each has reported.
     pub fn holders(&self, now: f64) -> impl Iterator<Item = (&Member, Progress)> {
         let current = self.followers.iter().filter(move |(_, holder)| holder.lease_until > now);
         current.map(|(member, holder)| (member, holder.progress))
     }
 
-    /// The number of followers that are remembered.
+    /// Returns the number of known followers, with or without a lease.
     pub fn follower_count(&self) -> usize {
         self.followers.len()
     }
 }
 
-/// A response without content.
+/// Creates a response without a lease, chunks or pending revisions.
 fn empty_response(request: &PollRequest, holder: &Holder, store: &Store) -> PollResponse {
     PollResponse {
         sequence: request.sequence,
@@ -117,7 +122,8 @@
     }
 }
 
-/// Adds changes, fetched chunks and pending revisions to a response. Returns false if pending revisions are missing in it.
+/// Adds changes, fetched chunks and pending revisions to a response. Returns the response, and whether it
+/// contains all pending revisions.
 fn fill_response(
     store: &Store, index: &ScopeIndex, holder: &Holder, request: &PollRequest, response: PollResponse,
     max_chunk_bytes: usize,
--- a/replication/src/lessor/holder.rs
+++ b/replication/src/lessor/holder.rs
@@ -1,18 +1,18 @@
-//! What a lessor remembers of one follower: its complete scopes, its lease, and its budget of bytes.
+//! The state that a lessor keeps for each follower: complete scopes, lease, and byte budget.
 use super::scope_set::{ScopeIndex, ScopeSet};
 use crate::lease::MS_PER_S;
 use crate::progress::Progress;
 use crate::scope::Scope;
 use crate::wire::{PollRequest, Subscription};
 
-/// The scopes that a follower has completely.
+/// The scopes of which a follower has a complete copy.
 #[derive(Clone, Debug)]
 pub(super) enum CompleteScopes {
     All,
     Only(ScopeSet),
 }
 
-/// A response that the follower has not acknowledged.
+/// The first response that a follower has not acknowledged.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Unacknowledged {
     sequence: u64,
@@ -20,24 +20,25 @@
     pub sent_at: f64,
 }
 
-/// The state of one follower. Times are in ms of the lessor's clock.
+/// The lessor's state of one follower. Times are in ms of the lessor's clock.
 #[derive(Clone, Debug)]
 pub(super) struct Holder {
-    /// The generation of its subscription; 0 if it is not known.
+    /// The generation of the follower's subscription; 0 if the subscription is not known.
     pub generation: u64,
     pub complete: CompleteScopes,
     pub lease_until: f64,
-    /// What it reported. A revision that is being sent counts as known only once the follower says so.
+    /// The progress that the follower has reported. A revision that was sent counts as known only after the
+    /// follower has reported the revision.
     pub progress: Progress,
     pub polled_at: f64,
-    /// The first response since its last acknowledgement.
+    /// The first response since the follower's last acknowledgement.
     unacknowledged: Option<Unacknowledged>,
     budget_bytes: f64,
 }
 
 impl Holder {
-    /// A follower that polls for the first time. It counts as not having acknowledged an infinitely old response, so that it
-    /// gets no lease before it has acknowledged one.
+    /// Creates the state of a follower that polls for the first time. The follower counts as not having
+    /// acknowledged an infinitely old response, so that it gets no lease before it has acknowledged a response.
     pub fn new(now: f64, budget_bytes: f64, sequence: u64) -> Self {
         Holder {
             generation: 0,
@@ -50,26 +51,27 @@
         }
     }
 
-    /// Adds what has accrued since the last poll, up to a burst.
+    /// Adds the bytes that have accrued since the last poll to the budget, which holds at most a burst.
     pub fn accrue(&mut self, now: f64, bytes_per_s: f64, burst_bytes: f64) {
         let accrued = bytes_per_s * (now - self.polled_at).max(0.0) / MS_PER_S;
         self.budget_bytes = (self.budget_bytes + accrued).min(burst_bytes);
         self.polled_at = self.polled_at.max(now);
     }
 
-    /// Spends bytes. Pending revisions are sent whatever they cost, and again until they are acknowledged, so the debt is
-    /// limited to a burst: a follower that was unreachable for a while soon gets chunks again.
+    /// Spends bytes of the budget. Pending revisions are sent even without budget, and again until the follower
+    /// acknowledges them, so the debt is limited to a burst. Otherwise a follower that was unreachable for a
+    /// while would get no chunks for too long.
     pub fn spend(&mut self, bytes: usize, burst_bytes: f64) {
         self.budget_bytes = (self.budget_bytes - bytes as f64).max(-burst_bytes);
     }
 
-    /// What a response may take after its request, in bytes.
+    /// Returns how many bytes a response may take after its request, at most `max_bytes`.
     pub fn available_bytes(&self, request_bytes: usize, max_bytes: usize) -> usize {
         (self.budget_bytes - request_bytes as f64).clamp(0.0, max_bytes as f64) as usize
     }
 
-    /// Takes the acknowledgement in a request, and returns the first response that is not acknowledged, which may be the one
-    /// to this request.
+    /// Processes the acknowledgement in a request, and returns the first response that is not acknowledged,
+    /// which may be the response to this request.
     pub fn acknowledge(&mut self, now: f64, request: &PollRequest) -> Unacknowledged {
         if self.unacknowledged.is_some_and(|first| request.acknowledged >= first.sequence) {
             self.unacknowledged = None;
@@ -77,7 +79,7 @@
         *self.unacknowledged.get_or_insert(Unacknowledged { sequence: request.sequence, sent_at: now })
     }
 
-    /// Whether it has a scope completely.
+    /// Returns whether the follower has a complete copy of a scope.
     pub fn has(&self, index: &ScopeIndex, scope: Scope) -> bool {
         match &self.complete {
             CompleteScopes::All => true,
@@ -85,12 +87,14 @@
         }
     }
 
-    /// Updates its complete scopes. Returns false if the update does not follow from what is remembered.
+    /// Updates the follower's complete scopes. Returns false if the update does not apply to the generation
+    /// that the lessor knows.
     pub fn update_subscription(&mut self, index: &mut ScopeIndex, subscription: &Subscription) -> bool {
         match subscription {
             Subscription::Unchanged { generation } => return self.generation == *generation,
             Subscription::Delta { from, generation, added, removed } => {
-                // A generation in between is one whose response was lost: the delta repeats all changes since `from`.
+                // The known generation may lie in between if the response to it was lost, because the delta
+                // repeats all changes since `from`.
                 let CompleteScopes::Only(scopes) = &mut self.complete else { return false };
                 if self.generation == 0 || !(*from..=*generation).contains(&self.generation) {
                     return false;
--- a/replication/src/lessor/response.rs
+++ b/replication/src/lessor/response.rs
@@ -1,4 +1,4 @@
-//! Builds the response to a poll from a store, within a budget of bytes.
+//! Builds the response to a poll from a store, within a byte budget.
 use super::holder::{CompleteScopes, Holder};
 use super::scope_set::ScopeIndex;
 use crate::scope::{Change, ChangeSet, Scope};
@@ -8,16 +8,17 @@
 use serde::Serialize;
 use std::collections::BTreeSet;
 
-/// The most bytes of chunks, and of pending revisions, in a response: both fit a frame together with the rest.
+/// The most bytes of chunks, and the most bytes of pending revisions, in a response, so that both fit a frame
+/// together with the rest of the response.
 pub(super) const MAX_PART_BYTES: usize = MAX_FRAME_BYTES / 3;
-/// A chunk is not begun with fewer bytes left, as its overhead would outweigh its content.
+/// No chunk is added with fewer bytes left, because the overhead of the chunk would outweigh its content.
 const MIN_CHUNK_BYTES: usize = 64;
-/// An upper bound of the bytes of a chunk besides its entries.
+/// An upper bound of the encoded bytes of a chunk without its entries.
 const CHUNK_OVERHEAD_BYTES: usize = 32;
-/// The byte that tells the kind of a message.
+/// The number of bytes that encode the variant of a message.
 const MESSAGE_KIND_BYTES: usize = 1;
 
-/// The bytes of a message as a frame.
+/// Returns the number of bytes of a frame with this message.
 pub(super) fn frame_bytes(message: &impl Serialize) -> usize {
     // Encoding these types cannot fail.
     postcard::serialize_with_flavor::<_, Size, usize>(message, Size::default()).unwrap_or(MAX_FRAME_BYTES)
@@ -31,17 +32,17 @@
     pub index: &'a ScopeIndex,
     pub holder: &'a Holder,
     pub request: &'a PollRequest,
-    /// The scopes that the request fetches.
+    /// The scopes that the request asks to fetch.
     pub fetched: BTreeSet<Scope>,
-    /// What chunks may take in all.
+    /// The most bytes that all chunks may take together.
     pub max_chunk_bytes: usize,
-    /// What the chunks so far take.
+    /// The bytes that the chunks added so far take.
     pub used_chunk_bytes: usize,
     pub response: PollResponse,
 }
 
 impl ResponseBuilder<'_> {
-    /// Adds what has changed in complete scopes since the revision that the follower knows.
+    /// Adds the changes in complete scopes since the revision that the follower knows.
     pub fn add_changes(&mut self) {
         if self.request.known >= self.store.in_force() {
             return;
@@ -50,7 +51,7 @@
             let left = self.left_bytes();
             let since = Cursor::after(self.request.known);
             let chunk = (left >= MIN_CHUNK_BYTES).then(|| self.store.chunk(scope, since, left));
-            // A chunk has one entry at least, which may be longer than what is left.
+            // A chunk has at least one entry, which may take more bytes than are left.
             match chunk.filter(|c| c.final_digest.is_some() && frame_bytes(c) <= left + CHUNK_OVERHEAD_BYTES)
             {
                 Some(chunk) => self.add_chunk(chunk),
@@ -59,11 +60,12 @@
         }
     }
 
-    /// The complete scopes that may have changed since the follower's revision, without those that it fetches anyway.
+    /// Returns the complete scopes that may have changed since the revision that the follower knows, except for
+    /// the scopes that the request fetches.
     fn changed_scopes(&self) -> Vec<Scope> {
         let (store, known) = (self.store, self.request.known);
         let mut changed: Vec<Scope> = match &self.holder.complete {
-            // Removals before the store began are unknown to it, so every scope may have changed.
+            // The store does not know removals before its first revision, so every scope may have changed.
             CompleteScopes::Only(scopes) if known < store.complete_from() => {
                 scopes.iter(self.index).collect()
             }
@@ -75,7 +77,7 @@
         changed
     }
 
-    /// Adds chunks of the scopes that the follower fetches, as far as the budget goes.
+    /// Adds chunks of the scopes that the follower fetches, until the byte budget is used up.
     pub fn add_fetched(&mut self) {
         for (scope, cursor) in &self.request.fetch {
             let left = self.left_bytes();
@@ -86,10 +88,12 @@
         }
     }
 
-    /// Adds pending revisions. Returns false if some did not fit and the response reports fewer as known.
+    /// Adds pending revisions. Returns false if some revisions did not fit, so that the response ends at an
+    /// earlier one.
     pub fn add_pending(&mut self) -> bool {
         let completed = self.completed_scopes();
-        // A scope that this response completes lacks all pending revisions, even those that the follower knows.
+        // A scope that this response completes lacks the changes of all pending revisions, even of those that
+        // the follower knows in other scopes.
         let in_force = self.store.in_force();
         let from = if completed.is_empty() { self.request.known.max(in_force) } else { in_force };
         let mut used_bytes = 0;
@@ -114,10 +118,11 @@
         true
     }
 
-    /// The fetched scopes that this response completes.
+    /// Returns the fetched scopes that this response completes.
     fn completed_scopes(&self) -> BTreeSet<Scope> {
         let chunks = self.response.chunks.iter();
-        let completed = chunks.filter(|c| c.final_digest.is_some() && self.fetched.contains(&c.scope));
+        let completed =
+            chunks.filter(|chunk| chunk.final_digest.is_some() && self.fetched.contains(&chunk.scope));
         completed.map(|chunk| chunk.scope).collect()
     }
 
--- a/replication/src/primary.rs
+++ b/replication/src/primary.rs
@@ -1,7 +1,7 @@
-//! The source of revisions: it puts proposals together into revisions, and brings these into force in two steps.
+//! The source of revisions: it batches proposals into revisions, and brings revisions into force in two steps.
 //!
-//! The order of revisions, and that one is in force, are to be agreed among voters. For now they are the decision of one
-//! server, and [`Primary::confirm_leadership`] is told when its leadership has last been confirmed.
+//! Voters are to agree on the order of revisions and on which revision is in force. For now a single server
+//! decides both, and [`Primary::confirm_leadership`] records when its leadership was last confirmed.
 mod proposal;
 
 use crate::lease::LeaseConfig;
@@ -14,23 +14,23 @@
 use sha2::{Digest as _, Sha256};
 use std::collections::BTreeMap;
 
-/// How a revision came about. Informative only.
+/// The origin of a revision. Informative only.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RevisionRecord {
-    /// The term of the consensus in which it was agreed.
+    /// The term of the consensus in which the revision was agreed.
     pub epoch: u64,
-    /// Who made its proposals, in their order.
+    /// The proposers of the revision's proposals, in the order of the proposals.
     pub proposers: Vec<Proposer>,
-    /// SHA-256 of its encoded changes.
+    /// The SHA-256 of the revision's encoded changes.
     pub digest: [u8; 32],
 }
 
-/// What a primary has done.
+/// A step that the primary has taken.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum PrimaryEvent {
     /// Proposals have become a revision, which is pending.
     Agreed {
-        /// The revision.
+        /// The new revision.
         revision: Revision,
         /// The ids that [`Primary::propose`] gave to the proposals.
         proposals: Vec<u64>,
@@ -39,7 +39,7 @@
     InForce(Revision),
 }
 
-/// The primary, for as long as it leads. Times are in ms of the caller's clock.
+/// The primary during its leadership. Times are in ms of the caller's clock.
 #[derive(Clone, Debug)]
 pub struct Primary {
     config: LeaseConfig,
@@ -54,7 +54,8 @@
 }
 
 impl Primary {
-    /// A leader from `now` on, in a term of the consensus, with all agreed revisions, in force or pending.
+    /// Creates a leader from `now` on in the consensus term `epoch`. `store` has to contain all agreed
+    /// revisions, whether in force or pending.
     pub fn new(config: LeaseConfig, now: f64, epoch: u64, store: Store) -> Self {
         Primary {
             config,
@@ -69,20 +70,22 @@
         }
     }
 
-    /// Queues a proposal, all of whose changes come into force in one revision, and returns its id.
+    /// Queues a proposal, all of whose changes come into force in one revision, and returns the id of the
+    /// proposal.
     ///
     /// # Errors
-    /// A [`ProposalError`] if the proposal is rejected.
+    /// Returns a [`ProposalError`] if the proposal is rejected.
     pub fn propose(&mut self, proposer: Proposer, changes: Vec<Change>) -> Result<u64, ProposalError> {
         self.queue.push(proposer, changes)
     }
 
-    /// When [`Primary::tick`] has to be called, in ms, if proposals are queued. It has to be called after each poll, too.
+    /// Returns when [`Primary::tick`] has to be called next, in ms, or `None` if no proposal is queued.
+    /// [`Primary::tick`] has to be called after each poll as well.
     pub fn next_tick(&self) -> Option<f64> {
         (!self.queue.is_empty()).then_some(self.batched_at + self.config.batch_ms)
     }
 
-    /// Creates a revision if one is due, and brings into force what may be.
+    /// Creates a revision if one is due, and brings the revisions into force that are [ready](Primary::ready).
     pub fn tick(&mut self, now: f64) -> Vec<PrimaryEvent> {
         let mut events: Vec<_> = self.batch(now).into_iter().collect();
         if let Some(revision) = self.ready(now) {
@@ -92,7 +95,7 @@
         events
     }
 
-    /// Puts queued proposals together into a revision, unless the last one is too recent.
+    /// Batches queued proposals into a revision, unless the previous revision is too recent.
     pub fn batch(&mut self, now: f64) -> Option<PrimaryEvent> {
         if self.queue.is_empty() || now < self.batched_at + self.config.batch_ms {
             return None;
@@ -113,11 +116,12 @@
         Some(PrimaryEvent::Agreed { revision, proposals: ids })
     }
 
-    /// The revision up to which all may come into force at `now`, if any: every lease that lasts is held by a member that
-    /// knows it and acts on the one in force, so that no member falls two revisions behind.
+    /// Returns the revision up to which all revisions may come into force at `now`, if there is any: every
+    /// holder of a current lease knows this revision and acts on the one in force, so that no member falls two
+    /// revisions behind.
     pub fn ready(&self, now: f64) -> Option<Revision> {
         let (in_force, through) = (self.store.in_force(), self.store.through());
-        // Leases of the previous leader are unknown here until they have expired.
+        // Leases that the previous leader has granted are unknown to this leader until they have expired.
         let may_have_older_leases = in_force > 0 && now < self.leads_since + self.config.max_held_ms();
         if through == in_force || may_have_older_leases {
             return None;
@@ -131,19 +135,19 @@
         }
     }
 
-    /// It has been agreed that all revisions up to this one are in force.
+    /// Brings all revisions up to this one into force, once the voters have agreed to do so.
     pub fn advance_to(&mut self, revision: Revision) {
         self.store.advance_to(revision);
     }
 
-    /// A majority has confirmed that this was the leader at `at`, in ms.
+    /// Records that a majority has confirmed this server as the leader at `at`, in ms.
     pub fn confirm_leadership(&mut self, at: f64) {
         self.confirmed_at = self.confirmed_at.max(at);
     }
 
-    /// The response to a poll that has arrived at `now`. There is none before a revision is in force, nor unless a majority
-    /// has confirmed the leadership since the poll arrived: a leader that was replaced does not know it, and its last
-    /// confirmation is older.
+    /// Returns the response to a poll that has arrived at `now`. There is no response before a revision is in
+    /// force, or unless a majority has confirmed the leadership since the poll arrived, because a replaced
+    /// leader does not know that it was replaced, and its last confirmation is older than the poll.
     pub fn handle_poll(&mut self, now: f64, request: &PollRequest) -> Option<PollResponse> {
         if self.confirmed_at < now || self.store.in_force() == 0 {
             return None;
@@ -151,34 +155,35 @@
         Some(self.lessor.handle_poll(now, &self.store, self.config.lease_ms, request))
     }
 
-    /// The state in force, and pending revisions.
+    /// Returns the state in force, and pending revisions.
     pub fn store(&self) -> &Store {
         &self.store
     }
 
-    /// Its side towards its followers.
+    /// Returns the side of the primary that answers its followers.
     pub fn lessor(&self) -> &Lessor {
         &self.lessor
     }
 
-    /// The number of proposals that wait for a revision.
+    /// Returns the number of proposals that wait for a revision.
     pub fn queued_proposals(&self) -> usize {
         self.queue.len()
     }
 
-    /// How a revision came about, if it was created here and its record is not compacted.
+    /// Returns the origin of a revision, or `None` if another server created the revision or its record was
+    /// compacted.
     pub fn record(&self, revision: Revision) -> Option<&RevisionRecord> {
         self.records.get(&revision)
     }
 
-    /// Forgets records and tombstones older than a revision.
+    /// Discards records and tombstones older than the revision `before`.
     pub fn compact(&mut self, before: Revision) {
         self.records = self.records.split_off(&before);
         self.store.purge_tombstones(before);
     }
 }
 
-/// The last change of each key, by scope and key.
+/// Returns the last change of each key, by scope and key.
 fn last_changes(proposals: &[QueuedProposal]) -> Vec<Change> {
     let mut changes = BTreeMap::new();
     for change in proposals.iter().flat_map(|proposal| &proposal.changes) {
--- a/replication/src/primary/proposal.rs
+++ b/replication/src/primary/proposal.rs
@@ -1,33 +1,34 @@
-//! Proposals: who makes them, which are accepted, and the queue of those that wait for the next revision.
+//! Proposals: their proposers, the checks that they have to pass, and the queue for the next revision.
 use crate::scope::{Change, Key, Scope};
 
-/// The most bytes of an encoded proposal, and of the proposals of one revision: several revisions fit a frame.
+/// The most bytes of an encoded proposal, and of the proposals of one revision, so that several revisions fit a
+/// frame.
 pub const MAX_PROPOSAL_BYTES: usize = 64 * 1024;
 
-/// Who has made a proposal, and when.
+/// The origin of a proposal.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Proposer {
-    /// Its name.
+    /// The name of the proposer.
     pub name: String,
-    /// Unix time in ms of its clock. Informative only.
+    /// When the proposal was made, as Unix time in ms of the proposer's clock. Informative only.
     pub proposed_ms: u64,
 }
 
-/// Why a proposal is rejected.
+/// The reason why a proposal is rejected. The text is sent to the client, so it is part of the protocol.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum ProposalError {
-    /// It has no changes.
+    /// The proposal has no changes.
     #[error("a proposal that changes nothing")]
     Empty,
-    /// An entry does not belong into its scope.
+    /// An entry does not fit the scope of its change.
     #[error("the entry under key {:016x} may not stand in {scope:?}", .key.0)]
     MisplacedEntry {
-        /// The scope.
+        /// The scope of the change.
         scope: Scope,
         /// The key of the entry.
         key: Key,
     },
-    /// It has so many encoded bytes, more than [`MAX_PROPOSAL_BYTES`].
+    /// The proposal has this many encoded bytes, more than [`MAX_PROPOSAL_BYTES`].
     #[error("a proposal of {0} bytes, expected {MAX_PROPOSAL_BYTES} at most")]
     TooLong(usize),
 }
@@ -41,7 +42,7 @@
     bytes: usize,
 }
 
-/// Proposals in the order of their arrival.
+/// The queued proposals, in the order of their arrival.
 #[derive(Clone, Debug, Default)]
 pub(super) struct ProposalQueue {
     last_id: u64,
@@ -49,7 +50,7 @@
 }
 
 impl ProposalQueue {
-    /// Checks a proposal, queues it, and returns its id.
+    /// Checks and queues a proposal, and returns the id of the proposal.
     pub fn push(&mut self, proposer: Proposer, changes: Vec<Change>) -> Result<u64, ProposalError> {
         let bytes = check(&changes)?;
         self.last_id += 1;
@@ -57,7 +58,7 @@
         Ok(self.last_id)
     }
 
-    /// Takes as many proposals from the front as fit one revision, one at least.
+    /// Removes as many proposals from the front as fit one revision, but at least one, and returns them.
     pub fn take_batch(&mut self) -> Vec<QueuedProposal> {
         let mut bytes = 0;
         let fits = |proposal: &QueuedProposal| {
@@ -77,7 +78,7 @@
     }
 }
 
-/// Checks the changes of a proposal, and returns their encoded bytes.
+/// Checks the changes of a proposal, and returns the number of their encoded bytes.
 fn check(changes: &[Change]) -> Result<usize, ProposalError> {
     if changes.is_empty() {
         return Err(ProposalError::Empty);
--- a/replication/src/replica.rs
+++ b/replication/src/replica.rs
@@ -1,9 +1,10 @@
-//! A control server between the primary and gateways: it follows every scope, and answers followers of its own with leases
-//! that end no later than its lease.
+//! A control server between the primary and the gateways. A replica follows every scope, and answers followers
+//! of its own with leases that end no later than the replica's own lease.
 //!
-//! It reports to the primary the lowest progress of itself and of all who hold its leases. A new follower cannot invalidate a
-//! report, so reports never go back: whoever applies a response knows all that the replica knew when it sent it, and nobody
-//! holds a lease without having applied a response.
+//! A replica reports to the primary the lowest progress among itself and all holders of its leases. A new
+//! follower cannot invalidate a report, so reports never go back: a follower that applies a response knows
+//! everything that the replica knew when it sent the response, and no follower holds a lease without having
+//! applied a response.
 use crate::follower::{Follower, FollowerEvent, ResponseError};
 use crate::lease::LeaseConfig;
 use crate::lessor::Lessor;
@@ -12,21 +13,21 @@
 use crate::store::Store;
 use crate::wire::{Member, PollRequest, PollResponse};
 
-/// A replica. Times are in ms of the caller's clock.
+/// A follower of every scope that grants leases itself. Times are in ms of the caller's clock.
 #[derive(Clone, Debug)]
 pub struct Replica {
     config: LeaseConfig,
     follower: Follower<Store>,
     lessor: Lessor,
-    /// The highest progress that may be reported.
+    /// The highest progress that may be reported to the lessor.
     reportable: Progress,
-    /// The progress in the last poll.
+    /// The progress that the last poll has reported.
     reported: Progress,
     polled_at: f64,
 }
 
 impl Replica {
-    /// A replica that knows nothing and does not answer polls yet.
+    /// Creates a replica that knows no revision and does not answer polls yet.
     pub fn new(config: LeaseConfig, member: Member, now: f64) -> Self {
         Replica {
             config,
@@ -38,7 +39,7 @@
         }
     }
 
-    /// Updates the reportable progress at `now`, and returns it.
+    /// Updates the reportable progress at `now`, and returns the updated progress.
     fn update_reportable(&mut self, now: f64) -> Progress {
         let own = Progress { known: self.follower.known(), in_force: self.follower.in_force() };
         let lowest = self.lessor.min_progress(now).map_or(own, |holders| holders.min(own));
@@ -46,7 +47,7 @@
         self.reportable
     }
 
-    /// When the next poll is due, in ms; it is prompt if there is progress to report.
+    /// Returns when the next poll is due, in ms; the next poll is prompt if there is progress to report.
     pub fn next_poll(&mut self, now: f64) -> f64 {
         let due = self.follower.next_poll();
         if self.follower.is_polling() || self.update_reportable(now) == self.reported {
@@ -55,7 +56,7 @@
         due.min(self.polled_at + self.config.prompt_poll_delay_ms())
     }
 
-    /// The next poll, if it is due at `now`.
+    /// Returns the next poll, if it is due at `now`.
     pub fn poll(&mut self, now: f64) -> Option<PollRequest> {
         if now < self.next_poll(now) {
             return None;
@@ -65,31 +66,31 @@
         Some(self.follower.poll_for(now, self.reported.known, self.reported.in_force))
     }
 
-    /// Applies a response that has arrived at `now`, and says what it has changed.
+    /// Applies a response that has arrived at `now`, and returns what the response has changed.
     ///
     /// # Errors
-    /// A [`ResponseError`] if the response is rejected.
+    /// Returns a [`ResponseError`] if the response is rejected.
     pub fn handle_response(
         &mut self, now: f64, mut response: PollResponse,
     ) -> Result<Vec<FollowerEvent>, ResponseError> {
         let poll = self.follower.accept(&response)?;
         let in_force = response.in_force;
         let store = self.follower.storage_mut();
-        // Known revisions come into force first: the chunks in the response are newer.
+        // Known revisions come into force before the chunks are stored, because the chunks are newer.
         store.advance_to(in_force);
         for change_set in std::mem::take(&mut response.pending) {
             store.add_pending(change_set);
         }
         let events = self.follower.apply_response(now, poll, response);
-        // Scopes that were fetched from the start begin at this revision.
+        // The store's history of the scopes that were fetched from the start begins at this revision.
         self.follower.storage_mut().advance_to(in_force);
-        // Before another follower gets a lease.
+        // The progress is updated before another follower gets a lease and may lower the minimum.
         self.update_reportable(now);
         Ok(events)
     }
 
-    /// The response to a poll that has arrived at `now`; `None` while the replica is not complete itself, so that the
-    /// follower moves to another lessor.
+    /// Returns the response to a poll that has arrived at `now`, or `None` while the replica is not complete
+    /// itself, so that the follower moves to another lessor.
     pub fn handle_poll(&mut self, now: f64, request: &PollRequest) -> Option<PollResponse> {
         if !self.follower.is_complete() || self.follower.in_force() == 0 {
             return None;
@@ -99,27 +100,27 @@
         Some(self.lessor.handle_poll(now, self.follower.storage(), max_lease_ms, request))
     }
 
-    /// The connection to the lessor is a new one.
+    /// Records that the replica has a new connection to its lessor, so that the next poll is due at once.
     pub fn reconnected(&mut self) {
         self.follower.reconnected();
     }
 
-    /// Its state.
+    /// Returns the replicated state.
     pub fn store(&self) -> &Store {
         self.follower.storage()
     }
 
-    /// Its side towards its lessor.
+    /// Returns the side of the replica that polls its lessor.
     pub fn follower(&self) -> &Follower<Store> {
         &self.follower
     }
 
-    /// Its side towards its followers.
+    /// Returns the side of the replica that answers its followers.
     pub fn lessor(&self) -> &Lessor {
         &self.lessor
     }
 
-    /// Forgets tombstones older than a revision.
+    /// Purges tombstones older than the revision `before`.
     pub fn purge_tombstones(&mut self, before: Revision) {
         self.follower.storage_mut().purge_tombstones(before);
     }
--- a/replication/src/store.rs
+++ b/replication/src/store.rs
@@ -1,8 +1,9 @@
-//! Replicated state as primary and replicas keep it: each entry with the revision that changed it last, so that a follower
-//! can be told what has changed since the revision it knows. Removed entries leave tombstones until
-//! [`Store::purge_tombstones`].
+//! Replicated state as the primary and replicas store it: each entry with the revision that last changed the
+//! entry, so that a lessor can send a follower everything that has changed since the revision that the follower
+//! knows. Removed entries leave tombstones until [`Store::purge_tombstones`].
 //!
-//! A change of k entries among n costs k log n. Digests and the index of changed scopes are updated with each change.
+//! A change of k entries in a store of n entries costs k log n. Digests and the index of changed scopes are
+//! updated with each change.
 mod check;
 mod chunk;
 mod scope_entries;
@@ -18,10 +19,11 @@
 #[derive(Clone, Debug, Default)]
 pub struct Store {
     scopes: BTreeMap<Scope, ScopeEntries>,
-    /// Each known scope once, by the last revision that changed it.
+    /// Each known scope once, by the last revision that changed the scope.
     by_last_change: BTreeSet<(Revision, Scope)>,
     tombstones: BTreeSet<(Revision, Scope, Key)>,
-    /// Scopes that were fetched from the start since the last [`Store::advance_to`]: earlier removals are unknown.
+    /// Scopes that were fetched from the start since the last [`Store::advance_to`], so that earlier removals
+    /// are unknown.
     refetched: BTreeSet<Scope>,
     pending: BTreeMap<Revision, ChangeSet>,
     in_force: Revision,
@@ -31,22 +33,23 @@
 }
 
 impl Store {
-    /// An empty store at revision 0.
+    /// Creates an empty store at revision 0.
     pub fn new() -> Store {
         Store::default()
     }
 
-    /// Adds a revision that is to come into force. One that is pending or in force already is ignored.
+    /// Adds a revision that is to come into force. A revision that is already pending or in force is ignored.
     pub fn add_pending(&mut self, change_set: ChangeSet) {
         if change_set.revision > self.in_force {
             self.pending.entry(change_set.revision).or_insert(change_set);
         }
     }
 
-    /// Brings all pending revisions up to this one into force. An older revision is ignored.
+    /// Brings all pending revisions up to `revision` into force. A revision older than the one in force is
+    /// ignored.
     ///
-    /// A store that is fetched from a lessor calls this once the chunks are loaded. The first call that does not continue from
-    /// revision 1 sets [`Store::complete_from`].
+    /// For a store that is fetched from a lessor, the caller loads the chunks before this call. The first call
+    /// that does not continue from revision 1 sets [`Store::complete_from`].
     pub fn advance_to(&mut self, revision: Revision) {
         if revision < self.in_force {
             return;
@@ -69,15 +72,17 @@
         }
     }
 
-    /// Removing a key without an entry leaves no tombstone, and an older tombstone keeps its revision.
+    /// Applies a change. Removing a key without an entry leaves no tombstone, and an older tombstone of the key
+    /// keeps its revision.
     fn apply(&mut self, change: Change, revision: Revision) {
         if change.entry.is_some() || self.entry(change.scope, change.key).is_some() {
             self.put(change.scope, change.key, revision, change.entry);
         }
     }
 
-    /// Loads an entry or a tombstone of a fetched chunk, as of the revision in force or the next. It has to come before the
-    /// [`Store::advance_to`] that covers it, as the followers of this store learn of it by its revision.
+    /// Loads an entry or a tombstone of a fetched chunk, as of the revision in force or the next one. The entry
+    /// has to be loaded before the [`Store::advance_to`] that covers its revision, because the followers of
+    /// this store find the entry by its revision.
     pub fn load(&mut self, scope: Scope, key: Key, revision: Revision, entry: Option<Entry>) {
         if entry.is_some_and(|entry| !entry.fits(scope)) {
             return;
@@ -85,12 +90,12 @@
         if !self.scopes.contains_key(&scope) {
             self.clear(scope);
         }
-        // No revision is 0, and a cursor of 0 is the start.
+        // Revision 0 is raised to 1, because a cursor with revision 0 stands for the start of a scope.
         self.put(scope, key, revision.max(1), entry);
     }
 
-    /// Removes the entries and tombstones of a scope, which is fetched from the start. Followers that have fetched any of it
-    /// have to start over, too.
+    /// Removes the entries and tombstones of a scope, because the scope is fetched from the start. Followers
+    /// that have fetched a part of the scope have to start over as well.
     pub fn clear(&mut self, scope: Scope) {
         let previous = self.scopes.remove(&scope).unwrap_or_default();
         for (removed_at, key) in &previous.tombstones_by_revision {
@@ -123,82 +128,84 @@
         record_change(&mut self.by_last_change, scope, content, revision);
     }
 
-    /// The revision in force; 0 for none.
+    /// Returns the revision in force; 0 for none.
     pub fn in_force(&self) -> Revision {
         self.in_force
     }
 
-    /// The last pending revision, or else the one in force.
+    /// Returns the last pending revision, or the revision in force if none is pending.
     pub fn through(&self) -> Revision {
         self.pending.last_key_value().map_or(self.in_force, |(revision, _)| *revision)
     }
 
-    /// The entry in force under a key.
+    /// Returns the entry in force under a key.
     pub fn entry(&self, scope: Scope, key: Key) -> Option<Entry> {
         self.scopes.get(&scope)?.get(key)
     }
 
-    /// All entries of a scope, by key.
+    /// Returns all entries of a scope, by key.
     pub fn entries(&self, scope: Scope) -> impl Iterator<Item = (Key, Entry)> + '_ {
         let content = self.scopes.get(&scope);
         content.into_iter().flat_map(|content| content.entries.iter().map(|(key, (_, entry))| (*key, *entry)))
     }
 
-    /// The number of entries of a scope.
+    /// Returns the number of entries of a scope.
     pub fn len(&self, scope: Scope) -> usize {
         self.scopes.get(&scope).map_or(0, |content| content.entries.len())
     }
 
-    /// Whether there is no entry at all.
+    /// Returns whether no scope has an entry.
     pub fn is_empty(&self) -> bool {
         self.entry_count == 0
     }
 
-    /// The number of tombstones.
+    /// Returns the number of tombstones in all scopes.
     pub fn tombstones(&self) -> usize {
         self.tombstones.len()
     }
 
-    /// The digest of a scope's entries.
+    /// Returns the digest of a scope's entries.
     pub fn digest(&self, scope: Scope) -> Digest {
         self.scopes.get(&scope).map_or(Digest::default(), |content| content.digest)
     }
 
-    /// The digest of all entries.
+    /// Returns the digest of all entries.
     pub fn total_digest(&self) -> Digest {
         self.digest
     }
 
-    /// The scopes that have entries.
+    /// Returns the scopes that have entries.
     pub fn scopes(&self) -> impl Iterator<Item = Scope> + '_ {
         self.scopes.iter().filter(|(_, content)| !content.entries.is_empty()).map(|(scope, _)| *scope)
     }
 
-    /// The scopes that have changed after a revision, in the order of their last change. The cost is that of the result.
+    /// Returns the scopes that have changed after a revision, in the order of their last change. The cost is
+    /// proportional to the number of scopes returned.
     ///
-    /// For a revision before [`Store::complete_from`] some may be missing: a follower that knows less may be stale in every
-    /// scope.
+    /// For a revision before [`Store::complete_from`] some scopes may be missing, so a follower that knows only
+    /// such a revision may be stale in every scope.
     pub fn changed_since(&self, revision: Revision) -> impl Iterator<Item = Scope> + '_ {
         let after = revision.saturating_add(1);
         self.by_last_change.range((after, Scope::Zones)..).map(|(_, scope)| *scope)
     }
 
-    /// The revision from which on [`Store::changed_since`] is complete: 0 if all revisions passed through this store, else
-    /// the one that it was first fetched at.
+    /// Returns the first revision for which [`Store::changed_since`] is complete: 0 if all revisions passed
+    /// through this store, otherwise the revision at which the store was first fetched.
     pub fn complete_from(&self) -> Revision {
         self.complete_from
     }
 
-    /// The pending revisions after a revision.
+    /// Returns the pending revisions after a revision, in order.
     pub fn pending_since(&self, revision: Revision) -> impl Iterator<Item = &ChangeSet> + '_ {
         self.pending.range(revision.saturating_add(1)..).map(|(_, change_set)| change_set)
     }
 
-    /// The next chunk of a scope after a cursor, in the order of (revision, key): at most `max_bytes` of encoded entries, but
-    /// one entry at least.
+    /// Returns the next chunk of a scope after a cursor, in the order of (revision, key), with at most
+    /// `max_bytes` of encoded entries, but with at least one entry if any remain.
     ///
-    /// From the start there are no tombstones in it. From [`Cursor::after`] a revision there are, unless the chunk restarts
-    /// the fetch: because that is smaller, or because a tombstone that the follower needs is forgotten.
+    /// A fetch from the start contains no tombstones. A fetch from [`Cursor::after`] a revision contains
+    /// tombstones, unless the chunk restarts the fetch, because fetching from the start is smaller or because a
+    /// tombstone that the follower needs was purged.
     pub fn chunk(&self, scope: Scope, from: Cursor, max_bytes: usize) -> ScopeChunk {
         match self.scopes.get(&scope) {
             Some(content) => chunk::after(scope, content, from, max_bytes),
@@ -206,19 +213,20 @@
         }
     }
 
-    /// Forgets tombstones older than a revision. Followers that know less of these scopes have to start over. The cost is
-    /// that of the tombstones forgotten.
+    /// Purges tombstones older than the revision `before`. Followers that know less than a purged tombstone's
+    /// revision have to fetch its scope from the start. The cost depends on the number of purged tombstones
+    /// only.
     pub fn purge_tombstones(&mut self, before: Revision) {
         while let Some((removed_at, scope, key)) = self.tombstones.first().copied().filter(|t| t.0 < before) {
             self.tombstones.pop_first();
             if let Some(content) = self.scopes.get_mut(&scope) {
-                content.forget_tombstone(removed_at, key);
+                content.purge_tombstone(removed_at, key);
             }
         }
     }
 }
 
-/// Records in the index that a revision has changed a scope.
+/// Records in the index `by_last_change` that a revision has changed a scope.
 fn record_change(
     by_last_change: &mut BTreeSet<(Revision, Scope)>, scope: Scope, content: &mut ScopeEntries,
     revision: Revision,
@@ -251,13 +259,15 @@
         Store::digest(self, scope)
     }
 
-    /// An estimate from the sizes of keys and values.
+    /// Returns an estimate that is based on the sizes of keys and values.
     fn memory_bytes(&self) -> usize {
-        let entry = size_of::<(Key, (Revision, Entry))>() + size_of::<Position>();
-        let tombstone =
+        let entry_bytes = size_of::<(Key, (Revision, Entry))>() + size_of::<Position>();
+        let tombstone_bytes =
             size_of::<(Key, Revision)>() + size_of::<Position>() + size_of::<(Revision, Scope, Key)>();
-        let scope = size_of::<(Scope, ScopeEntries)>() + size_of::<(Revision, Scope)>();
-        let filled = entry * self.entry_count + tombstone * self.tombstones.len() + scope * self.scopes.len();
-        tree_bytes(filled)
+        let scope_bytes = size_of::<(Scope, ScopeEntries)>() + size_of::<(Revision, Scope)>();
+        let filled_bytes = entry_bytes * self.entry_count
+            + tombstone_bytes * self.tombstones.len()
+            + scope_bytes * self.scopes.len();
+        tree_bytes(filled_bytes)
     }
 }
--- a/replication/src/store/check.rs
+++ b/replication/src/store/check.rs
@@ -1,30 +1,30 @@
-//! Recomputes what a store keeps up to date by change; for tests.
+//! Checks the digests, counts and indexes that a store updates with each change; for tests.
 use super::scope_entries::{Position, ScopeEntries};
 use super::Store;
 use crate::scope::{Digest, Scope};
 use std::collections::BTreeSet;
 
-/// A part of a store that differs from what its entries say.
+/// Data of a store that contradicts the entries of the store.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum InconsistentStore {
-    /// Something within a scope differs.
-    #[error("{scope:?}: wrong {part}")]
+    /// Data of one scope contradicts the entries.
+    #[error("inconsistent {part} in scope {scope:?}")]
     Scope {
-        /// The scope.
+        /// The scope that contains the inconsistent data.
         scope: Scope,
-        /// What differs.
+        /// The name of the inconsistent data.
         part: &'static str,
     },
-    /// Something that spans all scopes differs.
-    #[error("wrong {0}")]
+    /// Data of this name, which spans all scopes, contradicts the entries.
+    #[error("inconsistent {0} in the store")]
     Store(&'static str),
 }
 
 impl Store {
-    /// Recomputes digests, counts and indexes from the entries and compares them.
+    /// Recomputes digests, counts and indexes from the entries, and compares them with those of the store.
     ///
     /// # Errors
-    /// The first [`InconsistentStore`] that is found.
+    /// Returns the first [`InconsistentStore`] that is found.
     pub fn check(&self) -> Result<(), InconsistentStore> {
         let (mut digest, mut entry_count) = (Digest::default(), 0);
         let (mut tombstones, mut by_last_change) = (BTreeSet::new(), BTreeSet::new());
@@ -32,17 +32,19 @@
             check_scope(scope, content).map_err(|part| InconsistentStore::Scope { scope, part })?;
             digest.join(content.digest);
             entry_count += content.entries.len();
-            tombstones.extend(content.tombstones_by_revision.iter().map(|(at, key)| (*at, scope, *key)));
+            tombstones.extend(
+                content.tombstones_by_revision.iter().map(|(revision, key)| (*revision, scope, *key)),
+            );
             if content.last_change > 0 {
                 by_last_change.insert((content.last_change, scope));
             }
         }
         let faults = [
             (digest != self.digest, "sum"),
-            (entry_count != self.entry_count, "count"),
+            (entry_count != self.entry_count, "entry count"),
             (tombstones != self.tombstones, "tombstones"),
             (by_last_change != self.by_last_change, "index of changes"),
-            (self.pending.keys().next().is_some_and(|first| *first <= self.in_force), "pending version"),
+            (self.pending.keys().next().is_some_and(|first| *first <= self.in_force), "pending revisions"),
         ];
         first_fault(&faults).map_err(InconsistentStore::Store)
     }
@@ -51,8 +53,10 @@
 fn check_scope(scope: Scope, content: &ScopeEntries) -> Result<(), &'static str> {
     let mut digest = Digest::default();
     content.entries.iter().for_each(|(key, (_, entry))| digest.add(scope, *key, entry));
-    let by_revision: BTreeSet<Position> = content.entries.iter().map(|(key, (at, _))| (*at, *key)).collect();
-    let tombstones: BTreeSet<Position> = content.tombstones.iter().map(|(key, at)| (*at, *key)).collect();
+    let by_revision: BTreeSet<Position> =
+        content.entries.iter().map(|(key, (revision, _))| (*revision, *key)).collect();
+    let tombstones: BTreeSet<Position> =
+        content.tombstones.iter().map(|(key, revision)| (*revision, *key)).collect();
     let newest = by_revision.last().max(tombstones.last()).map_or(0, |position| position.0);
     first_fault(&[
         (digest != content.digest, "digest"),
@@ -60,10 +64,10 @@
         (tombstones != content.tombstones_by_revision, "removals"),
         (
             content.entries.keys().any(|key| content.tombstones.contains_key(key)),
-            "entries that are removed too",
+            "entries that also have tombstones",
         ),
         (content.last_change < newest, "last change"),
-        (tombstones.first().is_some_and(|first| first.0 == 0), "removal by no version"),
+        (tombstones.first().is_some_and(|first| first.0 == 0), "tombstone of revision 0"),
     ])
 }
 
--- a/replication/src/store/chunk.rs
+++ b/replication/src/store/chunk.rs
@@ -1,4 +1,4 @@
-//! Cuts a scope into chunks for followers, from any position.
+//! Cuts a scope into chunks for followers, beginning at any cursor.
 use super::scope_entries::{Position, ScopeEntries};
 use crate::scope::{Digest, Entry, Key, Revision, Scope};
 use crate::wire::{ChunkEntry, Cursor, ScopeChunk};
@@ -6,16 +6,18 @@
 use std::iter::Peekable;
 use std::ops::Bound::{Excluded, Unbounded};
 
-/// An upper bound of an encoded entry in a chunk: three integers of at most ten bytes, and an entry of under thirty.
+/// An upper bound of the bytes of an encoded entry in a chunk: three integers of at most ten bytes, and an
+/// entry of fewer than thirty.
 const MAX_ENTRY_BYTES: usize = 80;
 
-/// The chunk of a scope that nothing is known of.
+/// Returns the chunk of a scope that the store does not know; the chunk is empty and completes the scope.
 pub(super) fn of_unknown_scope(scope: Scope, from: Cursor) -> ScopeChunk {
     let restart = from != Cursor::default();
     ScopeChunk { scope, restart, entries: Vec::new(), final_digest: Some(Digest::default()) }
 }
 
-/// The next chunk after a cursor, with at most `max_bytes` of encoded entries, but with one entry at least.
+/// Returns the next chunk after a cursor, with at most `max_bytes` of encoded entries, but with at least one
+/// entry if any remain.
 pub(super) fn after(scope: Scope, content: &ScopeEntries, from: Cursor, max_bytes: usize) -> ScopeChunk {
     let from_start = starts_over(content, from);
     let lower_bound = if from_start { Unbounded } else { Excluded((from.revision, Key(from.key))) };
@@ -39,19 +41,20 @@
     chunk
 }
 
-/// Whether the chunk at a cursor is the first of a fetch from the start.
+/// Returns whether the chunk at a cursor is the first of a fetch from the start.
 ///
-/// Only a cursor after a complete revision may be sent back to the start. Any other cursor is within a fetch and continues
-/// it: it does not tell when the fetch began, and old entries are what a fetch from the start sends first. If a tombstone is
-/// forgotten during a fetch, the digest at its end differs.
+/// Only a cursor after a complete revision may be sent back to the start. Any other cursor lies within a fetch
+/// and continues that fetch: the cursor does not tell when the fetch began, and a fetch from the start sends
+/// old entries first. If a tombstone is purged during a fetch, the digest at the end of the fetch differs.
 fn starts_over(content: &ScopeEntries, from: Cursor) -> bool {
     let after_revision = from.key == u64::MAX;
     from.revision == 0 || after_revision && is_smaller_from_start(content, from.revision)
 }
 
-/// Whether a follower that knows a revision should fetch the scope from the start: a tombstone that it needs is forgotten, or
-/// the tombstones that it needs take more bytes than the entries that it is spared. Both sums grow side by side until the
-/// smaller one is complete.
+/// Returns whether a follower that knows a revision should fetch the scope from the start: either a tombstone
+/// that the follower needs was purged, or the needed tombstones take more bytes than the entries that the
+/// follower already has. Both sums grow in turn until the smaller one is complete, so that the cost is that of
+/// the smaller one.
 fn is_smaller_from_start(content: &ScopeEntries, known: Revision) -> bool {
     if known < content.horizon {
         return true;
@@ -76,7 +79,7 @@
     postcard::to_slice(entry, &mut buffer).map_or(MAX_ENTRY_BYTES, |written| written.len())
 }
 
-/// Entries and tombstones after a cursor, in one order.
+/// An iterator over entries and tombstones after a cursor, merged in the order of (revision, key).
 struct Merged<'a> {
     content: &'a ScopeEntries,
     entries: Peekable<Range<'a, Position>>,
--- a/replication/src/store/scope_entries.rs
+++ b/replication/src/store/scope_entries.rs
@@ -1,25 +1,27 @@
-//! The entries of one scope, in the order in which followers need them.
+//! The entries of one scope, in the order in which followers fetch them.
 use crate::scope::{Digest, Entry, Key, Revision, Scope};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// A position in the order of changes.
 pub(super) type Position = (Revision, Key);
 
-/// The entries and tombstones of a scope. It is kept even if it is empty, because of `horizon` and `last_change`.
+/// The entries and tombstones of a scope. An empty scope is kept as well, because of `horizon` and
+/// `last_change`.
 #[derive(Clone, Debug, Default)]
 pub(super) struct ScopeEntries {
-    /// Each entry with the revision that changed it last.
+    /// Each entry by key, with the revision that last changed the entry.
     pub entries: BTreeMap<Key, (Revision, Entry)>,
-    /// The same in the order of changes, which is the order of chunks.
+    /// The positions of all entries in the order of changes, which is the order of chunks.
     pub by_revision: BTreeSet<Position>,
-    /// Removed keys, with the revision that removed them.
+    /// Each removed key, with the revision that removed the key.
     pub tombstones: BTreeMap<Key, Revision>,
-    /// The same in the order of changes.
+    /// The positions of all tombstones in the order of changes.
     pub tombstones_by_revision: BTreeSet<Position>,
     pub digest: Digest,
-    /// Not all removals up to this revision are known: a follower that knows less has to fetch the scope from the start.
+    /// Some removals up to this revision are unknown, so a follower that knows less has to fetch the scope from
+    /// the start.
     pub horizon: Revision,
-    /// The last revision that changed anything.
+    /// The last revision that changed the scope.
     pub last_change: Revision,
 }
 
@@ -32,7 +34,8 @@
         self.entries.get(&key).map(|(_, entry)| *entry)
     }
 
-    /// Sets an entry or leaves a tombstone. Returns the revision of the tombstone that was there before.
+    /// Sets an entry, or leaves a tombstone if `entry` is `None`. Returns the revision of the key's previous
+    /// tombstone, if any.
     pub fn put(
         &mut self, scope: Scope, key: Key, revision: Revision, entry: Option<Entry>,
     ) -> Option<Revision> {
@@ -61,8 +64,9 @@
         previous_tombstone
     }
 
-    /// Forgets a tombstone. Whoever knows less than its revision has to fetch the scope from the start.
-    pub fn forget_tombstone(&mut self, removed_at: Revision, key: Key) {
+    /// Purges a tombstone. A follower that knows less than the revision of the tombstone has to fetch the scope
+    /// from the start.
+    pub fn purge_tombstone(&mut self, removed_at: Revision, key: Key) {
         self.tombstones.remove(&key);
         self.tombstones_by_revision.remove(&(removed_at, key));
         self.horizon = self.horizon.max(removed_at);
--- a/replication/src/tables.rs
+++ b/replication/src/tables.rs
@@ -1,5 +1,5 @@
-//! Replicated state as a gateway keeps it: sorted and packed, without revisions, so that all hosts, routes and tenants of a
-//! large installation fit into a gateway's memory.
+//! Replicated state as a gateway stores it: sorted and packed, without revisions, so that all hosts, routes and
+//! tenants of a large installation fit into a gateway's memory.
 mod column;
 mod encoding;
 
@@ -25,37 +25,37 @@
 #[derive(Clone, Debug, Default)]
 pub struct Tables {
     scopes: BTreeMap<Scope, Table>,
-    /// The memory of all columns, in bytes.
+    /// The heap memory of all columns, in bytes.
     column_bytes: usize,
 }
 
 impl Tables {
-    /// Empty tables.
+    /// Creates empty tables.
     pub fn new() -> Tables {
         Tables::default()
     }
 
-    /// The number of entries of a scope.
+    /// Returns the number of entries of a scope.
     pub fn len(&self, scope: Scope) -> usize {
         self.scopes.get(&scope).map_or(0, |table| table.entries.keys().len())
     }
 
-    /// Whether there is no entry at all.
+    /// Returns whether no scope has an entry.
     pub fn is_empty(&self) -> bool {
         self.scopes.is_empty()
     }
 
-    /// The scopes that have entries.
+    /// Returns the scopes that have entries.
     pub fn scopes(&self) -> impl Iterator<Item = Scope> + '_ {
         self.scopes.keys().copied()
     }
 
-    /// All entries of a scope, by key.
+    /// Returns all entries of a scope, by key.
     pub fn entries(&self, scope: Scope) -> impl Iterator<Item = (Key, Entry)> + '_ {
         self.scopes.get(&scope).into_iter().flat_map(|table| table.entries.entries())
     }
 
-    /// The digest of all entries.
+    /// Returns the digest of all entries.
     pub fn total_digest(&self) -> Digest {
         self.scopes.values().fold(Digest::default(), |mut sum, table| {
             sum.join(table.digest);
@@ -103,13 +103,13 @@
         self.scopes.get(&scope).map_or(Digest::default(), |table| table.digest)
     }
 
-    /// The exact capacity of all columns, and an estimate of the tree of scopes, which is about three quarters full.
+    /// Returns the exact capacity of all columns, plus an estimate of the tree of scopes.
     fn memory_bytes(&self) -> usize {
         self.column_bytes + tree_bytes(self.scopes.len() * size_of::<(Scope, Table)>())
     }
 }
 
-/// Compares entries; spare capacity does not count.
+/// Compares the entries; spare capacity does not matter.
 impl PartialEq for Tables {
     fn eq(&self, other: &Self) -> bool {
         self.scopes == other.scopes
--- a/replication/src/tables/column.rs
+++ b/replication/src/tables/column.rs
@@ -3,8 +3,8 @@
 use crate::scope::{Entry, Host, Key, Route, Scope};
 use std::net::{Ipv4Addr, SocketAddrV4};
 
-/// A column has spare capacity for one entry in so many, and one more.
-const ENTRIES_PER_SPARE_COUNT: usize = 16;
+/// A column has spare capacity for one entry per this number of entries, and for one more entry.
+const ENTRIES_PER_SPARE_ENTRY: usize = 16;
 
 /// A host in 17 bytes, without padding.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -42,7 +42,7 @@
     }
 }
 
-/// Values by key in two sorted vectors, which keep little spare capacity.
+/// Keys and their values in two vectors, sorted by key, with little spare capacity.
 #[derive(Clone, Debug, PartialEq)]
 pub(super) struct Column<V> {
     keys: Vec<Key>,
@@ -55,19 +55,19 @@
     }
 }
 
-/// The spare capacity, in entries, of a column of `len` entries.
+/// Returns the spare capacity, in entries, of a column of `len` entries.
 fn spare_capacity(len: usize) -> usize {
-    len / ENTRIES_PER_SPARE_COUNT + 1
+    len / ENTRIES_PER_SPARE_ENTRY + 1
 }
 
 impl<V: Copy> Column<V> {
-    /// Sets or removes a value; returns the previous one.
+    /// Sets a value, or removes the value if `value` is `None`. Returns the previous value.
     fn set(&mut self, key: Key, value: Option<V>) -> Option<V> {
         match (self.keys.binary_search(&key), value) {
-            (Ok(at), Some(value)) => self.values.get_mut(at).map(|v| std::mem::replace(v, value)),
-            (Ok(at), None) => {
-                self.keys.remove(at);
-                let previous = self.values.remove(at);
+            (Ok(index), Some(value)) => self.values.get_mut(index).map(|old| std::mem::replace(old, value)),
+            (Ok(index), None) => {
+                self.keys.remove(index);
+                let previous = self.values.remove(index);
                 let len = self.keys.len();
                 if self.keys.capacity() > len + 2 * spare_capacity(len) {
                     self.keys.shrink_to(len + spare_capacity(len));
@@ -75,7 +75,7 @@
                 }
                 Some(previous)
             }
-            (Err(at), Some(value)) => {
+            (Err(index), Some(value)) => {
                 let len = self.keys.len();
                 if len == self.keys.capacity() {
                     self.keys.reserve_exact(spare_capacity(len));
@@ -83,8 +83,8 @@
                 if len == self.values.capacity() {
                     self.values.reserve_exact(spare_capacity(len));
                 }
-                self.keys.insert(at, key);
-                self.values.insert(at, value);
+                self.keys.insert(index, key);
+                self.values.insert(index, value);
                 None
             }
             (Err(_), None) => None,
@@ -111,15 +111,15 @@
     Zones(Column<bool>),
 }
 
-/// Evaluates an expression on the column, whatever the type of its values.
+/// Evaluates an expression on the [`Column`] of an [`EntryColumn`], whatever the type of its values.
 macro_rules! with_column {
-    ($entries:expr, $column:ident => $does:expr) => {
+    ($entries:expr, $column:ident => $body:expr) => {
         match $entries {
-            EntryColumn::Hosts($column) => $does,
-            EntryColumn::Routes($column) => $does,
-            EntryColumn::Quotas($column) => $does,
-            EntryColumn::RetryPolicies($column) => $does,
-            EntryColumn::Zones($column) => $does,
+            EntryColumn::Hosts($column) => $body,
+            EntryColumn::Routes($column) => $body,
+            EntryColumn::Quotas($column) => $body,
+            EntryColumn::RetryPolicies($column) => $body,
+            EntryColumn::Zones($column) => $body,
         }
     };
 }
@@ -139,7 +139,8 @@
         self.at(self.keys().binary_search(&key).ok()?)
     }
 
-    /// Sets an entry of this kind, or removes one; returns the previous one.
+    /// Sets an entry of the column's kind, or removes the entry if `entry` is `None`. Returns the previous
+    /// entry.
     pub fn set(&mut self, key: Key, entry: Option<Entry>) -> Option<Entry> {
         match (self, entry) {
             (EntryColumn::Hosts(column), Some(Entry::Host(host))) => {
@@ -154,8 +155,8 @@
             (EntryColumn::RetryPolicies(column), Some(Entry::RetryPolicy(policy))) => {
                 column.set(key, Some(policy)).map(Entry::RetryPolicy)
             }
-            (EntryColumn::Zones(column), Some(Entry::Zone(serves))) => {
-                column.set(key, Some(serves)).map(Entry::Zone)
+            (EntryColumn::Zones(column), Some(Entry::Zone(in_service))) => {
+                column.set(key, Some(in_service)).map(Entry::Zone)
             }
             (column, _) => {
                 let previous = column.get(key);
@@ -165,18 +166,18 @@
         }
     }
 
-    fn at(&self, at: usize) -> Option<Entry> {
+    fn at(&self, index: usize) -> Option<Entry> {
         match self {
-            EntryColumn::Hosts(column) => column.values.get(at).map(|host| Entry::Host((*host).into())),
-            EntryColumn::Routes(column) => column.values.get(at).copied().map(Entry::Route),
-            EntryColumn::Quotas(column) => column.values.get(at).copied().map(Entry::Quota),
-            EntryColumn::RetryPolicies(column) => column.values.get(at).copied().map(Entry::RetryPolicy),
-            EntryColumn::Zones(column) => column.values.get(at).copied().map(Entry::Zone),
+            EntryColumn::Hosts(column) => column.values.get(index).map(|host| Entry::Host((*host).into())),
+            EntryColumn::Routes(column) => column.values.get(index).copied().map(Entry::Route),
+            EntryColumn::Quotas(column) => column.values.get(index).copied().map(Entry::Quota),
+            EntryColumn::RetryPolicies(column) => column.values.get(index).copied().map(Entry::RetryPolicy),
+            EntryColumn::Zones(column) => column.values.get(index).copied().map(Entry::Zone),
         }
     }
 
     pub fn entries(&self) -> impl Iterator<Item = (Key, Entry)> + '_ {
-        self.keys().iter().enumerate().filter_map(|(at, key)| Some((*key, self.at(at)?)))
+        self.keys().iter().enumerate().filter_map(|(index, key)| Some((*key, self.at(index)?)))
     }
 
     pub fn keys(&self) -> &[Key] {
--- a/replication/src/wire.rs
+++ b/replication/src/wire.rs
@@ -1,7 +1,8 @@
-//! The protocol between followers and lessors: messages, their frames, and counts of both.
+//! The protocol between followers and lessors: messages, their frames, and counters of both.
 //!
-//! A follower polls and a lessor responds; nothing is pushed. A poll carries everything that its response depends on, so
-//! responses may be lost, duplicated or late: a follower accepts only the response to its *last* poll.
+//! A follower polls and a lessor responds; a lessor never pushes. A poll carries everything that its response
+//! depends on, so responses may be lost, duplicated or late: a follower accepts only the response to its *last*
+//! poll.
 mod frame;
 mod message;
 mod traffic;
--- a/replication/src/wire/message.rs
+++ b/replication/src/wire/message.rs
@@ -5,155 +5,162 @@
 use crate::wire::Traffic;
 use serde::{Deserialize, Serialize};
 
-/// A process that polls. One that restarts without its state keeps its name and takes another incarnation.
+/// A process that polls. A process that restarts without its state keeps its name and takes another
+/// incarnation.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Member {
-    /// Its name.
+    /// The name of the process, which stays the same across restarts.
     pub name: String,
-    /// Distinguishes the starts of one name.
+    /// The number that distinguishes the starts of a process.
     pub incarnation: u64,
 }
 
-/// A position in a scope, whose entries are in the order of (revision that changed it, key): the last one received.
+/// A position in a scope, whose entries are in the order of (revision that last changed the entry, key): that
+/// of the last entry received.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Cursor {
-    /// The revision that changed the entry.
+    /// The revision that last changed the entry.
     pub revision: Revision,
-    /// Its key.
+    /// The key of the entry.
     pub key: u64,
 }
 
 impl Cursor {
-    /// The position after everything that was changed up to a revision.
+    /// Returns the position after everything that was changed up to a revision.
     pub fn after(revision: Revision) -> Self {
         Cursor { revision, key: u64::MAX }
     }
 }
 
-/// The scopes of which a follower has a complete copy; a lessor remembers them by member. The generation counts up with
-/// every change of this set.
+/// The scopes of which a follower has a complete copy, which a lessor remembers for each member. The generation
+/// counts up with every change of this set.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Subscription {
-    /// As the lessor remembers it.
+    /// The set is the one that the lessor remembers.
     Unchanged {
-        /// The generation that it remembers.
+        /// The generation that the lessor remembers.
         generation: u64,
     },
     /// Changes since an earlier generation.
     Delta {
-        /// The generation before. A lessor that remembers another one answers with its own, and does nothing else.
+        /// The generation that the changes apply to. A lessor that remembers another generation only responds
+        /// with that generation.
         from: u64,
-        /// The generation from now on.
+        /// The generation after the changes.
         generation: u64,
         /// Scopes that have become complete.
         added: Vec<Scope>,
         /// Scopes that are no longer followed, or no longer complete.
         removed: Vec<Scope>,
     },
-    /// All complete scopes.
+    /// The set of all complete scopes.
     Complete {
-        /// The generation from now on.
+        /// The generation of the set.
         generation: u64,
-        /// The scopes.
+        /// The complete scopes.
         scopes: Vec<Scope>,
     },
-    /// Every scope there is, as replicas have them.
+    /// The set of every scope there is, which replicas follow.
     AllScopes {
-        /// The generation from now on.
+        /// The generation of the set.
         generation: u64,
     },
 }
 
-/// A follower asks for a lease and for changes.
+/// A follower's request for a lease and for changes.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PollRequest {
-    /// Who asks.
+    /// The member that polls.
     pub member: Member,
-    /// Counts up; the response carries it back.
+    /// The sequence number of the poll, which counts up and is repeated in the response.
     pub sequence: u64,
-    /// The sequence of the last poll whose response has arrived, from any lessor; 0 for none.
+    /// The sequence number of the last poll whose response has arrived, from any lessor; 0 for none.
     pub acknowledged: u64,
-    /// The follower knows all revisions up to this one in every complete scope. Of a replica: the lowest such revision of
-    /// itself and of all who hold its leases.
+    /// The follower knows all revisions up to this one in every complete scope. A replica sends the lowest such
+    /// revision among itself and all holders of its leases.
     pub known: Revision,
-    /// The revision that the follower acts on, or acted on last. Of a replica: the lowest one, likewise.
+    /// The revision that the follower acts on, or acted on last. A replica sends the lowest such revision among
+    /// itself and all holders of its leases.
     pub in_force: Revision,
-    /// The scopes of which it has a complete copy.
+    /// The scopes of which the follower has a complete copy.
     pub subscription: Subscription,
-    /// Scopes to fetch, by descending priority, with the position that each has reached.
+    /// The scopes to fetch, by descending priority, with the position that the fetch of each scope has reached.
     pub fetch: Vec<(Scope, Cursor)>,
 }
 
 /// One entry in a [`ScopeChunk`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ChunkEntry {
-    /// The revision that changed it last.
+    /// The revision that last changed the entry.
     pub revision: Revision,
-    /// Its key.
+    /// The key of the entry.
     pub key: Key,
-    /// Its value; `None` for a tombstone.
+    /// The value of the entry; `None` for a tombstone.
     pub entry: Option<Entry>,
 }
 
 /// A part of a scope's content at the revision in force.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ScopeChunk {
-    /// The scope.
+    /// The scope that the entries belong to.
     pub scope: Scope,
-    /// Everything received of the scope before is void: this chunk is the first of a new fetch.
+    /// Whether this chunk is the first of a new fetch, which voids everything received of the scope before.
     pub restart: bool,
     /// Entries and tombstones in the order of (revision, key).
     pub entries: Vec<ChunkEntry>,
-    /// The digest of the scope, if this chunk completes it; `None` where more is to be fetched.
+    /// The digest of the scope if this chunk completes the scope; `None` if more chunks have to be fetched.
     pub final_digest: Option<Digest>,
 }
 
 /// The response to a poll.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PollResponse {
-    /// The request's sequence.
+    /// The sequence number of the request.
     pub sequence: u64,
-    /// The generation of the subscription that the lessor remembers. If it is not the follower's, the rest of the response
-    /// is void, and the next request has to carry the complete subscription.
+    /// The generation of the subscription that the lessor remembers. If the follower's generation differs, the
+    /// rest of the response is void, and the next request has to carry the complete subscription.
     pub generation: u64,
     /// How long the lease lasts from the moment of the request, in us of the follower's clock; 0 for no lease.
     pub lease_us: u64,
-    /// The revision in force. The lease is for it.
+    /// The revision in force, for which the lease is granted.
     pub in_force: Revision,
-    /// All revisions up to this one are in this response or were known before.
+    /// All revisions up to this one are in this response or were known to the follower before.
     pub through: Revision,
-    /// What has changed up to `in_force` in complete scopes, and chunks of scopes that are fetched.
+    /// The changes up to `in_force` in complete scopes, and chunks of the scopes that the request fetches.
     pub chunks: Vec<ScopeChunk>,
-    /// Complete scopes whose changes do not fit in this response. They are to be fetched from [`Cursor::after`] the revision
-    /// that the follower knew.
+    /// Complete scopes whose changes do not fit this response. The follower has to fetch these scopes from
+    /// [`Cursor::after`] the revision that it knew.
     pub stale: Vec<Scope>,
-    /// The revisions after `in_force` that the follower does not know, in its scopes; for scopes that this response
-    /// completes, all revisions after `in_force`. In order, each once, without those that change nothing for it.
+    /// The revisions after `in_force` that the follower does not know, with the changes in its scopes only; for
+    /// scopes that this response completes, all revisions after `in_force`. The revisions are in order, each
+    /// once, and revisions without a change for the follower are left out.
     pub pending: Vec<ChangeSet>,
 }
 
 /// The content of a frame.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Message {
-    /// From a follower.
+    /// A poll of a follower.
     PollRequest(PollRequest),
-    /// From a lessor.
+    /// The answer of a lessor to [`Message::PollRequest`].
     PollResponse(PollResponse),
-    /// From an admin client to the primary: changes that come into force in one revision.
+    /// A proposal of an admin client to the primary, whose changes come into force in one revision.
     Propose {
-        /// Chosen by the client; the answer carries it back.
+        /// The id that the client has chosen, which is repeated in the answer.
         proposal_id: u64,
-        /// The changes.
+        /// The changes that the client proposes.
         changes: Vec<Change>,
     },
-    /// From the primary, once the proposal is part of a revision or is rejected.
+    /// The answer of the primary to [`Message::Propose`], once the proposal is part of a revision or is
+    /// rejected.
     Proposed {
-        /// The proposal's id.
+        /// The id of the proposal that is answered.
         proposal_id: u64,
-        /// The revision that it is part of, which comes into force later; or why it was rejected.
+        /// The revision that the proposal is part of, which comes into force later, or the reason for the
+        /// rejection.
         revision: Result<Revision, String>,
     },
-    /// From anyone: asks for the status.
+    /// A request for the status of a control server, which any peer may send.
     GetStatus,
     /// The answer to [`Message::GetStatus`].
     Status(Status),
@@ -162,18 +169,18 @@
 /// The status of a control server.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Status {
-    /// The server's name.
+    /// The name of the control server.
     pub name: String,
-    /// The revision in force there.
+    /// The revision in force at the server.
     pub in_force: Revision,
-    /// The last revision that is known there.
+    /// The last revision that the server knows.
     pub through: Revision,
-    /// The digest of its state at the revision in force.
+    /// The digest of the server's state at the revision in force.
     pub digest: Digest,
-    /// How many members hold leases that it granted.
+    /// The number of members that hold leases granted by the server.
     pub followers: u64,
-    /// How long its own lease still lasts, in ms; `None` at the primary, which needs none.
+    /// The remaining time of the server's own lease, in ms; `None` at the primary, which needs no lease.
     pub lease_ms: Option<u64>,
-    /// Messages and bytes since its start.
+    /// The messages and bytes since the start of the server.
     pub traffic: Traffic,
 }
--- a/replication/tests/tables.rs
+++ b/replication/tests/tables.rs
@@ -1,4 +1,5 @@
-//! A gateway's tables against a map, and their snapshot on disk: it comes back as it was, and other bytes are refused.
+//! A gateway's tables compared with a map, and the encoding of their snapshot: a snapshot decodes to itself,
+//! and other bytes are rejected.
 use quickcheck::{quickcheck, Arbitrary, Gen};
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -22,10 +23,10 @@
 
 type Map = BTreeMap<(Scope, Key), Entry>;
 
-/// Any entry of any kind, with the ends of what a field may be among them.
+/// Returns a random entry of any kind.
 fn entry(g: &mut Gen) -> Entry {
-    let repeats = [RetryPolicy::Never, RetryPolicy::Within(u64::arbitrary(g)), RetryPolicy::Always];
-    let repeat = *g.choose(&repeats).expect("one");
+    let retry_policies = [RetryPolicy::Never, RetryPolicy::Within(u64::arbitrary(g)), RetryPolicy::Always];
+    let retry_policy = *g.choose(&retry_policies).expect("there are policies");
     let host = Host {
         address: SocketAddrV4::new(Ipv4Addr::from(u32::arbitrary(g)), u16::arbitrary(g)),
         zone: u16::arbitrary(g),
@@ -35,9 +36,9 @@
     };
     match u8::arbitrary(g) % 5 {
         0 => Entry::Host(host),
-        1 => Entry::Route(Route { class: u16::arbitrary(g), retry_policy: repeat }),
+        1 => Entry::Route(Route { class: u16::arbitrary(g), retry_policy }),
         2 => Entry::Quota(u32::arbitrary(g)),
-        3 => Entry::RetryPolicy(repeat),
+        3 => Entry::RetryPolicy(retry_policy),
         _ => Entry::Zone(bool::arbitrary(g)),
     }
 }
@@ -50,13 +51,13 @@
 
 impl Arbitrary for Step {
     fn arbitrary(g: &mut Gen) -> Self {
-        let scope = *g.choose(&SCOPES).expect("one");
+        let scope = *g.choose(&SCOPES).expect("there are scopes");
         if u8::arbitrary(g).is_multiple_of(50) {
             return Step::Clear(scope);
         }
         let key = if bool::arbitrary(g) { u64::from(u8::arbitrary(g) % 16) } else { u64::arbitrary(g) };
-        let fitting = std::iter::repeat_with(|| entry(g)).find(|entry| entry.fits(scope));
-        Step::Set(scope, Key(key), fitting.filter(|_| !u8::arbitrary(g).is_multiple_of(3)))
+        let entry = std::iter::repeat_with(|| entry(g)).find(|entry| entry.fits(scope));
+        Step::Set(scope, Key(key), entry.filter(|_| !u8::arbitrary(g).is_multiple_of(3)))
     }
 }
 
@@ -76,25 +77,25 @@
     }
 }
 
-fn of(map: &Map, scope: Scope) -> Vec<(Key, Entry)> {
+fn entries_of(map: &Map, scope: Scope) -> Vec<(Key, Entry)> {
     map.iter().filter(|((other, _), _)| *other == scope).map(|((_, key), entry)| (*key, *entry)).collect()
 }
 
-fn agrees(tables: &Tables, map: &Map) {
-    let mut sum = Digest::default();
+fn assert_tables_match(tables: &Tables, map: &Map) {
+    let mut total = Digest::default();
     for scope in SCOPES {
-        let held = of(map, scope);
+        let entries = entries_of(map, scope);
         let mut digest = Digest::default();
-        held.iter().for_each(|(key, entry)| digest.add(scope, *key, entry));
+        entries.iter().for_each(|(key, entry)| digest.add(scope, *key, entry));
         assert_eq!(tables.digest(scope), digest);
-        assert_eq!(tables.len(scope), held.len());
-        assert_eq!(tables.entries(scope).collect::<Vec<_>>(), held);
-        for (key, entry) in held {
+        assert_eq!(tables.len(scope), entries.len());
+        assert_eq!(tables.entries(scope).collect::<Vec<_>>(), entries);
+        for (key, entry) in entries {
             assert_eq!(tables.get(scope, key), Some(entry));
         }
-        sum.join(digest);
+        total.join(digest);
     }
-    assert_eq!(tables.total_digest(), sum);
+    assert_eq!(tables.total_digest(), total);
     let scopes: Vec<Scope> = SCOPES.into_iter().filter(|scope| tables.len(*scope) > 0).collect();
     assert_eq!(tables.scopes().collect::<Vec<_>>(), scopes);
     assert_eq!(tables.is_empty(), map.is_empty());
@@ -107,11 +108,11 @@
 }
 
 quickcheck! {
-    fn tables_are_as_a_map(steps: Vec<Step>) -> bool {
+    fn tables_match_a_map_after_random_steps(steps: Vec<Step>) -> bool {
         let (mut tables, mut map) = (Tables::new(), Map::new());
         for step in &steps {
             apply(step, &mut tables, &mut map);
-            agrees(&tables, &map);
+            assert_tables_match(&tables, &map);
             if let Step::Set(scope, key, _) = step {
                 assert_eq!(tables.get(*scope, *key), map.get(&(*scope, *key)).copied());
             }
@@ -120,109 +121,111 @@
         tables.is_empty() && tables.memory_bytes() == 0
     }
 
-    fn a_snapshot_comes_back(steps: Vec<Step>, known: u64) -> bool {
+    fn encoded_snapshot_decodes_to_itself(steps: Vec<Step>, known: u64) -> bool {
         let snapshot = snapshot(&steps, known);
-        let back = Snapshot::decode(&snapshot.encode().expect("bytes")).expect("a snapshot");
-        let digests = |s: &Snapshot| SCOPES.map(|scope| s.tables.digest(scope));
-        back == snapshot && digests(&back) == digests(&snapshot) && back.tables.memory_bytes() <= snapshot.tables.memory_bytes()
+        let decoded = Snapshot::decode(&snapshot.encode().expect("the snapshot is encodable")).expect("the snapshot is valid");
+        let digests = |snapshot: &Snapshot| SCOPES.map(|scope| snapshot.tables.digest(scope));
+        decoded == snapshot && digests(&decoded) == digests(&snapshot) && decoded.tables.memory_bytes() <= snapshot.tables.memory_bytes()
     }
 
-    fn a_cut_snapshot_is_refused(steps: Vec<Step>, at: usize) -> bool {
-        let bytes = snapshot(&steps, 9).encode().expect("bytes");
+    fn truncated_snapshot_is_rejected(steps: Vec<Step>, at: usize) -> bool {
+        let bytes = snapshot(&steps, 9).encode().expect("the snapshot is encodable");
         Snapshot::decode(&bytes[..at % bytes.len()]).is_err()
     }
 
-    fn a_snapshot_with_more_after_it_is_refused(steps: Vec<Step>, more: Vec<u8>) -> bool {
-        let mut bytes = snapshot(&steps, 9).encode().expect("bytes");
+    fn snapshot_with_trailing_bytes_is_rejected(steps: Vec<Step>, trailing: Vec<u8>) -> bool {
+        let mut bytes = snapshot(&steps, 9).encode().expect("the snapshot is encodable");
         let doubled = [bytes.clone(), bytes.clone()].concat();
-        bytes.extend(&more);
-        more.is_empty() == Snapshot::decode(&bytes).is_ok() && Snapshot::decode(&doubled).is_err()
+        bytes.extend(&trailing);
+        trailing.is_empty() == Snapshot::decode(&bytes).is_ok() && Snapshot::decode(&doubled).is_err()
     }
 
-    fn a_snapshot_with_swapped_bytes_is_refused(steps: Vec<Step>, a: usize, b: usize) -> bool {
-        let mut bytes = snapshot(&steps, 9).encode().expect("bytes");
+    fn snapshot_with_swapped_bytes_is_rejected(steps: Vec<Step>, a: usize, b: usize) -> bool {
+        let mut bytes = snapshot(&steps, 9).encode().expect("the snapshot is encodable");
         let before = bytes.clone();
         let (a, b) = (a % bytes.len(), b % bytes.len());
         bytes.swap(a, b);
         (bytes == before) == Snapshot::decode(&bytes).is_ok()
     }
 
-    fn a_snapshot_with_another_bit_is_refused(steps: Vec<Step>, at: usize, bit: u8) -> bool {
-        let mut bytes = snapshot(&steps, 9).encode().expect("bytes");
+    fn snapshot_with_a_flipped_bit_is_rejected(steps: Vec<Step>, at: usize, bit: u8) -> bool {
+        let mut bytes = snapshot(&steps, 9).encode().expect("the snapshot is encodable");
         let at = at % bytes.len();
         bytes[at] ^= 1 << (bit % 8);
         Snapshot::decode(&bytes).is_err()
     }
 
-    fn random_bytes_are_refused(bytes: Vec<u8>) -> bool {
-        // Behind a right header they reach the content, which may be a small snapshot by chance.
-        let whole = framed(&bytes);
-        let read = Snapshot::decode(&whole);
-        let fits = read.map_or(true, |snapshot| SCOPES.iter().all(|s| snapshot.tables.entries(*s).all(|(_, e)| e.fits(*s))));
-        Snapshot::decode(&bytes).is_err() && fits
+    fn random_bytes_are_rejected(bytes: Vec<u8>) -> bool {
+        // Bytes after a valid header are decoded as content, which may be a small valid snapshot by chance.
+        let file = framed(&bytes);
+        let read = Snapshot::decode(&file);
+        let entries_fit = read.map_or(true, |snapshot| SCOPES.iter().all(|scope| snapshot.tables.entries(*scope).all(|(_, entry)| entry.fits(*scope))));
+        Snapshot::decode(&bytes).is_err() && entries_fit
     }
 }
 
+/// Returns the content with a valid header in front.
 fn framed(content: &[u8]) -> Vec<u8> {
-    let mut whole = [&MAGIC[..], &[FORMAT_VERSION]].concat();
-    whole.extend(crc32fast::hash(content).to_be_bytes());
-    whole.extend(content);
-    whole
+    let mut file = [&MAGIC[..], &[FORMAT_VERSION]].concat();
+    file.extend(crc32fast::hash(content).to_be_bytes());
+    file.extend(content);
+    file
 }
 
-/// What is wrong with a snapshot of these entries.
-fn refused(scopes: &[(Scope, Vec<(Key, Entry)>)]) -> String {
-    let content = postcard::to_allocvec(&(9u64, 8u64, scopes)).expect("bytes");
-    Snapshot::decode(&framed(&content)).expect_err("not a snapshot").to_string()
+/// Returns the error for a snapshot with these entries.
+fn decode_error(scopes: &[(Scope, Vec<(Key, Entry)>)]) -> String {
+    let content = postcard::to_allocvec(&(9u64, 8u64, scopes)).expect("the content is encodable");
+    Snapshot::decode(&framed(&content)).expect_err("the content is invalid").to_string()
 }
 
 #[test]
-fn a_sum_that_is_right_does_not_make_a_snapshot() {
+fn invalid_content_with_a_valid_checksum_is_rejected() {
     let quota = |key| (Key(key), Entry::Quota(5));
-    let well = [(Scope::Tenants(1), vec![quota(1), quota(2)]), (Scope::Tenants(2), vec![quota(1)])];
-    let content = postcard::to_allocvec(&(9u64, 8u64, &well[..])).expect("bytes");
-    let read = Snapshot::decode(&framed(&content)).expect("a snapshot");
+    let valid = [(Scope::Tenants(1), vec![quota(1), quota(2)]), (Scope::Tenants(2), vec![quota(1)])];
+    let content = postcard::to_allocvec(&(9u64, 8u64, &valid[..])).expect("the content is encodable");
+    let read = Snapshot::decode(&framed(&content)).expect("the snapshot is valid");
     assert_eq!((read.known, read.in_force, read.tables.len(Scope::Tenants(1))), (9, 8, 2));
 
-    let mut wrong = vec![
+    let mut invalid = vec![
         vec![(Scope::Tenants(1), vec![quota(2), quota(1)])],
         vec![(Scope::Tenants(1), vec![quota(1), quota(1)])],
         vec![(Scope::Hosts(1), vec![quota(1)])],
         vec![(Scope::Tenants(1), vec![quota(1), (Key(2), Entry::Zone(true))])],
         vec![(Scope::Tenants(1), vec![])],
     ];
-    wrong.push(vec![well[1].clone(), well[0].clone()]);
-    wrong.push(vec![well[0].clone(), well[0].clone()]);
-    for scopes in wrong {
-        let told = refused(&scopes);
+    invalid.push(vec![valid[1].clone(), valid[0].clone()]);
+    invalid.push(vec![valid[0].clone(), valid[0].clone()]);
+    for scopes in invalid {
+        let message = decode_error(&scopes);
         assert!(
-            told.contains("expected scopes in order, each with entries that fit it"),
-            "{told} of {scopes:?}"
+            message.contains("expected scopes in order, each with entries that fit it"),
+            "unexpected error {message:?} for {scopes:?}"
         );
     }
-    let more = [&content[..], &[0]].concat();
+    let trailing = [&content[..], &[0]].concat();
     assert!(
-        matches!(Snapshot::decode(&framed(&more)), Err(SnapshotError::Content(what)) if what == "1 bytes too many")
+        matches!(Snapshot::decode(&framed(&trailing)), Err(SnapshotError::Content(reason)) if reason == "1 trailing bytes")
     );
-    // A length of 2^62 entries with nothing behind it takes no memory.
-    let long = [&content[..2], &[1, 4, 1], &[0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0x3f]].concat();
-    assert!(matches!(Snapshot::decode(&framed(&long)), Err(SnapshotError::Content(_))));
+    // A length of 2^62 entries without any entry must not reserve memory.
+    let huge_length =
+        [&content[..2], &[1, 4, 1], &[0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0x3f]].concat();
+    assert!(matches!(Snapshot::decode(&framed(&huge_length)), Err(SnapshotError::Content(_))));
 }
 
 #[test]
-fn a_snapshot_that_is_refused_says_what_was_expected() {
-    let bytes = snapshot(&[], 9).encode().expect("bytes");
-    let told = |bytes: &[u8]| Snapshot::decode(bytes).expect_err("refused").to_string();
-    assert_eq!(told(&bytes[..HEADER_BYTES - 1]), "a snapshot of 8 bytes, expected 9 at least");
-    assert_eq!(told(b"{\"hosts\": []}"), "not a snapshot: expected it to begin with \"tern\"");
-    assert_eq!(told(b"tern\x07and more"), "a snapshot of format 7, expected 1");
-    let mut other = bytes.clone();
-    other[HEADER_BYTES] ^= 1;
-    assert!(told(&other).starts_with("a snapshot whose bytes sum up to "), "{}", told(&other));
+fn error_of_a_rejected_snapshot_says_what_was_expected() {
+    let bytes = snapshot(&[], 9).encode().expect("the snapshot is encodable");
+    let error_text = |bytes: &[u8]| Snapshot::decode(bytes).expect_err("the bytes are rejected").to_string();
+    assert_eq!(error_text(&bytes[..HEADER_BYTES - 1]), "snapshot has 8 bytes, expected at least 9");
+    assert_eq!(error_text(b"{\"hosts\": []}"), "not a snapshot: expected the bytes to begin with \"tern\"");
+    assert_eq!(error_text(b"tern\x07and more"), "snapshot has format 7, expected 1");
+    let mut damaged = bytes.clone();
+    damaged[HEADER_BYTES] ^= 1;
+    assert!(error_text(&damaged).starts_with("snapshot has checksum "), "{}", error_text(&damaged));
 }
 
 #[test]
-fn an_entry_that_does_not_fit_its_scope_is_not_taken() {
+fn entry_that_does_not_fit_its_scope_is_ignored() {
     let mut tables = Tables::new();
     tables.set(Scope::Tenants(1), Key(1), 1, Some(Entry::Quota(5)));
     let before = tables.digest(Scope::Tenants(1));
@@ -233,29 +236,34 @@
     assert_eq!(tables.scopes().count(), 1);
 }
 
-/// Room for a sixteenth more, and one entry, at most; and after removals twice that.
+/// Spare capacity is at most a sixteenth of the entries and one more, and at most twice that after removals.
 #[test]
-fn memory_is_by_need_and_given_back() {
+fn memory_follows_the_number_of_entries() {
     let mut rng = ChaCha8Rng::seed_from_u64(5);
     let mut tables = Tables::new();
     let keys: Vec<Key> = (0..5000).map(|_| Key(rng.random())).collect();
     let scope = Scope::Tenants(1);
     tables.set(scope, Key(1), 1, Some(Entry::Quota(1)));
-    let around = tables.memory_bytes() - 12;
+    let overhead_bytes = tables.memory_bytes() - 12;
     tables.set(scope, Key(1), 1, None);
     assert_eq!(tables.memory_bytes(), 0);
     for (n, key) in keys.iter().enumerate() {
         tables.set(scope, *key, 1, Some(Entry::Quota(1)));
-        let bytes = tables.memory_bytes() - around;
-        assert!(bytes >= 12 * (n + 1) && bytes <= 12 * (n + 1 + n / 16), "{bytes} for {n}");
+        let bytes = tables.memory_bytes() - overhead_bytes;
+        assert!(bytes >= 12 * (n + 1) && bytes <= 12 * (n + 1 + n / 16), "{bytes} bytes after entry {n}");
     }
-    let bytes = Snapshot { known: 1, in_force: 1, tables: tables.clone() }.encode().expect("bytes");
-    let read = Snapshot::decode(&bytes).expect("a snapshot").tables;
-    assert_eq!(read.memory_bytes() - around, 12 * 5000);
+    let bytes = Snapshot { known: 1, in_force: 1, tables: tables.clone() }
+        .encode()
+        .expect("the snapshot is encodable");
+    let read = Snapshot::decode(&bytes).expect("the snapshot is valid").tables;
+    assert_eq!(read.memory_bytes() - overhead_bytes, 12 * 5000);
     for (n, key) in keys.iter().enumerate().take(4999) {
         tables.set(scope, *key, 1, None);
-        let (bytes, left) = (tables.memory_bytes() - around, 4999 - n);
-        assert!(bytes >= 12 * left && bytes <= 12 * (left + 2 * (left / 16 + 1)), "{bytes} for {left}");
+        let (bytes, left) = (tables.memory_bytes() - overhead_bytes, 4999 - n);
+        assert!(
+            bytes >= 12 * left && bytes <= 12 * (left + 2 * (left / 16 + 1)),
+            "{bytes} bytes for {left} entries"
+        );
     }
     tables.remove_scope(scope);
     assert_eq!(tables.memory_bytes(), 0);
