--- a/replication/tests/common/checker.rs
+++ b/replication/tests/common/checker.rs
@@ -1,4 +1,4 @@
-//! The leader's second step, and the invariants of the fleet.
+//! The steps of the leader, and the invariants of the fleet.
 use super::*;
 use ternstack_fault_tests::history::EventKind;
 use ternstack_fault_tests::invariants::{check, Guarantees, Invariant};
@@ -7,116 +7,136 @@
 use ternstack_replication::storage::Storage;
 
 impl Simulation {
-    /// The current leader creates revisions and brings them into force.
-    pub fn second_step(&mut self, now: f64) {
+    /// Lets the current leader create revisions and bring revisions into force.
+    pub fn advance_leader(&mut self, now: f64) {
         let leader = self.leaders.len() - 1;
-        let (primary, rate) = &mut self.leaders[leader];
-        let local = now * *rate;
-        let mut notes = Vec::new();
-        while let Some(PrimaryEvent::Agreed { revision: version, proposals }) = primary.batch(local) {
-            notes.extend(primary.store().pending_since(version - 1).cloned());
-            let since = self.proposed.iter().filter(|p| proposals.contains(&p.1)).map(|p| p.0);
-            self.open.insert(version, since.fold(f64::INFINITY, f64::min));
-            self.proposed.retain(|p| !proposals.contains(&p.1));
+        let (primary, clock_rate) = &mut self.leaders[leader];
+        let local_now = now * *clock_rate;
+        let mut change_sets = Vec::new();
+        while let Some(PrimaryEvent::Agreed { revision, proposals }) = primary.batch(local_now) {
+            change_sets.extend(primary.store().pending_since(revision - 1).cloned());
+            let proposed_at =
+                self.open_proposals.iter().filter(|open| proposals.contains(&open.1)).map(|open| open.0);
+            self.activating.insert(revision, proposed_at.fold(f64::INFINITY, f64::min));
+            self.open_proposals.retain(|open| !proposals.contains(&open.1));
         }
         let in_force = primary.store().in_force();
         let through = primary.store().through();
-        let ready = match self.setup.planted {
-            PlantedFault::Hurries => {
+        let ready = match self.setup.fault {
+            Fault::ActivatesEarly => {
                 let next = in_force + 1;
-                (primary.lessor().holders(local).all(|(_, progress)| progress.known >= next)
+                (primary.lessor().holders(local_now).all(|(_, progress)| progress.known >= next)
                     && through >= next)
                     .then_some(next)
             }
-            PlantedFault::SkipsFirstStep => (through > in_force).then_some(in_force + 1),
-            _ => primary.ready(local),
+            Fault::SkipsFirstStep => (through > in_force).then_some(in_force + 1),
+            _ => primary.ready(local_now),
         };
         if let Some(next) = ready {
-            // By what the leader knows, and by the actual state.
-            let holders = primary.lessor().holders(local);
+            // Lease holders are counted by the state of the leader, and by the actual state of the gateways.
+            let holders = primary.lessor().holders(local_now);
             let unknown = holders.filter(|(_, progress)| progress.known < next).count();
-            let truly = self.gateways.iter().filter(|g| {
-                let holds = now * g.process.rate < g.follower.lease_until();
-                holds && (g.follower.known() < next || g.follower.in_force() < in_force)
+            let actually_unknown = self.gateways.iter().filter(|gateway| {
+                let has_lease = now * gateway.process.clock_rate < gateway.follower.lease_until();
+                has_lease && (gateway.follower.known() < next || gateway.follower.in_force() < in_force)
             });
-            self.seen.unknown_at_force += (unknown + truly.count()) as u64;
+            self.observations.unknown_at_activation += (unknown + actually_unknown.count()) as u64;
             primary.advance_to(next);
-            self.forced.push((now, next));
+            self.activations.push((now, next));
         }
-        notes.into_iter().for_each(|v| self.note(v.revision, &v.changes));
+        change_sets.into_iter().for_each(|agreed| self.record_values(agreed.revision, &agreed.changes));
     }
 
-    /// What everybody acts on, as it changes.
-    pub fn watch(&mut self, now: f64, touched: Option<usize>) {
-        let long_ago = now - self.setup.config.max_conflict_ms().ceil();
-        let due = self.forced.iter().rev().find(|f| f.0 < long_ago).map_or(0, |f| f.1);
+    /// Checks all gateways, and records each change of the rules that a gateway acts on. The rules of the
+    /// gateway `touched` may change even if its lease does not.
+    pub fn check_gateways(&mut self, now: f64, touched: Option<usize>) {
+        let conflicts_since = now - self.setup.config.max_conflict_ms().ceil();
+        let due = self
+            .activations
+            .iter()
+            .rev()
+            .find(|activation| activation.0 < conflicts_since)
+            .map_or(0, |activation| activation.1);
         for n in 0..self.gateways.len() {
-            let g = &self.gateways[n];
-            let up = now >= g.process.asleep_until.max(g.process.down_until);
-            let local = now * g.process.rate;
-            let leased = up && local < g.follower.lease_until();
-            if up {
-                self.seen.stale += u64::from(leased && g.follower.in_force() < due);
-                self.seen.looks += 1;
-                let neutral = self.about.first().is_some_and(|about| {
-                    !matches!(g.follower.scope_mode(local, about.1), ScopeMode::InForce(_))
+            let gateway = &self.gateways[n];
+            let is_running = now >= gateway.process.paused_until.max(gateway.process.down_until);
+            let local_now = now * gateway.process.clock_rate;
+            let leased = is_running && local_now < gateway.follower.lease_until();
+            if is_running {
+                self.observations.stale_leases += u64::from(leased && gateway.follower.in_force() < due);
+                self.observations.checks += 1;
+                let conservative = self.watched.first().is_some_and(|subject| {
+                    !matches!(gateway.follower.scope_mode(local_now, subject.1), ScopeMode::InForce(_))
                 });
-                self.seen.neutral += u64::from(neutral);
+                self.observations.conservative_checks += u64::from(conservative);
             }
-            if leased == g.leased && touched != Some(n) && self.setup.planted != PlantedFault::IgnoresLease {
+            if leased == gateway.leased && touched != Some(n) && self.setup.fault != Fault::IgnoresLease {
                 continue;
             }
-            let shows = self.shows(n, local, up);
-            let g = &mut self.gateways[n];
-            g.leased = leased;
-            let before = std::mem::replace(&mut g.shown, shows);
+            let rules = self.applied_rules(n, local_now, is_running);
+            let gateway = &mut self.gateways[n];
+            gateway.leased = leased;
+            let before = std::mem::replace(&mut gateway.applied_rules, rules);
             let at_us = (now * 1000.0) as u64;
-            let gone = before.keys().filter(|about| !g.shown.contains_key(*about)).map(|about| (about, None));
-            let new = g.shown.iter().filter(|(about, rule)| before.get(*about) != Some(rule));
-            for (about, rule) in gone.chain(new.map(|(about, rule)| (about, Some(rule.clone())))) {
-                let kind = EventKind::RuleApplied { gateway: n, subject: about.clone(), rule };
+            let removed = before
+                .keys()
+                .filter(|subject| !gateway.applied_rules.contains_key(*subject))
+                .map(|subject| (subject, None));
+            let changed =
+                gateway.applied_rules.iter().filter(|(subject, rule)| before.get(*subject) != Some(rule));
+            for (subject, rule) in removed.chain(changed.map(|(subject, rule)| (subject, Some(rule.clone()))))
+            {
+                let kind = EventKind::RuleApplied { gateway: n, subject: subject.clone(), rule };
                 self.history.push(Event { at_us, kind });
             }
         }
-        let counted = self.gateways.iter().enumerate().filter(|(n, _)| !self.setup.excused.contains(n));
-        let least = counted.map(|(_, g)| if g.leased { g.follower.in_force() } else { 0 }).min().unwrap_or(0);
-        while let Some(first) = self.open.first_entry().filter(|first| *first.key() <= least) {
-            self.seen.in_force_ms = self.seen.in_force_ms.max(now - first.remove());
+        let counted =
+            self.gateways.iter().enumerate().filter(|(n, _)| !self.setup.excluded_gateways.contains(n));
+        let lowest = counted
+            .map(|(_, gateway)| if gateway.leased { gateway.follower.in_force() } else { 0 })
+            .min()
+            .unwrap_or(0);
+        while let Some(first) = self.activating.first_entry().filter(|first| *first.key() <= lowest) {
+            self.observations.longest_activation_ms =
+                self.observations.longest_activation_ms.max(now - first.remove());
         }
     }
 
-    /// What a gateway acts on: the version itself, and each entry that is watched.
-    fn shows(&mut self, n: usize, local: f64, up: bool) -> BTreeMap<String, String> {
-        let mut shows = BTreeMap::new();
-        if !up {
-            return shows;
+    /// Returns the rules that a gateway acts on: the revision, and the value of each watched entry.
+    fn applied_rules(&mut self, n: usize, local_now: f64, is_running: bool) -> BTreeMap<String, String> {
+        let mut rules = BTreeMap::new();
+        if !is_running {
+            return rules;
         }
-        let ignores = self.setup.planted == PlantedFault::IgnoresLease;
-        for (name, scope, key) in &self.about {
+        let ignores_lease = self.setup.fault == Fault::IgnoresLease;
+        for (name, scope, key) in &self.watched {
             let follower = &self.gateways[n].follower;
-            match follower.scope_mode(local, *scope) {
-                ScopeMode::InForce(number) => {
-                    let entry = follower.entry(local, *scope, *key);
-                    self.seen.untrue += u64::from(entry != self.truth(number, *scope, *key));
-                    shows.insert(name.clone(), format!("{entry:?}"));
-                    shows.insert("the version".into(), number.to_string());
+            match follower.scope_mode(local_now, *scope) {
+                ScopeMode::InForce(revision) => {
+                    let entry = follower.entry(local_now, *scope, *key);
+                    self.observations.wrong_entries +=
+                        u64::from(entry != self.expected_entry(revision, *scope, *key));
+                    rules.insert(name.clone(), format!("{entry:?}"));
+                    rules.insert("revision".into(), revision.to_string());
                 }
-                ScopeMode::Conservative if ignores && follower.in_force() > 0 => {
-                    shows.insert("the version".into(), follower.in_force().to_string());
+                ScopeMode::Conservative if ignores_lease && follower.in_force() > 0 => {
+                    rules.insert("revision".into(), follower.in_force().to_string());
                 }
                 _ => {}
             }
         }
-        shows
+        rules
     }
 
-    /// The longest that a version is on its way by now, in ms.
-    pub fn on_its_way_ms(&self) -> f64 {
-        self.open.values().fold(0.0, |most: f64, since| most.max(self.setup.length_ms - since))
+    /// Returns for how long the oldest revision that is not in force at all gateways has been waiting at the
+    /// end, in ms.
+    pub fn longest_pending_ms(&self) -> f64 {
+        self.activating.values().fold(0.0, |longest: f64, since| longest.max(self.setup.duration_ms - since))
     }
 
-    /// What the checker finds, and for how long members acted on different versions, in ms.
-    pub fn judge(&self) -> (usize, u64) {
+    /// Returns the number of violations of agreement in the history, and the longest time for which gateways
+    /// acted on different revisions, in ms.
+    pub fn check_history(&self) -> (usize, u64) {
         let guarantees = Guarantees {
             classes: vec![],
             max_attempts: 1,
@@ -129,55 +149,59 @@
             max_unavailable_count: self.setup.members,
             rate_limits: vec![],
         };
-        let broken = check(&self.history, &guarantees);
-        assert!(broken.iter().all(|o| o.invariant == Invariant::Agreement));
-        (broken.len(), longest(&self.history))
+        let violations = check(&self.history, &guarantees);
+        assert!(violations.iter().all(|violation| violation.invariant == Invariant::Agreement));
+        (violations.len(), longest_conflict_ms(&self.history))
     }
 
-    /// What is wrong after a quiet time: all have to hold leases, act on the last revision, and have the state of the primary.
+    /// Returns what is wrong after a period without faults: all gateways have to hold leases and act on the
+    /// last revision, and all members have to have the state of the primary.
     pub fn unsettled(&self) -> Vec<String> {
         let primary = self.leaders[self.leaders.len() - 1].0.store();
         let mut faults = Vec::new();
-        for (n, g) in self.gateways.iter().enumerate() {
-            let f = &g.follower;
-            if !g.leased || f.in_force() != primary.in_force() || !f.is_complete() {
+        for (n, gateway) in self.gateways.iter().enumerate() {
+            let follower = &gateway.follower;
+            if !gateway.leased || follower.in_force() != primary.in_force() || !follower.is_complete() {
                 faults.push(format!(
-                    "g{n}: leased {}, in force {} of {}, fetches {:?}",
-                    g.leased,
-                    f.in_force(),
+                    "g{n}: lease {}, revision {} in force, expected {}, fetching {:?}",
+                    gateway.leased,
+                    follower.in_force(),
                     primary.in_force(),
-                    f.fetching_scopes().collect::<Vec<_>>()
+                    follower.fetching_scopes().collect::<Vec<_>>()
                 ));
             }
-            for (scope, _) in f.complete_scopes().filter(|w| f.storage().digest(w.0) != primary.digest(w.0)) {
-                faults.push(format!("g{n}: another digest of {scope:?}"));
+            for (scope, _) in follower
+                .complete_scopes()
+                .filter(|complete| follower.storage().digest(complete.0) != primary.digest(complete.0))
+            {
+                faults.push(format!("g{n}: digest of {scope:?} differs from the primary's"));
             }
         }
-        for (n, b) in self.replicas.iter().enumerate() {
-            if b.replica.store().total_digest() != primary.total_digest() {
-                faults.push(format!("b{n}: another sum"));
+        for (n, replica_node) in self.replicas.iter().enumerate() {
+            if replica_node.replica.store().total_digest() != primary.total_digest() {
+                faults.push(format!("b{n}: total digest differs from the primary's"));
             }
-            if let Err(what) = b.replica.store().check() {
-                faults.push(format!("b{n}: {what}"));
+            if let Err(error) = replica_node.replica.store().check() {
+                faults.push(format!("b{n}: {error}"));
             }
         }
         faults
     }
 }
 
-/// The longest time in which members acted on different versions.
-fn longest(history: &[Event]) -> u64 {
-    let (mut acts, mut since, mut longest) = (BTreeMap::new(), None, 0);
+/// Returns the longest time for which gateways acted on different revisions, in ms.
+fn longest_conflict_ms(history: &[Event]) -> u64 {
+    let (mut revisions, mut since, mut longest) = (BTreeMap::new(), None, 0);
     for event in history {
-        let EventKind::RuleApplied { gateway, rule, subject: about } = &event.kind else { continue };
-        if about != "the version" {
+        let EventKind::RuleApplied { gateway, rule, subject } = &event.kind else { continue };
+        if subject != "revision" {
             continue;
         }
         match rule {
-            Some(rule) => drop(acts.insert(*gateway, rule.clone())),
-            None => drop(acts.remove(gateway)),
+            Some(rule) => drop(revisions.insert(*gateway, rule.clone())),
+            None => drop(revisions.remove(gateway)),
         }
-        let differ = acts.values().collect::<std::collections::BTreeSet<_>>().len() > 1;
+        let differ = revisions.values().collect::<std::collections::BTreeSet<_>>().len() > 1;
         match (differ, since) {
             (true, None) => since = Some(event.at_us),
             (false, Some(from)) => {
--- a/replication/tests/common/mod.rs
+++ b/replication/tests/common/mod.rs
@@ -1,6 +1,7 @@
-//! A simulated fleet in virtual time: a primary whose consensus is an oracle (one order, one leader at a time, which learns of
-//! its replacement only when it asks for confirmation), replicas, gateways, and their faults.
-#![allow(dead_code)] // Each test file uses a part of it.
+//! A simulated fleet in virtual time: a primary, replicas, gateways, and their faults. The consensus is an
+//! oracle: there is one order of revisions and one leader at a time, and a replaced leader learns of its
+//! replacement only when it asks for confirmation.
+#![allow(dead_code)] // Each test file uses only a part of this module.
 use rand_chacha::ChaCha8Rng;
 use std::collections::{BTreeMap, BinaryHeap};
 use ternstack_fault_tests::history::Event;
@@ -15,42 +16,43 @@
 mod checker;
 mod simulation;
 
-/// A fault that is planted in a node, and has to be detected.
+/// A fault that a test injects into a node so that the checks have to detect the fault.
 #[derive(Clone, Copy, PartialEq, Debug)]
-pub enum PlantedFault {
-    Nothing,
-    /// A member acts on although its lease has run out.
+pub enum Fault {
+    /// No fault is injected.
+    None,
+    /// A gateway acts on its entries although its lease has expired.
     IgnoresLease,
-    /// The leader brings a revision into force before all lease holders know it.
+    /// The leader brings a revision into force before all lease holders know the revision.
     SkipsFirstStep,
-    /// A new leader does not wait until the leases of the previous one have expired.
-    TakesOverAtOnce,
-    /// The leader does not wait for members that act on the revision before.
-    Hurries,
-    /// A leader that was replaced goes on granting.
-    Unconfirmed,
-    /// A replica hands on leases that are longer than its own.
-    HandsOnLonger,
-    /// A replica says what it knows itself, and not what its followers do.
-    SpeaksForItself,
-    /// A replica goes on granting after its own lease is over.
-    OutlivesLease,
-    /// A follower takes the answer to an earlier ask for that to its last.
-    TakesEarlier,
-    /// Removed entries are left out of pieces.
+    /// A new leader does not wait until the leases of the previous leader have expired.
+    LeadsEarly,
+    /// The leader does not wait for lease holders that still act on the previous revision.
+    ActivatesEarly,
+    /// A replaced leader continues to response leases, because its leadership is confirmed regardless.
+    GrantsUnconfirmed,
+    /// A replica grants leases that are longer than its own lease.
+    GrantsLongerLease,
+    /// A replica reports its own progress instead of the lowest progress among itself and its followers.
+    ReportsOwnProgress,
+    /// A replica continues to response leases after its own lease has expired.
+    GrantsUnleased,
+    /// A gateway accepts the response to an earlier poll as the response to its last poll.
+    AcceptsEarlierResponse,
+    /// Tombstones are left out of chunks.
     SkipsTombstones,
-    /// Versions to come that were known before are left out for a scope that is whole only now.
+    /// Pending revisions that the follower knows already are left out for a scope that the response completes.
     SkipsPending,
 }
 
-/// A process of the fleet that may fail.
+/// A process of the fleet that may fail, by its index.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Node {
     Gateway(usize),
     Replica(usize),
 }
 
-/// In which direction a link is cut.
+/// The direction in which a link is cut.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CutDirection {
     Both,
@@ -58,33 +60,37 @@
     Responses,
 }
 
-/// An event of the simulation: a message arrives, a timer fires, or a fault happens.
+/// An event of the simulation: a message arrives_at, a timer fires, or a fault happens.
 #[derive(Clone, Debug)]
 pub enum SimEvent {
-    /// A node's next poll may be due.
+    /// The next poll of a node may be due.
     PollDue(Node),
-    /// A poll arrives at the n-th leader.
+    /// A poll arrives_at at the leader of this index, in the order of leadership.
     PollAtPrimary(usize, u64, PollRequest),
-    /// A poll arrives at an incarnation of a replica.
+    /// A poll arrives_at at the replica of this index, addressed to this incarnation.
     PollAtReplica(usize, u64, PollRequest),
-    /// A response arrives at an incarnation of a node, from an incarnation of its lessor.
+    /// A response arrives_at at a node, addressed to this incarnation; the second number is the incarnation of
+    /// its lessor.
     Response(Node, u64, u64, PollResponse),
+    /// The current leader receives these proposals.
     Propose(Vec<Vec<Change>>),
+    /// Another leader replaces the current one.
     NewLeader,
-    /// A node is suspended for so many ms.
+    /// A node is suspended for this many ms.
     Pause(Node, f64),
-    /// A node restarts, and is down for so many ms.
+    /// A node restarts, and is down for this many ms.
     Restart(Node, f64),
-    /// A node's link is cut for so many ms.
+    /// The link from a node to its lessor is cut for this many ms.
     Cut(Node, CutDirection, f64),
-    /// A gateway moves to its next replica.
+    /// A gateway moves to the next replica in its order.
     Reconnect(usize),
-    /// A gateway subscribes to a scope, or unsubscribes.
+    /// A gateway subscribes to a scope if the flag is true, and unsubscribes otherwise.
     Subscribe(usize, Scope, bool),
     /// The invariants are checked.
     Check,
 }
 
+/// An event with its time in ms and its serial number; the earliest event comes first in a [`BinaryHeap`].
 struct Scheduled(f64, u64, SimEvent);
 impl PartialEq for Scheduled {
     fn eq(&self, other: &Self) -> bool {
@@ -103,31 +109,34 @@
     }
 }
 
-/// A process: its incarnation, clock, and faults.
+/// A process: its incarnation, clock, and faults. Times are in ms of true time.
 #[derive(Clone, Debug)]
 pub struct Process {
     pub incarnation: u64,
-    pub rate: f64, // Of its clock.
-    pub asleep_until: f64,
+    /// How fast the process's clock runs in relation to true time.
+    pub clock_rate: f64,
+    pub paused_until: f64,
     pub down_until: f64,
-    pub cut_asks_until: f64,
-    pub cut_answers_until: f64,
-    late_until: f64, // It polls the previous leader.
-    wakes_at: f64,   // To ask.
+    pub requests_cut_until: f64,
+    pub responses_cut_until: f64,
+    /// Until when the process polls the previous leader.
+    polls_old_leader_until: f64,
+    /// When the process next checks whether a poll is due.
+    next_poll_check_at: f64,
 }
 
 impl Process {
-    fn new(rate: f64) -> Self {
+    fn new(clock_rate: f64) -> Self {
         let never = 0.0;
         Process {
             incarnation: 0,
-            rate,
-            asleep_until: never,
+            clock_rate,
+            paused_until: never,
             down_until: never,
-            cut_asks_until: never,
-            cut_answers_until: never,
-            late_until: never,
-            wakes_at: never,
+            requests_cut_until: never,
+            responses_cut_until: never,
+            polls_old_leader_until: never,
+            next_poll_check_at: never,
         }
     }
 }
@@ -135,12 +144,18 @@
 pub struct Gateway {
     pub process: Process,
     pub follower: Follower<Tables>,
-    pub order: Vec<usize>, // Of replicas; empty without replicas.
-    pub at: usize,
-    renewed: f64,
-    shown: BTreeMap<String, String>,
+    /// The indices of replicas in the order in which the gateway calls them; empty without replicas.
+    pub replica_order: Vec<usize>,
+    /// The index in `replica_order` of the replica that the gateway polls.
+    pub position: usize,
+    /// When the gateway last got a lease or moved to another replica, in ms of its own clock.
+    last_renewal_at: f64,
+    /// The rules that the gateway acted on at the last check, by subject.
+    applied_rules: BTreeMap<String, String>,
+    /// Whether the gateway held a lease at the last check.
     leased: bool,
-    earlier: Option<PollResponse>,
+    /// The last response, which [`Fault::AcceptsEarlierResponse`] applies again.
+    earlier_response: Option<PollResponse>,
 }
 
 pub struct ReplicaNode {
@@ -148,62 +163,87 @@
     pub replica: Replica,
 }
 
-/// What was observed in a run.
+/// Counters and times that a run has observed.
 #[derive(Debug, Default)]
 pub struct Observations {
-    pub versions: u64,
-    pub neutral: u64,
-    pub looks: u64,
-    pub unknown_at_force: u64,
-    pub went_back: u64,
-    pub untrue: u64,
-    pub stale: u64,
-    pub restarted: u64,
-    pub fell_behind: u64,
-    pub past: u64,
-    pub in_force_ms: f64,
-}
-
-/// The setup of a run.
+    /// The last revision that came into force.
+    pub revisions: u64,
+    /// Checks at which a gateway did not act on a revision in force for the first watched subject.
+    pub conservative_checks: u64,
+    /// Checks of running gateways.
+    pub checks: u64,
+    /// Lease holders that did not know a revision when the revision came into force.
+    pub unknown_at_activation: u64,
+    /// Responses after which a gateway knew, or acted on, an older revision than before.
+    pub regressions: u64,
+    /// Entries that a gateway acted on and that differ from the entries of its revision.
+    pub wrong_entries: u64,
+    /// Lease holders that acted on a revision that was replaced longer ago than conflicts may last.
+    pub stale_leases: u64,
+    /// Scopes that were restarted, because their digest differed.
+    pub restarted_scopes: u64,
+    /// Scopes that became stale.
+    pub stale_scopes: u64,
+    /// Responses that were rejected as outdated.
+    pub outdated_responses: u64,
+    /// The longest time from a proposal until its revision was in force at all gateways, in ms.
+    pub longest_activation_ms: f64,
+}
+
+/// The settings of a run.
 #[derive(Clone, Debug)]
 pub struct Setup {
     pub config: LeaseConfig,
     pub seed: u64,
+    /// The number of gateways.
     pub members: usize,
     pub replicas: usize,
-    pub length_ms: f64,
-    pub loss: f64,
-    pub doubled: f64,
-    pub delay_ms: f64,
-    /// From then on nothing is lost, duplicated, or sent to a replaced leader.
-    pub calm_from_ms: f64,
-    /// How long a node may poll a leader that was replaced, in ms; 0 if it is drawn for each poll.
-    pub late_ms: f64,
-    /// Members that restart have a snapshot every other time.
+    /// The duration of the run, in ms of virtual time.
+    pub duration_ms: f64,
+    /// The probability with which a message is lost.
+    pub loss_probability: f64,
+    /// The probability with which a response is duplicated.
+    pub duplicate_probability: f64,
+    /// The longest delay of a message, in ms.
+    pub max_delay_ms: f64,
+    /// From this time on, in ms, no message is lost, duplicated, or sent to a replaced leader.
+    pub faults_end_ms: f64,
+    /// The longest time for which a node may poll a replaced leader, in ms; if 0, chance decides for each poll.
+    pub max_old_leader_ms: f64,
+    /// Whether a gateway restarts from a snapshot with a probability of one half.
     pub snapshots: bool,
-    pub planted: PlantedFault,
-    /// Gateways whose time to bring versions into force does not count.
-    pub excused: Vec<usize>,
+    pub fault: Fault,
+    /// Gateways that are not counted in the time until a revision is in force everywhere.
+    pub excluded_gateways: Vec<usize>,
 }
 
-/// What a version says of a key.
-type Said = (Revision, Option<Entry>);
+/// A value that a revision gives to a key.
+type RevisedValue = (Revision, Option<Entry>);
 
+/// A simulated fleet. Times are in ms of true time.
 pub struct Simulation {
     pub setup: Setup,
     pub rng: ChaCha8Rng,
     pub gateways: Vec<Gateway>,
     pub replicas: Vec<ReplicaNode>,
+    /// All leaders in the order of their leadership, each with the speed of its clock in relation to true time.
     pub leaders: Vec<(Primary, f64)>,
     pub history: Vec<Event>,
-    pub seen: Observations,
-    pub about: Vec<(String, Scope, Key)>,
+    pub observations: Observations,
+    /// The entries that are watched: the name of the subject, its scope and its key.
+    pub watched: Vec<(String, Scope, Key)>,
     queue: BinaryHeap<Scheduled>,
-    serial: u64,
-    truth: BTreeMap<(Scope, Key), Vec<Said>>,
-    forced: Vec<(f64, Revision)>,  // When which version came into force.
-    proposed: Vec<(f64, u64)>,     // When, and its id at this leader.
-    open: BTreeMap<Revision, f64>, // Versions not yet in force everywhere, and their first proposal.
+    /// The serial number of the last scheduled event.
+    last_serial: u64,
+    /// The values of each key, by the revision that set them.
+    values: BTreeMap<(Scope, Key), Vec<RevisedValue>>,
+    /// When each revision came into force.
+    activations: Vec<(f64, Revision)>,
+    /// When each proposal was made that is not part of a revision yet, with the proposal's id at the current
+    /// leader.
+    open_proposals: Vec<(f64, u64)>,
+    /// Revisions that are not yet in force at all gateways, with the time of the first proposal of each.
+    activating: BTreeMap<Revision, f64>,
 }
 
 pub fn tenant(name: &str) -> (Scope, Key) {
@@ -211,16 +251,16 @@
     (Scope::of_tenant(key), key)
 }
 
-fn member(who: Node, incarnation: u64) -> Member {
-    let name = match who {
+fn member(node: Node, incarnation: u64) -> Member {
+    let name = match node {
         Node::Gateway(n) => format!("g{n}"),
         Node::Replica(n) => format!("b{n}"),
     };
     Member { name, incarnation }
 }
 
-fn gateway(who: Node) -> Option<usize> {
-    match who {
+fn gateway_index(node: Node) -> Option<usize> {
+    match node {
         Node::Gateway(n) => Some(n),
         Node::Replica(_) => None,
     }
--- a/replication/tests/common/simulation.rs
+++ b/replication/tests/common/simulation.rs
@@ -1,4 +1,4 @@
-//! What happens in the fleet.
+//! The events of the simulated fleet.
 use super::*;
 use rand::{RngExt, SeedableRng};
 use ternstack_replication::follower::{FollowerEvent, ResponseError};
@@ -7,27 +7,30 @@
 use ternstack_replication::store::Store;
 
 impl Simulation {
-    /// A fleet with the first version in force; its rng has drawn the clocks of members, in their order.
-    pub fn new(setup: Setup, first: Vec<Change>, wants: impl Fn(usize) -> Vec<Scope>) -> Simulation {
+    /// Creates a fleet with the first revision in force. The random generator draws the speeds of all clocks
+    /// first, in the order of the members.
+    pub fn new(
+        setup: Setup, initial_changes: Vec<Change>, subscriptions: impl Fn(usize) -> Vec<Scope>,
+    ) -> Simulation {
         let config = setup.config;
         let mut rng = ChaCha8Rng::seed_from_u64(setup.seed);
         let mut store = Store::new();
-        store.add_pending(ChangeSet { revision: 1, changes: first.clone() });
+        store.add_pending(ChangeSet { revision: 1, changes: initial_changes.clone() });
         store.advance_to(1);
         let gateways = (0..setup.members).map(|n| {
             let mut follower = Follower::new(config, member(Node::Gateway(n), 0), Tables::new());
-            wants(n).into_iter().for_each(|scope| follower.subscribe(scope, 1.0));
+            subscriptions(n).into_iter().for_each(|scope| follower.subscribe(scope, 1.0));
             Gateway {
                 process: Process::new(
                     1.0 + rng.random_range(-config.clock_drift_ratio..=config.clock_drift_ratio),
                 ),
                 follower,
-                order: (0..setup.replicas).map(|m| (n + m) % setup.replicas).collect(),
-                at: 0,
-                renewed: 0.0,
-                shown: BTreeMap::new(),
+                replica_order: (0..setup.replicas).map(|m| (n + m) % setup.replicas).collect(),
+                position: 0,
+                last_renewal_at: 0.0,
+                applied_rules: BTreeMap::new(),
                 leased: false,
-                earlier: None,
+                earlier_response: None,
             }
         });
         let gateways: Vec<Gateway> = gateways.collect();
@@ -38,201 +41,206 @@
             replica: Replica::new(config, member(Node::Replica(n), 0), 0.0),
         });
         let replicas = replicas.collect();
-        let mut world = Simulation {
+        let mut simulation = Simulation {
             gateways,
             replicas,
             leaders: vec![(Primary::new(config, 0.0, 1, store), 1.0)],
             history: Vec::new(),
-            seen: Observations::default(),
-            about: Vec::new(),
+            observations: Observations::default(),
+            watched: Vec::new(),
             queue: BinaryHeap::new(),
-            serial: 0,
-            truth: BTreeMap::new(),
-            forced: vec![(f64::NEG_INFINITY, 1)],
-            proposed: Vec::new(),
-            open: BTreeMap::new(),
+            last_serial: 0,
+            values: BTreeMap::new(),
+            activations: vec![(f64::NEG_INFINITY, 1)],
+            open_proposals: Vec::new(),
+            activating: BTreeMap::new(),
             rng,
             setup,
         };
-        world.note(1, &first);
-        world
+        simulation.record_values(1, &initial_changes);
+        simulation
     }
 
-    pub fn add(&mut self, at: f64, moment: SimEvent) {
-        self.serial += 1;
-        self.queue.push(Scheduled(at, self.serial, moment));
+    /// Schedules an event at a time in ms.
+    pub fn schedule(&mut self, at: f64, event: SimEvent) {
+        self.last_serial += 1;
+        self.queue.push(Scheduled(at, self.last_serial, event));
     }
 
-    /// Somebody looks whether its ask is due, at that time and no other.
-    fn wakes(&mut self, who: Node, at: f64) {
-        self.process(who).wakes_at = at;
-        self.add(at, SimEvent::PollDue(who));
+    /// Schedules the next check of whether a node's poll is due, which replaces the check scheduled before.
+    fn schedule_poll(&mut self, node: Node, at: f64) {
+        self.process(node).next_poll_check_at = at;
+        self.schedule(at, SimEvent::PollDue(node));
     }
 
-    /// The first asks of all.
-    pub fn begin(&mut self) {
+    /// Schedules the first polls of all nodes, and the checks of the invariants.
+    pub fn start(&mut self) {
         for n in 0..self.gateways.len() {
             let at = self.rng.random_range(0.0..400.0);
-            self.wakes(Node::Gateway(n), at);
+            self.schedule_poll(Node::Gateway(n), at);
         }
         for n in 0..self.replicas.len() {
-            self.wakes(Node::Replica(n), 0.0);
+            self.schedule_poll(Node::Replica(n), 0.0);
         }
-        for n in 0..(self.setup.length_ms / 25.0) as u32 {
-            self.add(f64::from(n) * 25.0, SimEvent::Check);
+        for n in 0..(self.setup.duration_ms / 25.0) as u32 {
+            self.schedule(f64::from(n) * 25.0, SimEvent::Check);
         }
     }
 
-    pub fn process(&mut self, who: Node) -> &mut Process {
-        match who {
+    pub fn process(&mut self, node: Node) -> &mut Process {
+        match node {
             Node::Gateway(n) => &mut self.gateways[n].process,
             Node::Replica(n) => &mut self.replicas[n].process,
         }
     }
 
-    pub fn note(&mut self, number: Revision, changes: &[Change]) {
-        for c in changes {
-            self.truth.entry((c.scope, c.key)).or_default().push((number, c.entry));
+    /// Records the values that a revision gives to keys.
+    pub fn record_values(&mut self, revision: Revision, changes: &[Change]) {
+        for change in changes {
+            self.values.entry((change.scope, change.key)).or_default().push((revision, change.entry));
         }
     }
 
-    /// What a version says of a key.
-    pub fn truth(&self, number: Revision, scope: Scope, key: Key) -> Option<Entry> {
-        let all = self.truth.get(&(scope, key))?;
-        all.iter().rev().find(|(n, _)| *n <= number).and_then(|(_, entry)| *entry)
+    /// Returns the value of a key at a revision.
+    pub fn expected_entry(&self, revision: Revision, scope: Scope, key: Key) -> Option<Entry> {
+        let values = self.values.get(&(scope, key))?;
+        values.iter().rev().find(|(set_at, _)| *set_at <= revision).and_then(|(_, entry)| *entry)
     }
 
-    /// Plays to the end of its length.
+    /// Runs the simulation to the end of its duration.
     pub fn run(&mut self) {
-        while let Some(Scheduled(now, _, moment)) = self.queue.pop() {
-            if now > self.setup.length_ms {
+        while let Some(Scheduled(now, _, event)) = self.queue.pop() {
+            if now > self.setup.duration_ms {
                 break;
             }
-            let touched = self.happens(now, moment);
-            self.second_step(now);
-            self.watch(now, touched);
+            let touched = self.handle(now, event);
+            self.advance_leader(now);
+            self.check_gateways(now, touched);
         }
-        self.seen.versions = self.leaders[self.leaders.len() - 1].0.store().in_force();
+        self.observations.revisions = self.leaders[self.leaders.len() - 1].0.store().in_force();
     }
 
-    /// One moment; the gateway that it touched.
-    fn happens(&mut self, now: f64, moment: SimEvent) -> Option<usize> {
+    /// Handles an event, and returns the gateway whose state the event may have changed.
+    fn handle(&mut self, now: f64, event: SimEvent) -> Option<usize> {
         let config = self.setup.config;
-        match moment {
-            SimEvent::PollDue(who) => self.asks(now, who),
-            SimEvent::PollAtPrimary(to, _, ask) => {
-                let newest = to + 1 == self.leaders.len();
-                let planted = self.setup.planted;
-                let (primary, rate) = &mut self.leaders[to];
-                let local = now * *rate;
+        match event {
+            SimEvent::PollDue(node) => self.send_due_poll(now, node),
+            SimEvent::PollAtPrimary(to, _, request) => {
+                let is_current = to + 1 == self.leaders.len();
+                let fault = self.setup.fault;
+                let (primary, clock_rate) = &mut self.leaders[to];
+                let local_now = now * *clock_rate;
                 // A majority confirms only the current leader.
-                if newest || planted == PlantedFault::Unconfirmed {
-                    primary.confirm_leadership(local);
+                if is_current || fault == Fault::GrantsUnconfirmed {
+                    primary.confirm_leadership(local_now);
                 }
-                if let Some(grant) = primary.handle_poll(local, &ask) {
-                    self.answer(now, &ask, 0, grant);
+                if let Some(response) = primary.handle_poll(local_now, &request) {
+                    self.send_response(now, &request, 0, response);
                 }
             }
-            SimEvent::PollAtReplica(to, incarnation, ask) => {
-                let b = &mut self.replicas[to];
-                if now < b.process.asleep_until {
-                    let wakes = b.process.asleep_until;
-                    self.add(wakes, SimEvent::PollAtReplica(to, incarnation, ask));
-                } else if incarnation == b.process.incarnation && now >= b.process.down_until {
-                    let local = now * b.process.rate;
-                    if let Some(mut grant) = b.replica.handle_poll(local, &ask) {
+            SimEvent::PollAtReplica(to, incarnation, request) => {
+                let replica_node = &mut self.replicas[to];
+                if now < replica_node.process.paused_until {
+                    let resumes_at = replica_node.process.paused_until;
+                    self.schedule(resumes_at, SimEvent::PollAtReplica(to, incarnation, request));
+                } else if incarnation == replica_node.process.incarnation
+                    && now >= replica_node.process.down_until
+                {
+                    let local_now = now * replica_node.process.clock_rate;
+                    if let Some(mut response) = replica_node.replica.handle_poll(local_now, &request) {
                         let lease_us = (config.lease_ms * 1000.0) as u64;
-                        match self.setup.planted {
-                            PlantedFault::HandsOnLonger if grant.lease_us > 0 => grant.lease_us = lease_us,
-                            PlantedFault::OutlivesLease if grant.lease_us == 0 => grant.lease_us = lease_us,
+                        match self.setup.fault {
+                            Fault::GrantsLongerLease if response.lease_us > 0 => response.lease_us = lease_us,
+                            Fault::GrantsUnleased if response.lease_us == 0 => response.lease_us = lease_us,
                             _ => {}
                         }
-                        let due = b.replica.next_poll(local) / b.process.rate;
-                        self.wakes(Node::Replica(to), due.max(now) + 0.001);
-                        self.answer(now, &ask, incarnation, grant);
+                        let due = replica_node.replica.next_poll(local_now) / replica_node.process.clock_rate;
+                        self.schedule_poll(Node::Replica(to), due.max(now) + 0.001);
+                        self.send_response(now, &request, incarnation, response);
                     }
                 }
             }
-            SimEvent::Response(who, incarnation, from, grant) => {
-                return self.handle_response(now, who, incarnation, from, grant)
+            SimEvent::Response(node, incarnation, from, response) => {
+                return self.handle_response(now, node, incarnation, from, response)
             }
-            SimEvent::Propose(all) => {
+            SimEvent::Propose(proposals) => {
                 let leader = self.leaders.len() - 1;
-                for changes in all {
+                for changes in proposals {
                     let proposer = Proposer { name: "staff".into(), proposed_ms: 0 };
-                    let number = self.leaders[leader].0.propose(proposer, changes).expect("it fits");
-                    self.proposed.push((now, number));
+                    let proposal_id =
+                        self.leaders[leader].0.propose(proposer, changes).expect("the proposal is valid");
+                    self.open_proposals.push((now, proposal_id));
                 }
                 let due = self.leaders[leader].0.next_tick().unwrap_or(now) / self.leaders[leader].1;
-                self.add(due.max(now) + 0.001, SimEvent::Check);
+                self.schedule(due.max(now) + 0.001, SimEvent::Check);
             }
             SimEvent::NewLeader => {
-                let rate = 1.0 + self.rng.random_range(-config.clock_drift_ratio..=config.clock_drift_ratio);
-                let begins =
-                    if self.setup.planted == PlantedFault::TakesOverAtOnce { -1e9 } else { now * rate };
+                let clock_rate =
+                    1.0 + self.rng.random_range(-config.clock_drift_ratio..=config.clock_drift_ratio);
+                let leads_since = if self.setup.fault == Fault::LeadsEarly { -1e9 } else { now * clock_rate };
                 let epoch = self.leaders.len() as u64 + 1;
                 let store = self.leaders[self.leaders.len() - 1].0.store().clone();
-                self.leaders.push((Primary::new(config, begins, epoch, store), rate));
-                self.proposed.clear();
+                self.leaders.push((Primary::new(config, leads_since, epoch, store), clock_rate));
+                self.open_proposals.clear();
                 for n in 0..self.replicas.len() {
-                    let late_ms = self.rng.random_range(0.0..=self.setup.late_ms);
-                    self.replicas[n].process.late_until = now + late_ms;
+                    let old_leader_ms = self.rng.random_range(0.0..=self.setup.max_old_leader_ms);
+                    self.replicas[n].process.polls_old_leader_until = now + old_leader_ms;
                 }
             }
-            SimEvent::Pause(who, for_ms) => self.process(who).asleep_until = now + for_ms,
-            SimEvent::Restart(who, for_ms) => {
-                let process = self.process(who);
+            SimEvent::Pause(node, for_ms) => self.process(node).paused_until = now + for_ms,
+            SimEvent::Restart(node, for_ms) => {
+                let process = self.process(node);
                 process.incarnation += 1;
-                process.asleep_until = 0.0;
+                process.paused_until = 0.0;
                 process.down_until = now + for_ms;
-                let (incarnation, rate) = (process.incarnation, process.rate);
-                match who {
+                let (incarnation, clock_rate) = (process.incarnation, process.clock_rate);
+                match node {
                     Node::Gateway(n) => {
-                        let kept = self.setup.snapshots && self.rng.random_bool(0.5);
-                        let g = &mut self.gateways[n];
-                        let wanted: Vec<Scope> = g
+                        let has_snapshot = self.setup.snapshots && self.rng.random_bool(0.5);
+                        let gateway = &mut self.gateways[n];
+                        let followed: Vec<Scope> = gateway
                             .follower
                             .complete_scopes()
-                            .map(|w| w.0)
-                            .chain(g.follower.fetching_scopes())
+                            .map(|complete| complete.0)
+                            .chain(gateway.follower.fetching_scopes())
                             .collect();
-                        g.follower = if kept {
-                            Follower::restore(config, member(who, incarnation), g.follower.snapshot())
+                        gateway.follower = if has_snapshot {
+                            Follower::restore(config, member(node, incarnation), gateway.follower.snapshot())
                         } else {
-                            Follower::new(config, member(who, incarnation), Tables::new())
+                            Follower::new(config, member(node, incarnation), Tables::new())
                         };
-                        wanted.into_iter().for_each(|scope| g.follower.subscribe(scope, 1.0));
-                        g.earlier = None;
+                        followed.into_iter().for_each(|scope| gateway.follower.subscribe(scope, 1.0));
+                        gateway.earlier_response = None;
                     }
                     Node::Replica(n) => {
-                        let back = (now + for_ms) * rate;
-                        self.replicas[n].replica = Replica::new(config, member(who, incarnation), back);
+                        let starts_at = (now + for_ms) * clock_rate;
+                        self.replicas[n].replica = Replica::new(config, member(node, incarnation), starts_at);
                     }
                 }
-                self.wakes(who, now + for_ms);
-                return gateway(who);
+                self.schedule_poll(node, now + for_ms);
+                return gateway_index(node);
             }
-            SimEvent::Cut(who, way, for_ms) => {
-                let process = self.process(who);
-                if way != CutDirection::Responses {
-                    process.cut_asks_until = now + for_ms;
+            SimEvent::Cut(node, direction, for_ms) => {
+                let process = self.process(node);
+                if direction != CutDirection::Responses {
+                    process.requests_cut_until = now + for_ms;
                 }
-                if way != CutDirection::Requests {
-                    process.cut_answers_until = now + for_ms;
+                if direction != CutDirection::Requests {
+                    process.responses_cut_until = now + for_ms;
                 }
             }
             SimEvent::Reconnect(n) => {
-                let g = &mut self.gateways[n];
-                g.at = (g.at + 1) % g.order.len().max(1);
-                g.follower.reconnected();
-                self.wakes(Node::Gateway(n), now);
+                let gateway = &mut self.gateways[n];
+                gateway.position = (gateway.position + 1) % gateway.replica_order.len().max(1);
+                gateway.follower.reconnected();
+                self.schedule_poll(Node::Gateway(n), now);
             }
-            SimEvent::Subscribe(n, scope, want) => {
-                let g = &mut self.gateways[n];
-                if want {
-                    g.follower.subscribe(scope, 1.0);
+            SimEvent::Subscribe(n, scope, subscribe) => {
+                let gateway = &mut self.gateways[n];
+                if subscribe {
+                    gateway.follower.subscribe(scope, 1.0);
                 } else {
-                    g.follower.unsubscribe(scope);
+                    gateway.follower.unsubscribe(scope);
                 }
                 return Some(n);
             }
@@ -241,142 +249,160 @@
         None
     }
 
-    fn asks(&mut self, now: f64, who: Node) {
-        let calm = now >= self.setup.calm_from_ms;
-        let (loss, delay_ms) = (if calm { 0.0 } else { self.setup.loss }, self.setup.delay_ms);
-        let process = self.process(who).clone();
-        if now != process.wakes_at {
+    /// Sends the next poll of a node, if the poll is due.
+    fn send_due_poll(&mut self, now: f64, node: Node) {
+        let faults_ended = now >= self.setup.faults_end_ms;
+        let (loss_probability, max_delay_ms) =
+            (if faults_ended { 0.0 } else { self.setup.loss_probability }, self.setup.max_delay_ms);
+        let process = self.process(node).clone();
+        if now != process.next_poll_check_at {
             return;
         }
-        let up = process.asleep_until.max(process.down_until);
-        if now < up {
-            return self.wakes(who, up);
+        let running_at = process.paused_until.max(process.down_until);
+        if now < running_at {
+            return self.schedule_poll(node, running_at);
         }
-        let local = now * process.rate;
-        let half = self.setup.config.response_timeout_ms();
-        let (ask, due) = match who {
+        let local_now = now * process.clock_rate;
+        let lease_timeout_ms = self.setup.config.response_timeout_ms();
+        let (request, due) = match node {
             Node::Gateway(n) => {
-                let g = &mut self.gateways[n];
-                // A gateway leaves a replica that does not answer, or without a lease.
-                if !g.order.is_empty() && local >= g.follower.next_poll() && local > g.renewed + half {
-                    g.at = (g.at + 1) % g.order.len();
-                    g.renewed = local;
-                    g.follower.reconnected();
+                let gateway = &mut self.gateways[n];
+                // A gateway moves to another replica if its replica does not answer or grants no lease.
+                if !gateway.replica_order.is_empty()
+                    && local_now >= gateway.follower.next_poll()
+                    && local_now > gateway.last_renewal_at + lease_timeout_ms
+                {
+                    gateway.position = (gateway.position + 1) % gateway.replica_order.len();
+                    gateway.last_renewal_at = local_now;
+                    gateway.follower.reconnected();
                 }
-                (g.follower.poll(local), g.follower.next_poll())
+                (gateway.follower.poll(local_now), gateway.follower.next_poll())
             }
             Node::Replica(n) => {
-                let b = &mut self.replicas[n];
-                let mut ask = b.replica.poll(local);
-                if let (Some(ask), PlantedFault::SpeaksForItself) = (&mut ask, self.setup.planted) {
-                    ask.known = b.replica.follower().known();
-                    ask.in_force = b.replica.follower().in_force();
+                let replica_node = &mut self.replicas[n];
+                let mut request = replica_node.replica.poll(local_now);
+                if let (Some(request), Fault::ReportsOwnProgress) = (&mut request, self.setup.fault) {
+                    request.known = replica_node.replica.follower().known();
+                    request.in_force = replica_node.replica.follower().in_force();
                 }
-                (ask, b.replica.next_poll(local))
+                (request, replica_node.replica.next_poll(local_now))
             }
         };
-        self.wakes(who, (due / process.rate).max(now) + 0.001);
-        let Some(ask) = ask else { return };
-        if now < process.cut_asks_until || self.rng.random_bool(loss) {
+        self.schedule_poll(node, (due / process.clock_rate).max(now) + 0.001);
+        let Some(request) = request else { return };
+        if now < process.requests_cut_until || self.rng.random_bool(loss_probability) {
             return;
         }
-        let arrives = now + self.rng.random_range(0.1..delay_ms);
-        let to = match who {
-            Node::Gateway(n) => self.gateways[n].order.get(self.gateways[n].at).copied(),
+        let arrives_at = now + self.rng.random_range(0.1..max_delay_ms);
+        let to = match node {
+            Node::Gateway(n) => self.gateways[n].replica_order.get(self.gateways[n].position).copied(),
             Node::Replica(_) => None,
         };
         if let Some(to) = to {
             let incarnation = self.replicas[to].process.incarnation;
-            self.add(arrives, SimEvent::PollAtReplica(to, incarnation, ask));
+            self.schedule(arrives_at, SimEvent::PollAtReplica(to, incarnation, request));
         } else {
             // Some polls still reach the previous leader.
             let leader = self.leaders.len() - 1;
-            let late = match self.setup.late_ms {
-                0.0 => leader > 0 && !calm && self.rng.random_bool(0.3),
-                _ => now < process.late_until,
+            let polls_old_leader = match self.setup.max_old_leader_ms {
+                0.0 => leader > 0 && !faults_ended && self.rng.random_bool(0.3),
+                _ => now < process.polls_old_leader_until,
             };
-            let to = if late { leader - 1 } else { leader };
-            self.add(arrives, SimEvent::PollAtPrimary(to, 0, ask));
+            let to = if polls_old_leader { leader - 1 } else { leader };
+            self.schedule(arrives_at, SimEvent::PollAtPrimary(to, 0, request));
         }
     }
 
-    fn answer(&mut self, now: f64, ask: &PollRequest, incarnation: u64, mut grant: PollResponse) {
-        let n: usize = ask.member.name[1..].parse().expect("a number");
-        let who = if ask.member.name.starts_with('g') { Node::Gateway(n) } else { Node::Replica(n) };
-        match self.setup.planted {
-            PlantedFault::SkipsTombstones => {
-                grant.chunks.iter_mut().for_each(|part| part.entries.retain(|one| one.entry.is_some()));
+    /// Sends a response to the member that polled.
+    fn send_response(
+        &mut self, now: f64, request: &PollRequest, incarnation: u64, mut response: PollResponse,
+    ) {
+        let n: usize = request.member.name[1..].parse().expect("the member's name ends in its index");
+        let node = if request.member.name.starts_with('g') { Node::Gateway(n) } else { Node::Replica(n) };
+        match self.setup.fault {
+            Fault::SkipsTombstones => {
+                response
+                    .chunks
+                    .iter_mut()
+                    .for_each(|chunk| chunk.entries.retain(|change| change.entry.is_some()));
             }
-            PlantedFault::SkipsPending => grant.pending.retain(|version| version.revision > ask.known),
+            Fault::SkipsPending => response.pending.retain(|change_set| change_set.revision > request.known),
             _ => {}
         }
-        let calm = now >= self.setup.calm_from_ms;
-        let (loss, doubled) = if calm { (0.0, 0.0) } else { (self.setup.loss, self.setup.doubled) };
-        let copies = 1 + usize::from(self.rng.random_bool(doubled));
+        let faults_ended = now >= self.setup.faults_end_ms;
+        let (loss_probability, duplicate_probability) = if faults_ended {
+            (0.0, 0.0)
+        } else {
+            (self.setup.loss_probability, self.setup.duplicate_probability)
+        };
+        let copies = 1 + usize::from(self.rng.random_bool(duplicate_probability));
         for _ in 0..copies {
-            if now >= self.process(who).cut_answers_until && !self.rng.random_bool(loss) {
-                let arrives = now + self.rng.random_range(0.1..self.setup.delay_ms);
-                self.add(
-                    arrives,
-                    SimEvent::Response(who, ask.member.incarnation, incarnation, grant.clone()),
+            if now >= self.process(node).responses_cut_until && !self.rng.random_bool(loss_probability) {
+                let arrives_at = now + self.rng.random_range(0.1..self.setup.max_delay_ms);
+                self.schedule(
+                    arrives_at,
+                    SimEvent::Response(node, request.member.incarnation, incarnation, response.clone()),
                 );
             }
         }
     }
 
     fn handle_response(
-        &mut self, now: f64, who: Node, incarnation: u64, from: u64, mut grant: PollResponse,
+        &mut self, now: f64, node: Node, incarnation: u64, from: u64, mut response: PollResponse,
     ) -> Option<usize> {
-        let process = self.process(who).clone();
-        // What comes while a process stands still waits for it.
-        if now < process.asleep_until {
-            self.add(process.asleep_until, SimEvent::Response(who, incarnation, from, grant));
+        let process = self.process(node).clone();
+        // A response that arrives while a process is suspended is handled after the suspension.
+        if now < process.paused_until {
+            self.schedule(process.paused_until, SimEvent::Response(node, incarnation, from, response));
             return None;
         }
         if incarnation != process.incarnation || now < process.down_until {
             return None;
         }
-        let local = now * process.rate;
-        let (taken, due) = match who {
+        let local_now = now * process.clock_rate;
+        let (result, due) = match node {
             Node::Gateway(n) => {
-                let g = &mut self.gateways[n];
-                if self.setup.planted == PlantedFault::TakesEarlier {
-                    if let Some(earlier) =
-                        g.earlier.replace(grant.clone()).filter(|_| self.rng.random_bool(0.5))
+                let gateway = &mut self.gateways[n];
+                if self.setup.fault == Fault::AcceptsEarlierResponse {
+                    if let Some(earlier) = gateway
+                        .earlier_response
+                        .replace(response.clone())
+                        .filter(|_| self.rng.random_bool(0.5))
                     {
-                        grant = PollResponse {
-                            sequence: grant.sequence,
-                            generation: grant.generation,
+                        response = PollResponse {
+                            sequence: response.sequence,
+                            generation: response.generation,
                             ..earlier
                         };
                     }
                 }
-                let leased = grant.lease_us > 0;
-                let before = (g.follower.known(), g.follower.in_force());
-                let taken = g.follower.handle_response(local, grant);
-                if leased && taken.is_ok() {
-                    g.renewed = local;
+                let leased = response.lease_us > 0;
+                let before = (gateway.follower.known(), gateway.follower.in_force());
+                let result = gateway.follower.handle_response(local_now, response);
+                if leased && result.is_ok() {
+                    gateway.last_renewal_at = local_now;
                 }
-                let after = (g.follower.known(), g.follower.in_force());
-                self.seen.went_back += u64::from(after.0 < before.0 || after.1 < before.1);
-                (taken, g.follower.next_poll())
+                let after = (gateway.follower.known(), gateway.follower.in_force());
+                self.observations.regressions += u64::from(after.0 < before.0 || after.1 < before.1);
+                (result, gateway.follower.next_poll())
             }
             Node::Replica(n) => {
-                let b = &mut self.replicas[n];
-                let taken = b.replica.handle_response(local, grant);
-                (taken, b.replica.next_poll(local))
+                let replica_node = &mut self.replicas[n];
+                let result = replica_node.replica.handle_response(local_now, response);
+                (result, replica_node.replica.next_poll(local_now))
             }
         };
-        self.wakes(who, (due / process.rate).max(now) + 0.001);
-        match taken {
-            Ok(news) => {
-                let count = |is: fn(&FollowerEvent) -> bool| news.iter().filter(|n| is(n)).count() as u64;
-                self.seen.restarted += count(|n| matches!(n, FollowerEvent::Restarted(_)));
-                self.seen.fell_behind += count(|n| matches!(n, FollowerEvent::Stale(_)));
+        self.schedule_poll(node, (due / process.clock_rate).max(now) + 0.001);
+        match result {
+            Ok(events) => {
+                let count = |is: fn(&FollowerEvent) -> bool| events.iter().filter(|e| is(e)).count() as u64;
+                self.observations.restarted_scopes +=
+                    count(|event| matches!(event, FollowerEvent::Restarted(_)));
+                self.observations.stale_scopes += count(|event| matches!(event, FollowerEvent::Stale(_)));
             }
-            Err(ResponseError::Outdated { .. }) => self.seen.past += 1,
+            Err(ResponseError::Outdated { .. }) => self.observations.outdated_responses += 1,
             Err(_) => {}
         }
-        gateway(who)
+        gateway_index(node)
     }
 }
--- a/replication/tests/drawn/mod.rs
+++ b/replication/tests/generator/mod.rs
@@ -1,7 +1,8 @@
-//! Values drawn from a seed, a digest of what is observed, and fixture files to compare with.
+//! Values drawn at random from a seed, a digest of observations, and fixture files to compare with.
 //!
-//! What is recorded are bytes and numbers, never names of types or fields, so that a renaming leaves the fixtures as they are.
-#![allow(dead_code)] // Each test file uses a part of it.
+//! Fixtures record bytes and numbers, and never the names of types or fields, so that a renaming leaves
+//! fixtures unchanged.
+#![allow(dead_code)] // Each test file uses only a part of this module.
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use sha2::{Digest as _, Sha256};
@@ -12,14 +13,15 @@
 use ternstack_replication::scope::{Change, ChangeSet, Digest, Entry, Host, Key, Route, Scope};
 use ternstack_replication::wire::{encode, Message};
 
-/// Draws values; the order of draws is part of the fixtures.
-pub struct Drawn(pub ChaCha8Rng);
+/// A source of random values; the order of draws is part of the fixtures.
+pub struct Generator(pub ChaCha8Rng);
 
-impl Drawn {
-    pub fn new(seed: u64) -> Drawn {
-        Drawn(ChaCha8Rng::seed_from_u64(seed))
+impl Generator {
+    pub fn new(seed: u64) -> Generator {
+        Generator(ChaCha8Rng::seed_from_u64(seed))
     }
 
+    /// Returns a number from 0 up to, but excluding, `end`.
     pub fn below(&mut self, end: u64) -> u64 {
         self.0.random_range(0..end)
     }
@@ -28,13 +30,13 @@
         self.0.random_bool(probability)
     }
 
-    /// Small and large numbers alike, as both lengths of a variable-length integer matter.
+    /// Returns small and large numbers alike, because the encoding of integers has a variable length.
     pub fn number(&mut self) -> u64 {
         let shift = self.0.random_range(0..64);
         self.0.random::<u64>() >> shift
     }
 
-    pub fn repeat(&mut self) -> RetryPolicy {
+    pub fn policy(&mut self) -> RetryPolicy {
         match self.below(3) {
             0 => RetryPolicy::Never,
             1 => RetryPolicy::Within(self.number()),
@@ -63,13 +65,13 @@
         }
     }
 
-    /// An entry that may stand in a scope.
+    /// Returns an entry that fits a scope.
     pub fn entry_of(&mut self, scope: Scope) -> Entry {
         match scope {
             Scope::Zones => Entry::Zone(self.0.random()),
-            Scope::Fleet => Entry::RetryPolicy(self.repeat()),
+            Scope::Fleet => Entry::RetryPolicy(self.policy()),
             Scope::Hosts(_) => Entry::Host(self.host()),
-            Scope::Routes(_) => Entry::Route(Route { class: self.0.random(), retry_policy: self.repeat() }),
+            Scope::Routes(_) => Entry::Route(Route { class: self.0.random(), retry_policy: self.policy() }),
             Scope::Tenants(_) => Entry::Quota(self.0.random()),
         }
     }
@@ -80,21 +82,21 @@
         Change { scope, key, entry: (!removed).then(|| self.entry_of(scope)) }
     }
 
-    pub fn version(&mut self, number: u64, scopes: &[Scope], keys: u64) -> ChangeSet {
+    pub fn change_set(&mut self, revision: u64, scopes: &[Scope], keys: u64) -> ChangeSet {
         let count = 1 + self.below(6);
         let changes = (0..count).map(|_| {
             let scope = scopes[self.below(scopes.len() as u64) as usize];
             self.change(scope, keys)
         });
-        ChangeSet { revision: number, changes: changes.collect() }
+        ChangeSet { revision, changes: changes.collect() }
     }
 }
 
-/// A SHA-256 of what was observed, in its order.
+/// The SHA-256 of all observations, in their order.
 #[derive(Default)]
-pub struct Observed(Sha256);
+pub struct ObservationDigest(Sha256);
 
-impl Observed {
+impl ObservationDigest {
     pub fn bytes(&mut self, bytes: &[u8]) {
         self.0.update((bytes.len() as u64).to_be_bytes());
         self.0.update(bytes);
@@ -113,11 +115,11 @@
     }
 
     pub fn scope_and_key(&mut self, scope: Scope, key: Key) {
-        self.bytes(&postcard::to_allocvec(&(scope, key)).expect("bytes"));
+        self.bytes(&postcard::to_allocvec(&(scope, key)).expect("scope and key are encodable"));
     }
 
     pub fn entry(&mut self, entry: Option<Entry>) {
-        self.bytes(&postcard::to_allocvec(&entry).expect("bytes"));
+        self.bytes(&postcard::to_allocvec(&entry).expect("the entry is encodable"));
     }
 
     pub fn message(&mut self, message: &Message) {
@@ -131,7 +133,7 @@
 
 pub fn frame(message: &Message) -> Vec<u8> {
     let mut bytes = Vec::new();
-    encode(message, &mut bytes).expect("it fits a frame");
+    encode(message, &mut bytes).expect("the message fits a frame");
     bytes
 }
 
@@ -145,7 +147,7 @@
 pub fn from_hex(text: &str) -> Vec<u8> {
     let digits = text.as_bytes().chunks(2);
     digits
-        .map(|pair| u8::from_str_radix(std::str::from_utf8(pair).expect("text"), 16).expect("hex"))
+        .map(|pair| u8::from_str_radix(std::str::from_utf8(pair).expect("UTF-8 text"), 16).expect("hex byte"))
         .collect()
 }
 
@@ -153,27 +155,35 @@
     [env!("CARGO_MANIFEST_DIR"), "tests", "fixtures", name].iter().collect()
 }
 
-/// The bytes of the fixture of that name.
-pub fn kept(name: &str) -> Vec<u8> {
-    std::fs::read(path(name)).unwrap_or_else(|e| panic!("fixture {name}: {e}"))
+/// Returns the bytes of a fixture.
+pub fn read_fixture(name: &str) -> Vec<u8> {
+    std::fs::read(path(name)).unwrap_or_else(|e| panic!("fixture {name} is not readable: {e}"))
 }
 
-/// The fixture of that name. One that is not there yet is written from `made`, and the test fails, so that it is looked at
-/// before it is kept; one that is there is never written.
+/// Returns the bytes of a fixture. A missing fixture is written from `made` and the test fails, so that the new
+/// fixture is reviewed before use; an existing fixture is never written.
 pub fn fixture(name: &str, made: &[u8]) -> Vec<u8> {
     if path(name).exists() {
-        return kept(name);
+        return read_fixture(name);
     }
-    std::fs::write(path(name), made).expect("a fixture that can be written");
-    panic!("fixture {name} was missing and has been written; run the test again");
+    std::fs::write(path(name), made).expect("the fixture is writable");
+    panic!("fixture {name} was missing and has been written; review it and run the test again");
 }
 
-/// Compares lines of `name value` with the fixture, and names those that differ.
-pub fn same_lines(name: &str, lines: &[(String, String)]) {
+/// Compares lines of `name value` with a fixture, and fails with the lines that differ.
+pub fn assert_fixture_lines(name: &str, lines: &[(String, String)]) {
     let text: String = lines.iter().map(|(name, value)| format!("{name} {value}\n")).collect();
-    let kept = String::from_utf8(fixture(name, text.as_bytes())).expect("text");
-    let differing: Vec<&str> =
-        text.lines().zip(kept.lines()).filter(|(made, kept)| made != kept).map(|(made, _)| made).collect();
-    assert!(differing.is_empty(), "{} lines differ from {name}: {differing:.300?}", differing.len());
-    assert_eq!(text.lines().count(), kept.lines().count(), "as many lines as in {name}");
+    let fixture_text = String::from_utf8(fixture(name, text.as_bytes())).expect("the fixture is UTF-8");
+    let differing: Vec<&str> = text
+        .lines()
+        .zip(fixture_text.lines())
+        .filter(|(made, expected)| made != expected)
+        .map(|(made, _)| made)
+        .collect();
+    assert!(differing.is_empty(), "{} lines differ from fixture {name}: {differing:.300?}", differing.len());
+    assert_eq!(
+        text.lines().count(),
+        fixture_text.lines().count(),
+        "number of lines differs from fixture {name}"
+    );
 }
--- a/replication/tests/model/mod.rs
+++ b/replication/tests/model/mod.rs
@@ -1,5 +1,5 @@
-//! A naive model of a store: the state at every revision, and drawn changes.
-#![allow(dead_code)] // Each test file uses a part of it.
+//! A naive model of a store: the state at every revision, and random changes.
+#![allow(dead_code)] // Each test file uses only a part of this module.
 use rand::{Rng, RngExt};
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::{Ipv4Addr, SocketAddrV4};
@@ -10,8 +10,8 @@
 pub const SCOPES: [Scope; 6] =
     [Scope::Zones, Scope::Fleet, Scope::Hosts(1), Scope::Hosts(2), Scope::Routes(1), Scope::Tenants(7)];
 
-pub type Held = BTreeMap<Key, Entry>;
-pub type State = BTreeMap<Scope, Held>;
+pub type Entries = BTreeMap<Key, Entry>;
+pub type State = BTreeMap<Scope, Entries>;
 
 pub fn entry(scope: Scope, rng: &mut impl Rng) -> Entry {
     match scope {
@@ -31,24 +31,24 @@
     }
 }
 
-pub fn change(rng: &mut impl Rng, keys: u64, removes: f64) -> Change {
+pub fn change(rng: &mut impl Rng, keys: u64, removal_probability: f64) -> Change {
     let scope = SCOPES[rng.random_range(0..SCOPES.len())];
-    let entry = (!rng.random_bool(removes)).then(|| entry(scope, rng));
+    let entry = (!rng.random_bool(removal_probability)).then(|| entry(scope, rng));
     Change { scope, key: Key(rng.random_range(0..keys)), entry }
 }
 
-pub fn digest(scope: Scope, held: &Held) -> Digest {
+pub fn digest(scope: Scope, entries: &Entries) -> Digest {
     let mut digest = Digest::default();
-    held.iter().for_each(|(key, entry)| digest.add(scope, *key, entry));
+    entries.iter().for_each(|(key, entry)| digest.add(scope, *key, entry));
     digest
 }
 
-/// The state at every version so far, and the versions that changed each scope.
+/// The state at every revision so far, and the revisions that changed each scope.
 #[derive(Default)]
 pub struct Model {
     pub states: Vec<State>,
-    pub versions: Vec<Vec<Change>>,
-    pub changes: BTreeMap<Scope, BTreeSet<Revision>>,
+    pub revisions: Vec<Vec<Change>>,
+    pub changed_at: BTreeMap<Scope, BTreeSet<Revision>>,
 }
 
 impl Model {
@@ -56,50 +56,58 @@
         Model { states: vec![State::new()], ..Model::default() }
     }
 
-    pub fn next(&mut self, changes: Vec<Change>) -> ChangeSet {
+    /// Adds a revision with these changes, and returns the change set of the revision.
+    pub fn add_revision(&mut self, changes: Vec<Change>) -> ChangeSet {
         let mut state = self.states.last().cloned().unwrap_or_default();
-        let number = self.states.len() as Revision;
+        let revision = self.states.len() as Revision;
         for change in &changes {
-            let held = state.entry(change.scope).or_default();
-            let changes = match change.entry {
+            let entries = state.entry(change.scope).or_default();
+            let has_changed = match change.entry {
                 Some(entry) => {
-                    held.insert(change.key, entry);
+                    entries.insert(change.key, entry);
                     true
                 }
-                None => held.remove(&change.key).is_some(),
+                None => entries.remove(&change.key).is_some(),
             };
-            if changes {
-                self.changes.entry(change.scope).or_default().insert(number);
+            if has_changed {
+                self.changed_at.entry(change.scope).or_default().insert(revision);
             }
         }
         self.states.push(state);
-        self.versions.push(changes.clone());
-        ChangeSet { revision: number, changes }
+        self.revisions.push(changes.clone());
+        ChangeSet { revision, changes }
     }
 
-    pub fn at(&self, number: Revision, scope: Scope) -> Held {
-        self.states[number as usize].get(&scope).cloned().unwrap_or_default()
+    /// Returns the entries of a scope at a revision.
+    pub fn entries_at(&self, revision: Revision, scope: Scope) -> Entries {
+        self.states[revision as usize].get(&scope).cloned().unwrap_or_default()
     }
 
+    /// Returns the scopes that changed after one revision, up to and including another.
     pub fn changed(&self, after: Revision, through: Revision) -> BTreeSet<Scope> {
-        let within = |numbers: &BTreeSet<Revision>| {
-            numbers.range(after + 1..).next().is_some_and(|first| *first <= through)
+        let is_within = |revisions: &BTreeSet<Revision>| {
+            revisions.range(after + 1..).next().is_some_and(|first| *first <= through)
         };
-        self.changes.iter().filter(|(_, numbers)| within(numbers)).map(|(scope, _)| *scope).collect()
+        self.changed_at
+            .iter()
+            .filter(|(_, revisions)| is_within(revisions))
+            .map(|(scope, _)| *scope)
+            .collect()
     }
 
-    pub fn agrees(&self, store: &Store) {
-        store.check().expect("kept up by change");
-        let mut sum = Digest::default();
+    /// Checks that a store equals the model at the store's revision in force.
+    pub fn assert_matches(&self, store: &Store) {
+        store.check().expect("the store is consistent");
+        let mut total = Digest::default();
         for scope in SCOPES {
-            let held = self.at(store.in_force(), scope);
-            assert_eq!(store.entries(scope).collect::<Held>(), held);
-            assert_eq!(store.len(scope), held.len());
-            assert_eq!(store.digest(scope), digest(scope, &held));
-            held.iter().for_each(|(key, entry)| assert_eq!(store.entry(scope, *key), Some(*entry)));
-            sum.join(store.digest(scope));
+            let entries = self.entries_at(store.in_force(), scope);
+            assert_eq!(store.entries(scope).collect::<Entries>(), entries);
+            assert_eq!(store.len(scope), entries.len());
+            assert_eq!(store.digest(scope), digest(scope, &entries));
+            entries.iter().for_each(|(key, entry)| assert_eq!(store.entry(scope, *key), Some(*entry)));
+            total.join(store.digest(scope));
         }
-        assert_eq!(store.total_digest(), sum);
+        assert_eq!(store.total_digest(), total);
         let scopes: Vec<Scope> = SCOPES.into_iter().filter(|scope| store.len(*scope) > 0).collect();
         assert_eq!(store.scopes().collect::<Vec<_>>(), scopes);
     }
--- a/replication/tests/same_exchanges.rs
+++ b/replication/tests/same_exchanges.rs
@@ -1,5 +1,5 @@
-//! What stores, tables and lessors answer in drawn exchanges, byte by byte, is what earlier versions did.
-use drawn::{same_lines, Drawn, Observed};
+//! The exact bytes that stores, tables and lessors return in random exchanges equal those of earlier versions.
+use generator::{assert_fixture_lines, Generator, ObservationDigest};
 use ternstack_replication::lease::LeaseConfig;
 use ternstack_replication::lessor::Lessor;
 use ternstack_replication::progress::Progress;
@@ -9,7 +9,7 @@
 use ternstack_replication::tables::Tables;
 use ternstack_replication::wire::{Cursor, Member, Message, PollRequest, Subscription};
 
-mod drawn;
+mod generator;
 
 const SCOPES: [Scope; 9] = [
     Scope::Zones,
@@ -22,6 +22,7 @@
     Scope::Tenants(1),
     Scope::Tenants(2),
 ];
+/// The number of different keys in each scope of a random store.
 const KEYS: u64 = 40;
 
 fn member(name: String, incarnation: u64) -> Member {
@@ -29,174 +30,175 @@
 }
 
 #[test]
-fn stores_hand_out_the_pieces_of_the_fixture() {
+fn store_chunks_match_the_fixture() {
     let mut lines = Vec::new();
     for seed in 0..24 {
-        let (mut drawn, mut observed, mut store) = (Drawn::new(seed), Observed::default(), Store::new());
+        let (mut generator, mut observations, mut store) =
+            (Generator::new(seed), ObservationDigest::default(), Store::new());
         let mut known = 0;
         for step in 0..400 {
-            match drawn.below(10) {
+            match generator.below(10) {
                 0..=3 => {
                     known += 1;
-                    store.add_pending(drawn.version(known, &SCOPES, KEYS));
+                    store.add_pending(generator.change_set(known, &SCOPES, KEYS));
                 }
-                4 | 5 => store.advance_to(known.saturating_sub(drawn.below(3))),
+                4 | 5 => store.advance_to(known.saturating_sub(generator.below(3))),
                 6 => {
-                    let change = drawn.version(store.in_force(), &SCOPES, KEYS).changes[0];
+                    let change = generator.change_set(store.in_force(), &SCOPES, KEYS).changes[0];
                     store.load(change.scope, change.key, store.in_force(), change.entry);
                 }
-                7 if drawn.chance(0.3) => store.clear(SCOPES[drawn.below(9) as usize]),
-                8 => store.purge_tombstones(store.in_force().saturating_sub(drawn.below(30))),
+                7 if generator.chance(0.3) => store.clear(SCOPES[generator.below(9) as usize]),
+                8 => store.purge_tombstones(store.in_force().saturating_sub(generator.below(30))),
                 _ => {}
             }
             assert_eq!(store.check(), Ok(()), "seed {seed}, step {step}");
-            let scope = SCOPES[drawn.below(9) as usize];
-            let mut from = match drawn.below(3) {
+            let scope = SCOPES[generator.below(9) as usize];
+            let mut from = match generator.below(3) {
                 0 => Cursor::default(),
-                1 => Cursor::after(drawn.below(known + 1)),
-                _ => Cursor { revision: drawn.below(known + 1), key: drawn.below(KEYS) },
+                1 => Cursor::after(generator.below(known + 1)),
+                _ => Cursor { revision: generator.below(known + 1), key: generator.below(KEYS) },
             };
-            let most_bytes = drawn.below(400) as usize;
-            // All pieces of a fetch, one after the other.
+            let max_bytes = generator.below(400) as usize;
+            // The loop reads all chunks of a fetch, one after the other.
             for _ in 0..60 {
-                let part = store.chunk(scope, from, most_bytes);
-                observed.bytes(&postcard::to_allocvec(&part).expect("bytes"));
-                match (part.final_digest, part.entries.last()) {
+                let chunk = store.chunk(scope, from, max_bytes);
+                observations.bytes(&postcard::to_allocvec(&chunk).expect("the chunk is encodable"));
+                match (chunk.final_digest, chunk.entries.last()) {
                     (None, Some(last)) => from = Cursor { revision: last.revision, key: last.key.0 },
                     _ => break,
                 }
             }
-            let since = drawn.below(known + 1);
-            store.changed_since(since).for_each(|scope| observed.scope_and_key(scope, Key(0)));
-            for version in store.pending_since(since) {
-                observed.bytes(&postcard::to_allocvec(version).expect("bytes"));
+            let since = generator.below(known + 1);
+            store.changed_since(since).for_each(|scope| observations.scope_and_key(scope, Key(0)));
+            for change_set in store.pending_since(since) {
+                observations.bytes(&postcard::to_allocvec(change_set).expect("the change set is encodable"));
             }
-            observed.digest(store.total_digest());
-            observed.number(store.in_force() << 32 | store.through());
-            observed.number(store.complete_from() << 32 | store.tombstones() as u64);
-            observed.number(store.memory_bytes() as u64);
+            observations.digest(store.total_digest());
+            observations.number(store.in_force() << 32 | store.through());
+            observations.number(store.complete_from() << 32 | store.tombstones() as u64);
+            observations.number(store.memory_bytes() as u64);
             store.entries(scope).for_each(|(key, entry)| {
-                observed.scope_and_key(scope, key);
-                observed.entry(Some(entry));
+                observations.scope_and_key(scope, key);
+                observations.entry(Some(entry));
             });
         }
-        lines.push((format!("store-{seed}"), observed.finish()));
+        lines.push((format!("store-{seed}"), observations.finish()));
     }
-    same_lines("stores.txt", &lines);
+    assert_fixture_lines("stores.txt", &lines);
 }
 
 #[test]
-fn tables_hold_the_entries_and_memory_of_the_fixture() {
+fn table_entries_and_memory_match_the_fixture() {
     let mut lines = Vec::new();
     for seed in 0..24 {
-        let (mut drawn, mut observed, mut tables) = (Drawn::new(seed), Observed::default(), Tables::new());
+        let (mut generator, mut observations, mut tables) =
+            (Generator::new(seed), ObservationDigest::default(), Tables::new());
         for step in 0..1500 {
-            let scope = SCOPES[drawn.below(9) as usize];
-            let mut change = drawn.change(scope, 300);
-            if drawn.chance(0.02) {
-                let other = drawn.any_scope();
-                change.entry = Some(drawn.entry_of(other));
+            let scope = SCOPES[generator.below(9) as usize];
+            let mut change = generator.change(scope, 300);
+            if generator.chance(0.02) {
+                let other = generator.any_scope();
+                change.entry = Some(generator.entry_of(other));
             }
             tables.set(scope, change.key, step, change.entry);
-            match drawn.below(300) {
+            match generator.below(300) {
                 0 => tables.clear(scope),
                 1 => tables.remove_scope(scope),
                 _ => {}
             }
-            observed.entry(tables.get(scope, change.key));
-            observed.digest(tables.digest(scope));
-            observed.digest(tables.total_digest());
-            observed.number(tables.len(scope) as u64);
-            observed.number(tables.memory_bytes() as u64);
+            observations.entry(tables.get(scope, change.key));
+            observations.digest(tables.digest(scope));
+            observations.digest(tables.total_digest());
+            observations.number(tables.len(scope) as u64);
+            observations.number(tables.memory_bytes() as u64);
         }
-        observed.bytes(&postcard::to_allocvec(&tables).expect("bytes"));
-        lines.push((format!("tables-{seed}"), observed.finish()));
+        observations.bytes(&postcard::to_allocvec(&tables).expect("the tables are encodable"));
+        lines.push((format!("tables-{seed}"), observations.finish()));
     }
-    same_lines("tables.txt", &lines);
+    assert_fixture_lines("tables.txt", &lines);
 }
 
-/// A store with many entries in each scope, and so many versions to come that touch as many.
-fn large_store(drawn: &mut Drawn, to_come: u64) -> Store {
+/// Returns a store with thousands of entries in each scope, and with this many large pending revisions.
+fn large_store(generator: &mut Generator, pending_revisions: u64) -> Store {
     let mut store = Store::new();
-    let mut version = |number, count| {
+    let mut change_set = |revision, count| {
         let changes = (0..count).map(|_| {
-            let scope = SCOPES[drawn.below(9) as usize];
-            drawn.change(scope, 12_000)
+            let scope = SCOPES[generator.below(9) as usize];
+            generator.change(scope, 12_000)
         });
-        ChangeSet { revision: number, changes: changes.collect() }
+        ChangeSet { revision, changes: changes.collect() }
     };
-    for number in 1..=20 {
-        store.add_pending(version(number, 4_500));
+    for revision in 1..=20 {
+        store.add_pending(change_set(revision, 4_500));
     }
     store.advance_to(20);
-    for number in 21..=20 + to_come {
-        store.add_pending(version(number, 1_600));
+    for revision in 21..=20 + pending_revisions {
+        store.add_pending(change_set(revision, 1_600));
     }
     store
 }
 
-fn drawn_ask(drawn: &mut Drawn, number: u64) -> PollRequest {
-    let mut some = |part: f64| SCOPES.into_iter().filter(|_| drawn.chance(part)).collect::<Vec<_>>();
-    let (whole, fetched) = (some(0.3), some(0.4));
-    let interest = match drawn.below(8) {
-        0 => Subscription::AllScopes { generation: number },
-        1 => Subscription::Unchanged { generation: number - 1 },
+fn random_request(generator: &mut Generator, sequence: u64) -> PollRequest {
+    let mut some_scopes =
+        |probability: f64| SCOPES.into_iter().filter(|_| generator.chance(probability)).collect::<Vec<_>>();
+    let (complete, fetched) = (some_scopes(0.3), some_scopes(0.4));
+    let subscription = match generator.below(8) {
+        0 => Subscription::AllScopes { generation: sequence },
+        1 => Subscription::Unchanged { generation: sequence - 1 },
         2 => Subscription::Delta {
-            from: number - 1,
-            generation: number,
-            added: whole,
+            from: sequence - 1,
+            generation: sequence,
+            added: complete,
             removed: fetched.clone(),
         },
-        _ => Subscription::Complete { generation: number, scopes: whole },
+        _ => Subscription::Complete { generation: sequence, scopes: complete },
     };
-    let cursor = |drawn: &mut Drawn| match drawn.below(3) {
+    let cursor = |generator: &mut Generator| match generator.below(3) {
         0 => Cursor::default(),
-        1 => Cursor::after(drawn.below(21)),
-        _ => Cursor { revision: drawn.below(21), key: drawn.below(12_000) },
+        1 => Cursor::after(generator.below(21)),
+        _ => Cursor { revision: generator.below(21), key: generator.below(12_000) },
     };
     PollRequest {
-        member: member(format!("g{}", drawn.below(3)), 1),
-        sequence: number,
-        acknowledged: number - drawn.below(2),
-        known: drawn.below(41),
-        in_force: drawn.below(21),
-        subscription: interest,
-        fetch: fetched.into_iter().map(|scope| (scope, cursor(drawn))).collect(),
+        member: member(format!("g{}", generator.below(3)), 1),
+        sequence,
+        acknowledged: sequence - generator.below(2),
+        known: generator.below(41),
+        in_force: generator.below(21),
+        subscription,
+        fetch: fetched.into_iter().map(|scope| (scope, cursor(generator))).collect(),
     }
 }
 
 #[test]
-fn answers_within_all_budgets_are_those_of_the_fixture() {
+fn responses_within_all_byte_budgets_match_the_fixture() {
     let mut lines = Vec::new();
     for seed in 0..4 {
-        let mut drawn = Drawn::new(seed);
-        for (name, rate, plays, to_come) in [("small", 300, 800, 0), ("large", 900_000, 8, 20)] {
-            let store = large_store(&mut drawn, to_come);
-            let mut observed = Observed::default();
-            for _ in 0..plays {
-                let bytes_per_s = (60 + drawn.below(rate)) as f64;
-                let between_bytes_per_s = (60 + drawn.below(rate)) as f64;
-                let config = LeaseConfig {
-                    bytes_per_s,
-                    replica_bytes_per_s: between_bytes_per_s,
-                    burst_s: 1.0,
-                    ..LeaseConfig::default()
-                };
+        let mut generator = Generator::new(seed);
+        for (name, max_bytes_per_s, lessors, pending_revisions) in
+            [("small", 300, 800, 0), ("large", 900_000, 8, 20)]
+        {
+            let store = large_store(&mut generator, pending_revisions);
+            let mut observations = ObservationDigest::default();
+            for _ in 0..lessors {
+                let bytes_per_s = (60 + generator.below(max_bytes_per_s)) as f64;
+                let replica_bytes_per_s = (60 + generator.below(max_bytes_per_s)) as f64;
+                let config =
+                    LeaseConfig { bytes_per_s, replica_bytes_per_s, burst_s: 1.0, ..LeaseConfig::default() };
                 let mut lessor = Lessor::new(config, 0.0);
-                for number in 1..=4 {
-                    let ask = drawn_ask(&mut drawn, number);
-                    let now = (number * drawn.below(1_500)) as f64;
-                    let may_lease_ms = drawn.below(2_500) as f64;
-                    let grant = lessor.handle_poll(now, &store, may_lease_ms, &ask);
-                    observed.message(&Message::PollResponse(grant));
+                for sequence in 1..=4 {
+                    let request = random_request(&mut generator, sequence);
+                    let now = (sequence * generator.below(1_500)) as f64;
+                    let max_lease_ms = generator.below(2_500) as f64;
+                    let response = lessor.handle_poll(now, &store, max_lease_ms, &request);
+                    observations.message(&Message::PollResponse(response));
                     for (member, Progress { known, in_force }) in lessor.holders(now) {
-                        observed.bytes(member.name.as_bytes());
-                        observed.number(known << 32 | in_force);
+                        observations.bytes(member.name.as_bytes());
+                        observations.number(known << 32 | in_force);
                     }
                 }
             }
-            lines.push((format!("{name}-{seed}"), observed.finish()));
+            lines.push((format!("{name}-{seed}"), observations.finish()));
         }
     }
-    same_lines("answers.txt", &lines);
+    assert_fixture_lines("answers.txt", &lines);
 }
--- a/replication/tests/same_fleets.rs
+++ b/replication/tests/same_fleets.rs
@@ -1,5 +1,5 @@
-//! What drawn fleets send, report and decide, byte by byte, is what earlier versions did.
-use drawn::{same_lines, Drawn, Observed};
+//! The exact messages, events and decisions of random fleets equal those of earlier versions.
+use generator::{assert_fixture_lines, Generator, ObservationDigest};
 use ternstack_replication::follower::{Follower, FollowerEvent, ResponseError, ScopeMode};
 use ternstack_replication::lease::LeaseConfig;
 use ternstack_replication::primary::{Primary, PrimaryEvent, Proposer};
@@ -11,7 +11,7 @@
 use ternstack_replication::tables::Tables;
 use ternstack_replication::wire::{Member, Message, PollRequest, PollResponse};
 
-mod drawn;
+mod generator;
 
 const SCOPES: [Scope; 9] = [
     Scope::Zones,
@@ -24,30 +24,33 @@
     Scope::Tenants(1),
     Scope::Tenants(2),
 ];
+/// The number of different keys in each scope.
 const KEYS: u64 = 40;
 
-/// Who sends or receives a message.
+/// The follower that sends a poll and receives its response.
 #[derive(Clone, Copy, PartialEq)]
-enum Place {
+enum FollowerId {
     Gateway(usize),
     Replica(usize),
 }
 
-enum Sent {
+enum SentMessage {
     PollRequest(PollRequest),
     PollResponse(PollResponse),
 }
 
-/// A fleet: a primary, two replicas that poll it, and gateways that poll these or the primary.
+/// A fleet: a primary, two replicas that poll the primary, and gateways that poll a replica or the primary.
 struct Fleet {
-    drawn: Drawn,
-    observed: Observed,
+    generator: Generator,
+    observations: ObservationDigest,
     config: LeaseConfig,
     primary: Primary,
     replicas: Vec<Replica>,
     gateways: Vec<Follower<Tables>>,
-    calls: Vec<usize>, // Which replica a gateway calls; 2 stands for the primary.
-    on_the_way: Vec<(f64, Place, usize, Sent)>,
+    /// The index of the replica that each gateway polls; 2 stands for the primary.
+    lessor_indices: Vec<usize>,
+    /// The messages on their way: arrival time in ms, follower, index of the lessor, and message.
+    in_flight: Vec<(f64, FollowerId, usize, SentMessage)>,
     incarnation: u64,
 }
 
@@ -57,8 +60,8 @@
 
 impl Fleet {
     fn new(seed: u64) -> Fleet {
-        let mut drawn = Drawn::new(seed);
-        // Small budgets, so that pieces are cut and scopes fall behind.
+        let mut generator = Generator::new(seed);
+        // The byte budgets are small, so that scopes take several chunks and become stale.
         let bytes_per_s = [400.0, 2_000.0, 12_000.0][seed as usize % 3];
         let config = LeaseConfig {
             bytes_per_s,
@@ -67,9 +70,11 @@
             ..LeaseConfig::default()
         };
         let mut store = Store::new();
-        let all: Vec<Change> =
-            SCOPES.iter().flat_map(|s| (0..60).map(|_| drawn.change(*s, KEYS)).collect::<Vec<_>>()).collect();
-        store.add_pending(ChangeSet { revision: 1, changes: all });
+        let changes: Vec<Change> = SCOPES
+            .iter()
+            .flat_map(|scope| (0..60).map(|_| generator.change(*scope, KEYS)).collect::<Vec<_>>())
+            .collect();
+        store.add_pending(ChangeSet { revision: 1, changes });
         store.advance_to(1);
         let replicas = (0..2).map(|n| Replica::new(config, member(format!("b{n}"), 1), 0.0));
         let gateways = (0..5).map(|n| {
@@ -80,158 +85,169 @@
         Fleet {
             replicas: replicas.collect(),
             gateways: gateways.collect(),
-            calls: (0..5).map(|n| n % 3).collect(),
+            lessor_indices: (0..5).map(|n| n % 3).collect(),
             primary: Primary::new(config, 0.0, 1, store),
-            on_the_way: Vec::new(),
+            in_flight: Vec::new(),
             incarnation: 1,
-            drawn,
-            observed: Observed::default(),
+            generator,
+            observations: ObservationDigest::default(),
             config,
         }
     }
 
     fn propose(&mut self) {
-        let count = 1 + self.drawn.below(12);
+        let count = 1 + self.generator.below(12);
         let changes = (0..count).map(|_| {
-            let scope = SCOPES[self.drawn.below(SCOPES.len() as u64) as usize];
-            self.drawn.change(scope, KEYS)
+            let scope = SCOPES[self.generator.below(SCOPES.len() as u64) as usize];
+            self.generator.change(scope, KEYS)
         });
         let proposer = Proposer { name: "staff".into(), proposed_ms: 5 };
-        let number = self.primary.propose(proposer, changes.collect()).expect("it fits");
-        self.observed.number(number);
+        let proposal_id = self.primary.propose(proposer, changes.collect()).expect("the proposal is valid");
+        self.observations.number(proposal_id);
     }
 
     fn tick(&mut self, now: f64) {
-        self.observed.float(self.primary.next_tick().unwrap_or(-1.0));
-        for happened in self.primary.tick(now) {
-            match happened {
-                PrimaryEvent::Agreed { revision: version, proposals } => {
-                    self.observed.number(version);
-                    proposals.iter().for_each(|number| self.observed.number(*number));
-                    let record = self.primary.record(version).expect("just made");
-                    self.observed.bytes(&record.digest);
+        self.observations.float(self.primary.next_tick().unwrap_or(-1.0));
+        for event in self.primary.tick(now) {
+            match event {
+                PrimaryEvent::Agreed { revision, proposals } => {
+                    self.observations.number(revision);
+                    proposals.iter().for_each(|proposal_id| self.observations.number(*proposal_id));
+                    let record = self.primary.record(revision).expect("a new revision has a record");
+                    self.observations.bytes(&record.digest);
                 }
-                PrimaryEvent::InForce(version) => self.observed.number(version << 32),
+                PrimaryEvent::InForce(revision) => self.observations.number(revision << 32),
             }
         }
     }
 
-    /// Sends a message, unless it is lost; now and then it comes twice.
-    fn send(&mut self, now: f64, who: Place, to: usize, sent: Sent) {
-        let message = match &sent {
-            Sent::PollRequest(ask) => Message::PollRequest(ask.clone()),
-            Sent::PollResponse(grant) => Message::PollResponse(grant.clone()),
+    /// Sends a message, which may be lost, late or duplicated.
+    fn send(&mut self, now: f64, follower: FollowerId, to: usize, message: SentMessage) {
+        let framed = match &message {
+            SentMessage::PollRequest(request) => Message::PollRequest(request.clone()),
+            SentMessage::PollResponse(response) => Message::PollResponse(response.clone()),
         };
-        self.observed.message(&message);
-        if self.drawn.chance(0.05) {
+        self.observations.message(&framed);
+        if self.generator.chance(0.05) {
             return;
         }
-        let longest = if self.drawn.chance(0.05) { 900 } else { 60 };
-        let arrives = now + 1.0 + self.drawn.below(longest) as f64;
-        if let (Sent::PollResponse(grant), true) = (&sent, self.drawn.chance(0.05)) {
-            self.on_the_way.push((arrives + 3.0, who, to, Sent::PollResponse(grant.clone())));
+        let max_delay_ms = if self.generator.chance(0.05) { 900 } else { 60 };
+        let arrives_at = now + 1.0 + self.generator.below(max_delay_ms) as f64;
+        if let (SentMessage::PollResponse(response), true) = (&message, self.generator.chance(0.05)) {
+            self.in_flight.push((
+                arrives_at + 3.0,
+                follower,
+                to,
+                SentMessage::PollResponse(response.clone()),
+            ));
         }
-        self.on_the_way.push((arrives, who, to, sent));
+        self.in_flight.push((arrives_at, follower, to, message));
     }
 
     fn poll(&mut self, now: f64) {
         for n in 0..self.replicas.len() {
-            self.observed.float(self.replicas[n].next_poll(now));
-            if let Some(ask) = self.replicas[n].poll(now) {
-                self.send(now, Place::Replica(n), 2, Sent::PollRequest(ask));
+            self.observations.float(self.replicas[n].next_poll(now));
+            if let Some(request) = self.replicas[n].poll(now) {
+                self.send(now, FollowerId::Replica(n), 2, SentMessage::PollRequest(request));
             }
         }
         for n in 0..self.gateways.len() {
-            self.observed.float(self.gateways[n].next_poll());
-            if let Some(ask) = self.gateways[n].poll(now) {
-                self.send(now, Place::Gateway(n), self.calls[n], Sent::PollRequest(ask));
+            self.observations.float(self.gateways[n].next_poll());
+            if let Some(request) = self.gateways[n].poll(now) {
+                self.send(
+                    now,
+                    FollowerId::Gateway(n),
+                    self.lessor_indices[n],
+                    SentMessage::PollRequest(request),
+                );
             }
         }
     }
 
     fn deliver(&mut self, now: f64) {
-        while let Some(at) = self.on_the_way.iter().position(|sent| sent.0 <= now) {
-            let (_, who, to, sent) = self.on_the_way.remove(at);
-            match sent {
-                Sent::PollRequest(ask) => {
-                    let grant = match self.replicas.get_mut(to) {
-                        Some(machine) => machine.handle_poll(now, &ask),
+        while let Some(at) = self.in_flight.iter().position(|delivery| delivery.0 <= now) {
+            let (_, follower, to, message) = self.in_flight.remove(at);
+            match message {
+                SentMessage::PollRequest(request) => {
+                    let response = match self.replicas.get_mut(to) {
+                        Some(replica) => replica.handle_poll(now, &request),
                         None => {
-                            if !self.drawn.chance(0.05) {
+                            if !self.generator.chance(0.05) {
                                 self.primary.confirm_leadership(now);
                             }
-                            self.primary.handle_poll(now, &ask)
+                            self.primary.handle_poll(now, &request)
                         }
                     };
-                    self.observed.number(u64::from(grant.is_some()));
-                    if let Some(grant) = grant {
-                        self.send(now, who, to, Sent::PollResponse(grant));
+                    self.observations.number(u64::from(response.is_some()));
+                    if let Some(response) = response {
+                        self.send(now, follower, to, SentMessage::PollResponse(response));
                     }
                 }
-                Sent::PollResponse(grant) => {
-                    let taken = match who {
-                        Place::Gateway(n) => self.gateways[n].handle_response(now, grant),
-                        Place::Replica(n) => self.replicas[n].handle_response(now, grant),
+                SentMessage::PollResponse(response) => {
+                    let result = match follower {
+                        FollowerId::Gateway(n) => self.gateways[n].handle_response(now, response),
+                        FollowerId::Replica(n) => self.replicas[n].handle_response(now, response),
                     };
-                    self.tell(taken);
+                    self.observe_result(result);
                 }
             }
         }
     }
 
-    fn tell(&mut self, taken: Result<Vec<FollowerEvent>, ResponseError>) {
-        let observed = &mut self.observed;
-        match taken {
-            Ok(news) => {
-                for one in news {
-                    let (kind, number, scope, key) = match one {
-                        FollowerEvent::InForce(number) => (1, number, Scope::Zones, Key(0)),
-                        FollowerEvent::Known(number) => (2, number, Scope::Zones, Key(0)),
+    fn observe_result(&mut self, result: Result<Vec<FollowerEvent>, ResponseError>) {
+        let observations = &mut self.observations;
+        match result {
+            Ok(events) => {
+                for event in events {
+                    let (kind, revision, scope, key) = match event {
+                        FollowerEvent::InForce(revision) => (1, revision, Scope::Zones, Key(0)),
+                        FollowerEvent::Known(revision) => (2, revision, Scope::Zones, Key(0)),
                         FollowerEvent::Complete(scope) => (3, 0, scope, Key(0)),
                         FollowerEvent::Stale(scope) => (4, 0, scope, Key(0)),
                         FollowerEvent::Restarted(scope) => (5, 0, scope, Key(0)),
                         FollowerEvent::EntryChanged(scope, key) => (6, 0, scope, key),
                     };
-                    observed.number(kind << 56 | number);
-                    observed.scope_and_key(scope, key);
+                    observations.number(kind << 56 | revision);
+                    observations.scope_and_key(scope, key);
                 }
             }
-            Err(ResponseError::Unsolicited) => observed.number(101),
-            Err(ResponseError::SubscriptionMismatch) => observed.number(102),
+            Err(ResponseError::Unsolicited) => observations.number(101),
+            Err(ResponseError::SubscriptionMismatch) => observations.number(102),
             Err(ResponseError::Outdated { in_force, through }) => {
-                observed.number(103);
-                observed.number(in_force);
-                observed.number(through);
+                observations.number(103);
+                observations.number(in_force);
+                observations.number(through);
             }
         }
     }
 
-    /// Somebody restarts, moves to another machine, or wants other scopes.
+    /// Restarts a member, moves a member to another lessor, changes the scopes that a gateway follows, or
+    /// purges tombstones.
     fn disturb(&mut self, now: f64) {
-        let n = self.drawn.below(5) as usize;
-        let scope = SCOPES[2 + self.drawn.below(7) as usize];
-        match self.drawn.below(8) {
+        let n = self.generator.below(5) as usize;
+        let scope = SCOPES[2 + self.generator.below(7) as usize];
+        match self.generator.below(8) {
             0 => {
-                self.calls[n] = (self.calls[n] + 1) % 3;
+                self.lessor_indices[n] = (self.lessor_indices[n] + 1) % 3;
                 self.gateways[n].reconnected();
             }
-            1 => self.gateways[n].subscribe(scope, self.drawn.below(9) as f64),
+            1 => self.gateways[n].subscribe(scope, self.generator.below(9) as f64),
             2 => self.gateways[n].unsubscribe(scope),
             3 => {
                 self.incarnation += 1;
-                let again = member(format!("g{n}"), self.incarnation);
+                let restarted = member(format!("g{n}"), self.incarnation);
                 let snapshot = self.gateways[n].snapshot();
-                self.observed.bytes(&snapshot.encode().expect("bytes"));
-                self.gateways[n] = Follower::restore(self.config, again, snapshot);
+                self.observations.bytes(&snapshot.encode().expect("the snapshot is encodable"));
+                self.gateways[n] = Follower::restore(self.config, restarted, snapshot);
                 SCOPES.iter().for_each(|scope| self.gateways[n].subscribe(*scope, 1.0));
-                self.on_the_way.retain(|sent| sent.1 != Place::Gateway(n));
+                self.in_flight.retain(|delivery| delivery.1 != FollowerId::Gateway(n));
             }
             4 => {
                 self.incarnation += 1;
                 let n = n % 2;
-                let again = member(format!("b{n}"), self.incarnation);
-                self.replicas[n] = Replica::new(self.config, again, now);
-                self.on_the_way.retain(|sent| sent.1 != Place::Replica(n));
+                let restarted = member(format!("b{n}"), self.incarnation);
+                self.replicas[n] = Replica::new(self.config, restarted, now);
+                self.in_flight.retain(|delivery| delivery.1 != FollowerId::Replica(n));
             }
             5 => self.replicas[n % 2].reconnected(),
             6 => self.primary.compact(self.primary.store().in_force().saturating_sub(2)),
@@ -242,77 +258,78 @@
         }
     }
 
-    fn look(&mut self, now: f64) {
-        let observed = &mut self.observed;
+    fn observe_state(&mut self, now: f64) {
+        let observations = &mut self.observations;
         for gateway in &self.gateways {
-            observed.float(gateway.lease_until());
-            observed.number(gateway.known() << 32 | gateway.in_force());
-            observed.number(u64::from(gateway.is_complete()) << 1 | u64::from(gateway.is_polling()));
-            observed.digest(gateway.storage().total_digest());
-            observed.number(gateway.storage().memory_bytes() as u64);
+            observations.float(gateway.lease_until());
+            observations.number(gateway.known() << 32 | gateway.in_force());
+            observations.number(u64::from(gateway.is_complete()) << 1 | u64::from(gateway.is_polling()));
+            observations.digest(gateway.storage().total_digest());
+            observations.number(gateway.storage().memory_bytes() as u64);
             gateway.complete_scopes().for_each(|(scope, priority)| {
-                observed.scope_and_key(scope, Key(0));
-                observed.float(priority);
+                observations.scope_and_key(scope, Key(0));
+                observations.float(priority);
             });
-            gateway.fetching_scopes().for_each(|scope| observed.scope_and_key(scope, Key(1)));
+            gateway.fetching_scopes().for_each(|scope| observations.scope_and_key(scope, Key(1)));
             for scope in SCOPES {
-                observed.number(match gateway.scope_mode(now, scope) {
-                    ScopeMode::InForce(number) => number << 8,
+                observations.number(match gateway.scope_mode(now, scope) {
+                    ScopeMode::InForce(revision) => revision << 8,
                     ScopeMode::Conservative => 1,
                     ScopeMode::Unknown => 2,
                 });
-                let at_the_end = gateway.scope_mode(gateway.lease_until(), scope);
-                observed.number(u64::from(matches!(at_the_end, ScopeMode::InForce(_))));
-                (0..KEYS).for_each(|key| observed.entry(gateway.entry(now, scope, Key(key))));
+                let at_lease_end = gateway.scope_mode(gateway.lease_until(), scope);
+                observations.number(u64::from(matches!(at_lease_end, ScopeMode::InForce(_))));
+                (0..KEYS).for_each(|key| observations.entry(gateway.entry(now, scope, Key(key))));
             }
         }
         for store in self.replicas.iter().map(Replica::store).chain([self.primary.store()]) {
-            observed.digest(store.total_digest());
-            observed.number(store.in_force() << 32 | store.through());
-            observed.number(store.tombstones() as u64);
-            observed.number(store.complete_from());
+            observations.digest(store.total_digest());
+            observations.number(store.in_force() << 32 | store.through());
+            observations.number(store.tombstones() as u64);
+            observations.number(store.complete_from());
             assert_eq!(store.check(), Ok(()));
         }
         for lessor in self.replicas.iter().map(Replica::lessor).chain([self.primary.lessor()]) {
-            observed.number(lessor.follower_count() as u64);
+            observations.number(lessor.follower_count() as u64);
             if let Some(Progress { known, in_force }) = lessor.min_progress(now) {
-                observed.number(known << 32 | in_force);
+                observations.number(known << 32 | in_force);
             }
             lessor.holders(now).for_each(|(member, Progress { known, in_force })| {
-                observed.bytes(member.name.as_bytes());
-                observed.number(known << 32 | in_force);
+                observations.bytes(member.name.as_bytes());
+                observations.number(known << 32 | in_force);
             });
         }
     }
 
-    /// Plays for so many ms; a step is 5 ms.
-    fn play(mut self, for_ms: u32) -> (String, u64) {
+    /// Runs the fleet for this many ms, in steps of 5 ms. Returns the digest of all observations, and the
+    /// revision in force at the end.
+    fn run(mut self, for_ms: u32) -> (String, u64) {
         for step in 0..for_ms / 5 {
             let now = f64::from(step) * 5.0;
-            if self.drawn.chance(0.02) {
+            if self.generator.chance(0.02) {
                 self.propose();
             }
-            if self.drawn.chance(0.01) {
+            if self.generator.chance(0.01) {
                 self.disturb(now);
             }
             self.tick(now);
             self.deliver(now);
             self.poll(now);
             if step % 20 == 0 {
-                self.look(now);
+                self.observe_state(now);
             }
         }
-        (self.observed.finish(), self.primary.store().in_force())
+        (self.observations.finish(), self.primary.store().in_force())
     }
 }
 
 #[test]
-fn fleets_send_and_decide_as_in_the_fixture() {
+fn fleet_messages_and_decisions_match_the_fixture() {
     let mut lines = Vec::new();
     for seed in 0..24 {
-        let (digest, in_force) = Fleet::new(seed).play(20_000);
-        assert!(in_force > 5, "seed {seed}: only version {in_force} came into force");
+        let (digest, in_force) = Fleet::new(seed).run(20_000);
+        assert!(in_force > 5, "seed {seed}: only revision {in_force} came into force");
         lines.push((format!("fleet-{seed}"), digest));
     }
-    same_lines("fleets.txt", &lines);
+    assert_fixture_lines("fleets.txt", &lines);
 }
