--- a/replication/src/follower/subscription.rs
+++ b/replication/src/follower/subscription.rs
@@ -1,4 +1,4 @@
-//! The set of complete scopes, as far as the lessor has been told.
+//! The set of complete scopes that the follower reports to its lessor, and the changes of that set.
 use crate::scope::Scope;
 use crate::wire::Subscription;
 use std::collections::BTreeMap;
--- a/replication/src/lease.rs
+++ b/replication/src/lease.rs
@@ -9,10 +9,10 @@
 pub(crate) const MS_PER_S: f64 = 1000.0;
 pub(crate) const US_PER_MS: f64 = 1000.0;
 
-/// How many times a gateway polls during one lease: four polls may be lost before the lease expires.
+/// The number of polls of a gateway during one lease: four polls may be lost before the lease expires.
 const POLLS_PER_LEASE: f64 = 5.0;
-/// How many times as often as a gateway a replica polls, because a replica's lease bounds the leases of its
-/// followers.
+/// The number of polls of a replica per poll of a gateway. A replica polls more often, because its lease
+/// bounds the leases of its followers.
 const REPLICA_POLLS_PER_GATEWAY_POLL: f64 = 2.0;
 /// A follower with progress to report polls after the regular interval divided by this number.
 const PROMPT_POLLS_PER_INTERVAL: f64 = 8.0;
--- a/replication/src/rules.rs
+++ b/replication/src/rules.rs
@@ -41,10 +41,10 @@
     pub list_rev: u64,
 }
 
-/// Rules with their place in the total order of documents.
+/// Rules with their position in the total order of documents.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct VersionedRules {
-    /// The document's place in the total order: 1 for the first. No two documents have the same number.
+    /// The document's position in the total order: 1 for the first. No two documents have the same number.
     pub number: u64,
     /// The term of the consensus in which the document was agreed.
     pub epoch: u64,
--- a/replication/src/scope.rs
+++ b/replication/src/scope.rs
@@ -60,7 +60,7 @@
     }
 }
 
-/// A server. A host gets new requests unless the host is draining or its zone is out of service.
+/// A server of a service, which gets new requests unless it is draining or its zone is out of service.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Host {
     /// The address on which the host listens.
--- a/replication/src/wire/message.rs
+++ b/replication/src/wire/message.rs
@@ -15,8 +15,8 @@
     pub incarnation: u64,
 }
 
-/// A position in a scope, whose entries are in the order of (revision that last changed the entry, key): that
-/// of the last entry received.
+/// A position in a scope: that of the last entry received. The entries of a scope are in the order of the
+/// revisions that last changed them, and of their keys within a revision.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Cursor {
     /// The revision that last changed the entry.
@@ -32,18 +32,18 @@
     }
 }
 
-/// The scopes of which a follower has a complete copy, which a lessor remembers for each member. The generation
+/// The scopes of which a follower has a complete copy, which a lessor stores for each member. The generation
 /// counts up with every change of this set.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Subscription {
-    /// The set is the one that the lessor remembers.
+    /// The set is the one that the lessor has stored.
     Unchanged {
-        /// The generation that the lessor remembers.
+        /// The generation that the lessor has stored.
         generation: u64,
     },
     /// Changes since an earlier generation.
     Delta {
-        /// The generation that the changes apply to. A lessor that remembers another generation only responds
+        /// The generation that the changes apply to. A lessor that has stored another generation only responds
         /// with that generation.
         from: u64,
         /// The generation after the changes.
@@ -117,7 +117,7 @@
 pub struct PollResponse {
     /// The sequence number of the request.
     pub sequence: u64,
-    /// The generation of the subscription that the lessor remembers. If the follower's generation differs, the
+    /// The generation of the subscription that the lessor has stored. If the follower's generation differs, the
     /// rest of the response is void, and the next request has to carry the complete subscription.
     pub generation: u64,
     /// How long the lease lasts from the moment of the request, in us of the follower's clock; 0 for no lease.
--- a/replication/tests/common/checker.rs
+++ b/replication/tests/common/checker.rs
@@ -128,8 +128,8 @@
         rules
     }
 
-    /// Returns for how long the oldest revision that is not in force at all gateways has been waiting at the
-    /// end, in ms.
+    /// Returns the time from the oldest proposal whose revision is not in force at all gateways to the end of
+    /// the run, in ms.
     pub fn longest_pending_ms(&self) -> f64 {
         self.activating.values().fold(0.0, |longest: f64, since| longest.max(self.setup.duration_ms - since))
     }
@@ -156,13 +156,13 @@
 
     /// Returns what is wrong after a period without faults: all gateways have to hold leases and act on the
     /// last revision, and all members have to have the state of the primary.
-    pub fn unsettled(&self) -> Vec<String> {
+    pub fn differences(&self) -> Vec<String> {
         let primary = self.leaders[self.leaders.len() - 1].0.store();
-        let mut faults = Vec::new();
+        let mut differences = Vec::new();
         for (n, gateway) in self.gateways.iter().enumerate() {
             let follower = &gateway.follower;
             if !gateway.leased || follower.in_force() != primary.in_force() || !follower.is_complete() {
-                faults.push(format!(
+                differences.push(format!(
                     "g{n}: lease {}, revision {} in force, expected {}, fetching {:?}",
                     gateway.leased,
                     follower.in_force(),
@@ -174,18 +174,18 @@
                 .complete_scopes()
                 .filter(|complete| follower.storage().digest(complete.0) != primary.digest(complete.0))
             {
-                faults.push(format!("g{n}: digest of {scope:?} differs from the primary's"));
+                differences.push(format!("g{n}: digest of {scope:?} differs from the primary's"));
             }
         }
         for (n, replica_node) in self.replicas.iter().enumerate() {
             if replica_node.replica.store().total_digest() != primary.total_digest() {
-                faults.push(format!("b{n}: total digest differs from the primary's"));
+                differences.push(format!("b{n}: total digest differs from the primary's"));
             }
             if let Err(error) = replica_node.replica.store().check() {
-                faults.push(format!("b{n}: {error}"));
+                differences.push(format!("b{n}: {error}"));
             }
         }
-        faults
+        differences
     }
 }
 
--- a/replication/tests/common/mod.rs
+++ b/replication/tests/common/mod.rs
@@ -29,13 +29,13 @@
     LeadsEarly,
     /// The leader does not wait for lease holders that still act on the previous revision.
     ActivatesEarly,
-    /// A replaced leader continues to response leases, because its leadership is confirmed regardless.
+    /// A replaced leader continues to grant leases, because its leadership is confirmed regardless.
     GrantsUnconfirmed,
     /// A replica grants leases that are longer than its own lease.
     GrantsLongerLease,
     /// A replica reports its own progress instead of the lowest progress among itself and its followers.
     ReportsOwnProgress,
-    /// A replica continues to response leases after its own lease has expired.
+    /// A replica continues to grant leases after its own lease has expired.
     GrantsUnleased,
     /// A gateway accepts the response to an earlier poll as the response to its last poll.
     AcceptsEarlierResponse,
@@ -60,16 +60,16 @@
     Responses,
 }
 
-/// An event of the simulation: a message arrives_at, a timer fires, or a fault happens.
+/// An event of the simulation: a message arrives, a timer fires, or a fault happens.
 #[derive(Clone, Debug)]
 pub enum SimEvent {
     /// The next poll of a node may be due.
     PollDue(Node),
-    /// A poll arrives_at at the leader of this index, in the order of leadership.
+    /// A poll arrives at the leader of this index, in the order of leadership.
     PollAtPrimary(usize, u64, PollRequest),
-    /// A poll arrives_at at the replica of this index, addressed to this incarnation.
+    /// A poll arrives at the replica of this index, addressed to this incarnation.
     PollAtReplica(usize, u64, PollRequest),
-    /// A response arrives_at at a node, addressed to this incarnation; the second number is the incarnation of
+    /// A response arrives at a node, addressed to this incarnation; the second number is the incarnation of
     /// its lessor.
     Response(Node, u64, u64, PollResponse),
     /// The current leader receives these proposals.
@@ -119,7 +119,7 @@
     pub down_until: f64,
     pub requests_cut_until: f64,
     pub responses_cut_until: f64,
-    /// Until when the process polls the previous leader.
+    /// The time until which the process polls the previous leader.
     polls_old_leader_until: f64,
     /// When the process next checks whether a poll is due.
     next_poll_check_at: f64,
@@ -237,7 +237,7 @@
     last_serial: u64,
     /// The values of each key, by the revision that set them.
     values: BTreeMap<(Scope, Key), Vec<RevisedValue>>,
-    /// When each revision came into force.
+    /// The time at which each revision came into force.
     activations: Vec<(f64, Revision)>,
     /// When each proposal was made that is not part of a revision yet, with the proposal's id at the current
     /// leader.
--- a/replication/tests/replicas.rs
+++ b/replication/tests/replicas.rs
@@ -131,7 +131,7 @@
     observations: Observations,
     violations: usize,
     longest_conflict_ms: u64,
-    unsettled: Vec<String>,
+    differences: Vec<String>,
 }
 
 impl Outcome {
@@ -144,7 +144,7 @@
             observations.stale_leases,
             observations.restarted_scopes,
         ];
-        self.violations == 0 && faults == [0; 5] && self.unsettled.is_empty()
+        self.violations == 0 && faults == [0; 5] && self.differences.is_empty()
     }
 }
 
@@ -187,7 +187,7 @@
     Outcome {
         violations,
         longest_conflict_ms,
-        unsettled: simulation.unsettled(),
+        differences: simulation.differences(),
         observations: simulation.observations,
     }
 }
@@ -354,10 +354,10 @@
             (!outcome.is_sound()).then_some((seed, outcome))
         });
         let Some((seed, outcome)) = detected else { panic!("{fault:?} was not detected in 40 schedules") };
-        let (observations, unsettled) = (&outcome.observations, outcome.unsettled.len());
+        let (observations, differences) = (&outcome.observations, outcome.differences.len());
         println!(
             "{fault:?}: detected by schedule {seed}: {} violations, {} unknown, {} regressions, {} wrong entries, \
-             {} stale leases, {} restarted scopes, {unsettled} unsettled",
+             {} stale leases, {} restarted scopes, {differences} differences",
             outcome.violations,
             observations.unknown_at_activation,
             observations.regressions,
--- a/replication/tests/same_fleets.rs
+++ b/replication/tests/same_fleets.rs
@@ -49,7 +49,7 @@
     gateways: Vec<Follower<Tables>>,
     /// The index of the replica that each gateway polls; 2 stands for the primary.
     lessor_indices: Vec<usize>,
-    /// The messages on their way: arrival time in ms, follower, index of the lessor, and message.
+    /// The messages in flight: arrival time in ms, follower, index of the lessor, and message.
     in_flight: Vec<(f64, FollowerId, usize, SentMessage)>,
     incarnation: u64,
 }
