--- a/control-plane/tests/faulty_connections.rs
+++ b/control-plane/tests/faulty_connections.rs
@@ -80,9 +80,9 @@
     let response = Message::Proposed { proposal_id: 1, revision: Ok(1) };
     vec![
         (valid[..valid.len() - 2].to_vec(), "expected the whole frame"),
-        (corrupted, "checksum is not that of its bytes"),
+        (corrupted, "checksum that does not match its bytes"),
         (unknown_format, "format 9, expected 1"),
-        (invalid_content, "holds no message"),
+        (invalid_content, "does not contain a valid message"),
         (oversized, "1048577 bytes, expected 9 to 1048576"),
         (b"GET /ready HTTP/1.1\r\n\r\n".to_vec(), "expected 9 to 1048576"),
         (frame(&response), "expected a poll, a proposal or a status request"),
