--- a/gateway/tests/budget.rs
+++ b/gateway/tests/budget.rs
@@ -1,142 +1,159 @@
-//! Who gives way when descriptors are short: floods of silent, slow and idle connections beside usual clients.
+//! The descriptor budget under a shortage: which client connections are evicted when silent, slow or idle
+//! clients compete with regular clients.
 use std::collections::{BTreeMap, HashMap};
 use ternstack_gateway::budget::{ClientId, ConnectionState, DescriptorBudget, DescriptorGrant};
 
-/// What a connection in the play is.
+/// The behaviour of a simulated client connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-enum Who {
-    Usual,
+enum ClientKind {
+    /// Sends a complete request 2 ms after connecting, and stays idle after the response.
+    Regular,
+    /// Connects and sends nothing.
     Silent,
+    /// Sends a part of a request 1 ms after connecting, and then nothing more.
     Slow,
 }
 
-/// Plays connections against budget, in whole milliseconds, and counts what became of whom.
-struct Play {
+/// A simulation of client connections against a descriptor budget, in steps of 1 ms.
+struct Simulation {
     budget: DescriptorBudget,
-    now: u64,
-    who: HashMap<ClientId, Who>,
-    next: BTreeMap<(u64, u64), (ClientId, ConnectionState)>, // Due: what a connection does next.
-    planned: u64,
-    pushed_out: BTreeMap<(Who, bool), u32>, // Who gave way; true if that was before or in the middle of a request.
-    turned_away: BTreeMap<Who, u32>,
-    served: u32,
-    doing: HashMap<ClientId, ConnectionState>,
+    now_ms: u64,
+    kinds: HashMap<ClientId, ClientKind>,
+    /// The next state of each connection, by the time of the change in milliseconds and by the order of
+    /// scheduling.
+    scheduled: BTreeMap<(u64, u64), (ClientId, ConnectionState)>,
+    scheduled_count: u64,
+    /// The number of evicted connections, by kind of client and by whether the connection was evicted before
+    /// its request was complete.
+    evicted_counts: BTreeMap<(ClientKind, bool), u32>,
+    rejected_counts: BTreeMap<ClientKind, u32>,
+    served_count: u32,
+    states: HashMap<ClientId, ConnectionState>,
 }
 
-impl Play {
+impl Simulation {
     fn new(budget: usize) -> Self {
-        Play {
+        Simulation {
             budget: DescriptorBudget::new(budget),
-            now: 0,
-            who: HashMap::new(),
-            next: BTreeMap::new(),
-            planned: 0,
-            pushed_out: BTreeMap::new(),
-            turned_away: BTreeMap::new(),
-            served: 0,
-            doing: HashMap::new(),
+            now_ms: 0,
+            kinds: HashMap::new(),
+            scheduled: BTreeMap::new(),
+            scheduled_count: 0,
+            evicted_counts: BTreeMap::new(),
+            rejected_counts: BTreeMap::new(),
+            served_count: 0,
+            states: HashMap::new(),
         }
     }
 
-    fn plan(&mut self, after: u64, id: ClientId, doing: ConnectionState) {
-        self.planned += 1;
-        self.next.insert((self.now + after, self.planned), (id, doing));
+    fn schedule(&mut self, delay_ms: u64, id: ClientId, state: ConnectionState) {
+        self.scheduled_count += 1;
+        self.scheduled.insert((self.now_ms + delay_ms, self.scheduled_count), (id, state));
     }
 
-    fn connect(&mut self, who: Who) {
-        let id = match self.budget.admit(self.now as f64) {
+    fn connect(&mut self, kind: ClientKind) {
+        let id = match self.budget.admit(self.now_ms as f64) {
             DescriptorGrant::Admitted(id) => id,
             DescriptorGrant::Evicting { admitted: id, evicted: other } => {
-                let unserved = self.doing[&other] != ConnectionState::Idle;
-                assert_ne!(self.doing[&other], ConnectionState::Open, "an open request gives way to nobody");
-                *self.pushed_out.entry((self.who[&other], unserved)).or_default() += 1;
-                self.doing.remove(&other);
+                let is_unserved = self.states[&other] != ConnectionState::Idle;
+                assert_ne!(
+                    self.states[&other],
+                    ConnectionState::Open,
+                    "a connection with an open request is not evicted"
+                );
+                *self.evicted_counts.entry((self.kinds[&other], is_unserved)).or_default() += 1;
+                self.states.remove(&other);
                 id
             }
             DescriptorGrant::Full => {
-                *self.turned_away.entry(who).or_default() += 1;
+                *self.rejected_counts.entry(kind).or_default() += 1;
                 return;
             }
         };
-        self.who.insert(id, who);
-        self.doing.insert(id, ConnectionState::New);
-        match who {
-            Who::Usual => self.plan(2, id, ConnectionState::Open),
-            Who::Slow => self.plan(1, id, ConnectionState::Reading),
-            Who::Silent => {}
+        self.kinds.insert(id, kind);
+        self.states.insert(id, ConnectionState::New);
+        match kind {
+            ClientKind::Regular => self.schedule(2, id, ConnectionState::Open),
+            ClientKind::Slow => self.schedule(1, id, ConnectionState::Reading),
+            ClientKind::Silent => {}
         }
     }
 
-    /// Lets a millisecond pass.
-    fn pass(&mut self) {
-        self.now += 1;
-        while let Some(entry) = self.next.first_entry().filter(|e| e.key().0 <= self.now) {
-            let (id, doing) = entry.remove();
-            if !self.doing.contains_key(&id) {
-                continue; // It has given way.
+    /// Advances the simulation by 1 ms.
+    fn advance_1_ms(&mut self) {
+        self.now_ms += 1;
+        while let Some(entry) = self.scheduled.first_entry().filter(|e| e.key().0 <= self.now_ms) {
+            let (id, state) = entry.remove();
+            if !self.states.contains_key(&id) {
+                continue; // The connection has been evicted.
             }
-            self.doing.insert(id, doing);
-            self.budget.set_state(id, doing, self.now as f64);
-            if doing == ConnectionState::Open {
-                self.served += 1;
-                self.plan(30, id, ConnectionState::Idle);
+            self.states.insert(id, state);
+            self.budget.set_state(id, state, self.now_ms as f64);
+            if state == ConnectionState::Open {
+                self.served_count += 1;
+                self.schedule(30, id, ConnectionState::Idle);
             }
         }
         assert!(self.budget.client_count() <= self.budget.max_clients().max(1));
         let counted: usize =
             [ConnectionState::New, ConnectionState::Reading, ConnectionState::Open, ConnectionState::Idle]
-                .map(|d| self.budget.count_in(d))
+                .map(|state| self.budget.count_in(state))
                 .iter()
                 .sum();
-        assert_eq!(counted, self.doing.len());
+        assert_eq!(counted, self.states.len());
     }
 }
 
-/// A hundred requests a second on new connections, each kept when it is done, while others open connections at a given rate.
-fn play_with_others(others: Who, per_s: u64) -> Play {
-    let mut play = Play::new(200);
+/// Simulates 5 s in which 100 regular clients connect per second, while clients of the kind `other_kind`
+/// connect at the rate `connections_per_s`.
+fn simulate_with(other_kind: ClientKind, connections_per_s: u64) -> Simulation {
+    let mut simulation = Simulation::new(200);
     for ms in 0..5000 {
         if ms % 10 == 0 {
-            play.connect(Who::Usual);
+            simulation.connect(ClientKind::Regular);
         }
-        for _ in 0..(per_s * (ms + 1) / 1000 - per_s * ms / 1000) {
-            play.connect(others);
+        for _ in 0..(connections_per_s * (ms + 1) / 1000 - connections_per_s * ms / 1000) {
+            simulation.connect(other_kind);
         }
-        play.pass();
+        simulation.advance_1_ms();
     }
-    play
+    simulation
 }
 
 #[test]
-fn idle_clients_evict_no_connection_whose_request_is_on_its_way() {
-    // The row of idle ones is full all the time. Were who has brought nothing yet to go first, each new connection
-    // would push out the one before it, whose request is on its way, and nobody else: incident rfd526e.
-    let play = play_with_others(Who::Usual, 400);
-    assert_eq!(play.pushed_out.get(&(Who::Usual, true)), None);
-    assert_eq!(play.turned_away.get(&Who::Usual), None);
-    assert!(play.served >= 2490, "{}", play.served);
-    assert!(play.pushed_out[&(Who::Usual, false)] > 2000);
+fn idle_clients_cause_no_eviction_of_connections_whose_request_is_arriving() {
+    // Idle connections use up the budget throughout. If connections that have sent nothing yet were evicted
+    // first, each new connection would evict the preceding one, whose request is arriving, and no other_kind.
+    let simulation = simulate_with(ClientKind::Regular, 400);
+    assert_eq!(simulation.evicted_counts.get(&(ClientKind::Regular, true)), None);
+    assert_eq!(simulation.rejected_counts.get(&ClientKind::Regular), None);
+    assert!(simulation.served_count >= 2490, "{}", simulation.served_count);
+    assert!(simulation.evicted_counts[&(ClientKind::Regular, false)] > 2000);
 }
 
 #[test]
-fn floods_evict_themselves() {
-    for flood in [Who::Silent, Who::Slow] {
-        for per_s in [100, 1000, 5000] {
-            let play = play_with_others(flood, per_s);
-            assert_eq!(play.pushed_out.get(&(Who::Usual, true)), None, "{flood:?} at {per_s}");
-            if flood == Who::Silent {
-                assert_eq!(play.turned_away.get(&Who::Usual), None, "{per_s}");
-                assert!(play.served >= 499, "{per_s}: {}", play.served);
+fn a_flood_of_silent_or_slow_clients_evicts_no_regular_client_before_its_request_is_served() {
+    for flood in [ClientKind::Silent, ClientKind::Slow] {
+        for connections_per_s in [100, 1000, 5000] {
+            let simulation = simulate_with(flood, connections_per_s);
+            assert_eq!(
+                simulation.evicted_counts.get(&(ClientKind::Regular, true)),
+                None,
+                "{flood:?} at {connections_per_s}"
+            );
+            if flood == ClientKind::Silent {
+                assert_eq!(simulation.rejected_counts.get(&ClientKind::Regular), None, "{connections_per_s}");
+                assert!(simulation.served_count >= 499, "{connections_per_s}: {}", simulation.served_count);
             }
         }
     }
-    // Slow ones that fill all budget hold them for half a second at most.
-    let play = play_with_others(Who::Slow, 100);
-    assert!(play.served >= 499, "{}", play.served);
+    // Slow connections that use up the budget can be evicted after half a second.
+    let simulation = simulate_with(ClientKind::Slow, 100);
+    assert!(simulation.served_count >= 499, "{}", simulation.served_count);
 }
 
 #[test]
-fn each_side_has_its_minimum_and_may_use_what_the_other_leaves() {
+fn client_and_upstream_connections_each_have_a_minimum_and_may_use_free_descriptors() {
     let mut budget = DescriptorBudget::new(100);
     assert_eq!(budget.max_clients(), 75);
     let clients: Vec<ClientId> = (0..75)
@@ -146,10 +163,11 @@
         })
         .collect();
     clients.iter().for_each(|id| budget.set_state(*id, ConnectionState::Open, 1.0));
-    assert_eq!(budget.admit(1000.0), DescriptorGrant::Full, "open requests give way to nobody");
+    assert_eq!(budget.admit(1000.0), DescriptorGrant::Full, "connections with open requests are not evicted");
     assert_eq!((0..100).filter(|_| budget.open_upstream()).count(), 25);
     assert_eq!(budget.make_room(1000.0), None);
-    // Hosts use what clients leave, and keep some room for their next connections.
+    // Upstream connections may use descriptors that clients leave free, and an eighth of the budget stays
+    // reserved for the next upstream connections.
     clients[..50].iter().for_each(|id| assert!(budget.remove(*id)));
     assert_eq!((0..100).filter(|_| budget.open_upstream()).count(), 50);
     assert_eq!(budget.max_clients(), 25);
@@ -158,34 +176,36 @@
     assert!(budget.open_upstream() && !budget.open_upstream());
     (0..76).for_each(|_| budget.close_upstream());
     assert_eq!(budget.max_clients(), 75);
-    assert!(!budget.remove(clients[60]), "it has given way before");
+    assert!(!budget.remove(clients[60]), "an evicted connection is already removed");
     budget.set_state(clients[60], ConnectionState::Open, 3.0);
     assert_eq!(budget.client_count(), 24);
 }
 
 #[test]
-fn idle_clients_leave_descriptors_to_others() {
-    // The clients' side holds a third of the descriptors at most. Idle ones that are kept for 2 s would fill it at
-    // 60 a second, and usual clients would get no connection though every server has room: incident rfd526e.
+fn surplus_idle_connections_are_evicted_so_that_descriptors_stay_free() {
+    // Client connections get at most a third of the descriptors here. Idle connections that clients keep for
+    // 2 s would use up that third at 60 new connections per second, so that other clients could not connect
+    // although every endpoint has capacity.
     let mut budget = DescriptorBudget::new(336);
-    let (mut ended, mut most) = (0, 0);
+    let (mut evicted_count, mut max_client_count) = (0, 0);
     for n in 0..600u32 {
-        let now = f64::from(n) * 16.0;
-        let DescriptorGrant::Admitted(id) = budget.admit(now) else { panic!("there is room") };
-        budget.set_state(id, ConnectionState::Open, now + 2.0);
-        budget.set_state(id, ConnectionState::Idle, now + 12.0);
-        while budget.evict_surplus_idle(now + 12.0).is_some() {
-            ended += 1;
+        let now_ms = f64::from(n) * 16.0;
+        let DescriptorGrant::Admitted(id) = budget.admit(now_ms) else { panic!("the budget has room") };
+        budget.set_state(id, ConnectionState::Open, now_ms + 2.0);
+        budget.set_state(id, ConnectionState::Idle, now_ms + 12.0);
+        while budget.evict_surplus_idle(now_ms + 12.0).is_some() {
+            evicted_count += 1;
         }
-        most = most.max(budget.client_count());
+        max_client_count = max_client_count.max(budget.client_count());
     }
-    assert!(most <= 336 / 8 + 1, "{most}");
-    assert_eq!(ended, 600 - budget.client_count());
+    assert!(max_client_count <= 336 / 8 + 1, "{max_client_count}");
+    assert_eq!(evicted_count, 600 - budget.client_count());
 
-    // Those that were busy a moment ago are left alone: their next request may be on its way.
+    // Connections that became idle less than 100 ms ago are not evicted, because their next request may be
+    // arriving.
     let mut budget = DescriptorBudget::new(80);
     for n in 0..30u32 {
-        let DescriptorGrant::Admitted(id) = budget.admit(0.0) else { panic!("there is room") };
+        let DescriptorGrant::Admitted(id) = budget.admit(0.0) else { panic!("the budget has room") };
         budget.set_state(id, ConnectionState::Idle, f64::from(n));
     }
     assert_eq!(budget.evict_surplus_idle(60.0), None);
--- a/gateway/tests/client_connections.rs
+++ b/gateway/tests/client_connections.rs
@@ -1,4 +1,4 @@
-//! Clients' connections: invalid and slow requests, limits, eviction, pipelining and close.
+//! Client connections: invalid and slow requests, limits, eviction, pipelining, and closing.
 
 mod common;
 use common::*;
@@ -8,178 +8,201 @@
 use tokio::time::{sleep, timeout};
 
 #[tokio::test]
-async fn invalid_requests_get_the_reason_and_are_not_forwarded() {
-    let (mut server, discovery) = (Server::start(SERVED).await, Discovery::start().await);
-    let gateway = Gateway::start(&config(vec![target(1, server.at, "SERVING")], discovery.at)).await;
-    let long = format!("GET /api HTTP/1.1\r\nX-Long: {}\r\n\r\n", "x".repeat(20_000));
-    let api = |fields: &str| format!("GET /api HTTP/1.1\r\n{fields}\r\n\r\n");
+async fn invalid_requests_get_their_error_status_and_are_not_forwarded() {
+    let (mut server, discovery) = (StubServer::start(SERVE).await, StubDiscovery::start().await);
+    let gateway = Gateway::start(&gateway_config(
+        vec![endpoint_entry(1, server.address, "SERVING")],
+        discovery.address,
+    ))
+    .await;
+    let oversized_request = format!("GET /api HTTP/1.1\r\nX-Long: {}\r\n\r\n", "x".repeat(20_000));
+    let api_request = |fields: &str| format!("GET /api HTTP/1.1\r\n{fields}\r\n\r\n");
     for (text, status) in [
         ("\u{1}\u{2} garbage\r\n\r\n".into(), 400),
-        (api("X-Service-Class: look"), 400),
-        (api("X-Correlation-Id:\r\nX-Service-Class: look"), 400),
-        (api("X-Correlation-Id: a\r\nX-Correlation-Id: b\r\nX-Service-Class: look"), 400),
-        (api("X-Correlation-Id: a\r\nX-Service-Class: lunch"), 400),
-        (api("X-Correlation-Id: a\r\nX-Service-Class: book"), 400),
-        (api("X-Correlation-Id: a\r\nX-Service-Class: look\r\nX-Time-Left-Ms: soon"), 400),
-        (api("X-Correlation-Id: a\r\nX-Service-Class: look\r\nX-Time-Left-Ms: -5"), 400),
-        (api("X-Correlation-Id: a\r\nX-Service-Class: look\r\nX-Time-Left-Ms: 1e2"), 400),
-        (api("X-Correlation-Id: a\r\nX-Service-Class: look\r\nContent-Length: x"), 400),
-        (api("X-Correlation-Id: a\r\nX-Service-Class: look\r\nContent-Length: 65537"), 413),
-        (look("a").replace("GET", "DELETE"), 405),
-        (look("a").replace("/api", "/apis"), 404),
-        (long, 431),
+        (api_request("X-Service-Class: look"), 400),
+        (api_request("X-Correlation-Id:\r\nX-Service-Class: look"), 400),
+        (api_request("X-Correlation-Id: a\r\nX-Correlation-Id: b\r\nX-Service-Class: look"), 400),
+        (api_request("X-Correlation-Id: a\r\nX-Service-Class: lunch"), 400),
+        (api_request("X-Correlation-Id: a\r\nX-Service-Class: book"), 400),
+        (api_request("X-Correlation-Id: a\r\nX-Service-Class: look\r\nX-Time-Left-Ms: soon"), 400),
+        (api_request("X-Correlation-Id: a\r\nX-Service-Class: look\r\nX-Time-Left-Ms: -5"), 400),
+        (api_request("X-Correlation-Id: a\r\nX-Service-Class: look\r\nX-Time-Left-Ms: 1e2"), 400),
+        (api_request("X-Correlation-Id: a\r\nX-Service-Class: look\r\nContent-Length: x"), 400),
+        (api_request("X-Correlation-Id: a\r\nX-Service-Class: look\r\nContent-Length: 65537"), 413),
+        (look_request("a").replace("GET", "DELETE"), 405),
+        (look_request("a").replace("/api", "/apis"), 404),
+        (oversized_request, 431),
     ] {
         let mut client = gateway.client().await;
-        let answer = client.ask(&text).await;
+        let response = client.request(&text).await;
         assert_eq!(
-            (answer.start_line.code, answer.keep_alive),
+            (response.start_line.code, response.keep_alive),
             (status, status == 404),
             "{}",
             &text[..text.len().min(99)]
         );
     }
-    assert_eq!(server.so_far(), (vec![], 0));
-    // An unknown tenant is none.
-    let text = look("a").replace("\r\n\r\n", "\r\nX-Account: nobody\r\n\r\n");
-    assert_eq!(gateway.client().await.ask(&text).await.start_line.code, 200);
+    assert_eq!(server.take_events(), (vec![], 0));
+    // A request of an unknown tenant is treated as a request without a tenant.
+    let text = look_request("a").replace("\r\n\r\n", "\r\nX-Account: nobody\r\n\r\n");
+    assert_eq!(gateway.client().await.request(&text).await.start_line.code, 200);
 }
 
 #[tokio::test]
-async fn a_correlation_id_is_invalid_while_its_request_is_open() {
-    let (mut server, discovery) = (Server::start(ServerBehavior::Hang).await, Discovery::start().await);
-    let gateway = Gateway::start(&config(vec![target(1, server.at, "SERVING")], discovery.at)).await;
+async fn a_request_is_invalid_while_another_open_request_has_the_same_id() {
+    let (mut server, discovery) =
+        (StubServer::start(ServerBehavior::Hang).await, StubDiscovery::start().await);
+    let gateway = Gateway::start(&gateway_config(
+        vec![endpoint_entry(1, server.address, "SERVING")],
+        discovery.address,
+    ))
+    .await;
     let mut first = gateway.client().await;
-    first.send(&look("a")).await;
-    while !matches!(server.next().await, Seen::Request(_)) {}
-    let answer = gateway.client().await.ask(&look("a")).await;
-    assert_eq!((answer.start_line.code, answer.keep_alive), (400, false));
+    first.send(&look_request("a")).await;
+    while !matches!(server.next_event().await, ServerEvent::Request(_)) {}
+    let response = gateway.client().await.request(&look_request("a")).await;
+    assert_eq!((response.start_line.code, response.keep_alive), (400, false));
     drop(first);
-    while !matches!(server.next().await, Seen::Ended) {}
+    while !matches!(server.next_event().await, ServerEvent::Closed) {}
     let mut second = gateway.client().await;
-    second.send(&look("a")).await;
-    while !matches!(server.next().await, Seen::Request(_)) {}
+    second.send(&look_request("a")).await;
+    while !matches!(server.next_event().await, ServerEvent::Request(_)) {}
 }
 
 #[tokio::test]
-async fn silent_idle_and_slow_clients_time_out() {
-    let (server, discovery) = (Server::start(SERVED).await, Discovery::start().await);
-    let gateway = Gateway::start(&config(vec![target(1, server.at, "SERVING")], discovery.at)).await;
-    let (mut silent, mut once, mut half) =
+async fn silent_idle_and_slow_client_connections_time_out() {
+    let (server, discovery) = (StubServer::start(SERVE).await, StubDiscovery::start().await);
+    let gateway = Gateway::start(&gateway_config(
+        vec![endpoint_entry(1, server.address, "SERVING")],
+        discovery.address,
+    ))
+    .await;
+    let (mut silent, mut idle, mut slow) =
         (gateway.client().await, gateway.client().await, gateway.client().await);
-    assert_eq!(once.ask(&look("once")).await.start_line.code, 200);
-    half.send("POST /api HTTP/1.1\r\nContent-Length: 9\r\n\r\ndesk").await;
-    assert!(silent.answer().await.is_none() && once.answer().await.is_none());
-    assert_eq!(half.answer().await.expect("an answer").start_line.code, 408);
+    assert_eq!(idle.request(&look_request("once")).await.start_line.code, 200);
+    slow.send("POST /api HTTP/1.1\r\nContent-Length: 9\r\n\r\ndesk").await;
+    assert!(silent.read_response().await.is_none() && idle.read_response().await.is_none());
+    assert_eq!(slow.read_response().await.expect("the gateway responds").start_line.code, 408);
 }
 
 #[tokio::test]
 async fn an_error_response_reaches_a_client_that_is_still_sending() {
-    let discovery = Discovery::start().await;
-    let gateway = Gateway::start(&config(vec![], discovery.at)).await;
+    let discovery = StubDiscovery::start().await;
+    let gateway = Gateway::start(&gateway_config(vec![], discovery.address)).await;
     let Client { stream } = gateway.client().await;
-    let (mut reads, mut writes) = stream.into_split();
+    let (mut reader, mut writer) = stream.into_split();
     let sending = tokio::spawn(async move {
         let head = "POST /api HTTP/1.1\r\nContent-Length: 60000000\r\n\r\n";
-        let _ = tokio::io::AsyncWriteExt::write_all(&mut writes, head.as_bytes()).await;
-        let part = vec![b'x'; 1 << 16];
-        let mut sent = 0;
-        while tokio::io::AsyncWriteExt::write_all(&mut writes, &part).await.is_ok() && sent < 900 {
-            sent += 1;
+        let _ = tokio::io::AsyncWriteExt::write_all(&mut writer, head.as_bytes()).await;
+        let chunk = vec![b'x'; 1 << 16];
+        let mut chunks_sent = 0;
+        while tokio::io::AsyncWriteExt::write_all(&mut writer, &chunk).await.is_ok() && chunks_sent < 900 {
+            chunks_sent += 1;
         }
     });
-    let mut start = [0; 12];
-    tokio::io::AsyncReadExt::read_exact(&mut reads, &mut start).await.expect("an answer");
-    assert_eq!(&start, b"HTTP/1.1 413");
-    sending.await.expect("it ends");
+    let mut status_line = [0; 12];
+    tokio::io::AsyncReadExt::read_exact(&mut reader, &mut status_line).await.expect("the gateway responds");
+    assert_eq!(&status_line, b"HTTP/1.1 413");
+    sending.await.expect("the sending task does not panic");
 }
 
 #[tokio::test]
 async fn requests_beyond_max_open_are_rejected() {
-    let (mut server, discovery) = (Server::start(ServerBehavior::Hang).await, Discovery::start().await);
-    let mut told = config(vec![target(1, server.at, "SERVING")], discovery.at);
-    told["settings"]["limits"]["max_open"] = json!(1);
-    let gateway = Gateway::start(&told).await;
+    let (mut server, discovery) =
+        (StubServer::start(ServerBehavior::Hang).await, StubDiscovery::start().await);
+    let mut config = gateway_config(vec![endpoint_entry(1, server.address, "SERVING")], discovery.address);
+    config["settings"]["limits"]["max_open"] = json!(1);
+    let gateway = Gateway::start(&config).await;
     let mut first = gateway.client().await;
-    first.send(&look("a")).await;
-    while !matches!(server.next().await, Seen::Request(_)) {}
-    let answer = gateway.client().await.ask(&look("b")).await;
-    assert_eq!((answer.start_line.code, field(&answer, "retry-after")), (503, "2.000".into()));
+    first.send(&look_request("a")).await;
+    while !matches!(server.next_event().await, ServerEvent::Request(_)) {}
+    let response = gateway.client().await.request(&look_request("b")).await;
+    assert_eq!((response.start_line.code, header_value(&response, "retry-after")), (503, "2.000".into()));
 }
 
 #[tokio::test]
 async fn clients_beyond_the_descriptor_budget_are_rejected() {
-    let (mut server, discovery) = (Server::start(ServerBehavior::Hang).await, Discovery::start().await);
-    let mut told = config(vec![target(1, server.at, "SERVING")], discovery.at);
-    told["limits"]["sockets"] = json!(64); // 16 for clients and servers: seven open requests, and room kept for servers
-    let gateway = Gateway::start(&told).await;
+    let (mut server, discovery) =
+        (StubServer::start(ServerBehavior::Hang).await, StubDiscovery::start().await);
+    let mut config = gateway_config(vec![endpoint_entry(1, server.address, "SERVING")], discovery.address);
+    // Of 64 descriptors, 16 remain for connections: 7 client connections with an open request, their 7
+    // upstream connections, and a reserve for further upstream connections.
+    config["limits"]["sockets"] = json!(64);
+    let gateway = Gateway::start(&config).await;
     let mut clients = Vec::new();
     for n in 0..7 {
         clients.push(gateway.client().await);
-        clients[n].send(&look(&format!("id-{n}"))).await;
-        while !matches!(server.next().await, Seen::Request(_)) {}
+        clients[n].send(&look_request(&format!("id-{n}"))).await;
+        while !matches!(server.next_event().await, ServerEvent::Request(_)) {}
     }
-    let answer = gateway.client().await.ask(&look("late")).await;
-    assert_eq!((answer.start_line.code, answer.keep_alive), (503, false));
-    assert_eq!(server.so_far().0, Vec::<String>::new());
-    // Room again: connections that stand idle end for it.
+    let response = gateway.client().await.request(&look_request("late")).await;
+    assert_eq!((response.start_line.code, response.keep_alive), (503, false));
+    assert_eq!(server.take_events().0, Vec::<String>::new());
+    // Once the clients disconnect, new connections are admitted again.
     drop(clients);
     for n in 0..7 {
-        while !matches!(server.next().await, Seen::Ended) {}
+        while !matches!(server.next_event().await, ServerEvent::Closed) {}
         let mut idle = gateway.client().await;
-        assert_eq!(idle.ask("GET /ready HTTP/1.1\r\n\r\n").await.start_line.code, 200, "{n}");
+        assert_eq!(idle.request("GET /ready HTTP/1.1\r\n\r\n").await.start_line.code, 200, "{n}");
     }
 }
 
 #[tokio::test(start_paused = true)]
-async fn bytes_that_cross_the_close_of_an_idle_connection_are_not_reset() {
-    let _clock = hold_clock(true);
-    let discovery = Discovery::start().await;
-    let gateway = Gateway::start(&config(vec![], discovery.at)).await;
-    for late in ["G", "GET /ready HTTP/1.1\r\n", "GET /ready HTTP/1.1\r\n\r\n"] {
+async fn bytes_in_transit_when_an_idle_connection_is_closed_cause_no_reset() {
+    let _clock = start_clock_driver(true);
+    let discovery = StubDiscovery::start().await;
+    let gateway = Gateway::start(&gateway_config(vec![], discovery.address)).await;
+    for late_bytes in ["G", "GET /ready HTTP/1.1\r\n", "GET /ready HTTP/1.1\r\n\r\n"] {
         let mut client = gateway.client().await;
-        assert_eq!(client.ask("GET /ready HTTP/1.1\r\n\r\n").await.start_line.code, 200);
-        assert!(client.answer().await.is_none(), "it is idle for too long");
-        client.send(late).await;
-        // A reset would be here by now, and this write would meet it.
+        assert_eq!(client.request("GET /ready HTTP/1.1\r\n\r\n").await.start_line.code, 200);
+        assert!(client.read_response().await.is_none(), "the gateway closes the idle connection");
+        client.send(late_bytes).await;
+        // If the gateway had reset the connection, the reset would have arrived, and this write would fail.
         client.send("more").await;
         let mut byte = [0; 1];
-        let read = timeout(LONG, client.stream.read(&mut byte)).await.expect("an end");
-        assert!(matches!(read, Ok(0)), "{late:?}: {read:?}");
+        let read = timeout(TEST_TIMEOUT, client.stream.read(&mut byte)).await.expect("the connection ends");
+        assert!(matches!(read, Ok(0)), "{late_bytes:?}: {read:?}");
     }
 }
 
 #[tokio::test]
-async fn a_client_evicted_in_the_middle_of_its_request_is_rejected() {
-    let discovery = Discovery::start().await;
-    let mut told = config(vec![], discovery.at);
-    told["limits"]["sockets"] = json!(64);
-    let gateway = Gateway::start(&told).await;
-    let mut half = gateway.client().await;
-    half.send("POST /api HTTP/1.1\r\nContent-Length: 9\r\n\r\ndesk").await;
-    // Others come until it has to give way.
+async fn a_client_evicted_while_sending_its_request_is_rejected() {
+    let discovery = StubDiscovery::start().await;
+    let mut config = gateway_config(vec![], discovery.address);
+    config["limits"]["sockets"] = json!(64);
+    let gateway = Gateway::start(&config).await;
+    let mut first = gateway.client().await;
+    first.send("POST /api HTTP/1.1\r\nContent-Length: 9\r\n\r\ndesk").await;
+    // Other clients connect until the first connection is evicted.
     let mut others = Vec::new();
-    let answer = loop {
+    let status = loop {
         let mut other = gateway.client().await;
         other.send("POST /api HTTP/1.1\r\nContent-Length: 9\r\n\r\ndesk").await;
         others.push(other);
-        if let Ok(answer) = timeout(Duration::from_millis(20), next_answer(&mut half)).await {
-            break answer;
+        if let Ok(status) = timeout(Duration::from_millis(20), read_status(&mut first)).await {
+            break status;
         }
-        assert!(others.len() < 200, "it never gives way");
+        assert!(others.len() < 200, "the first connection is evicted");
     };
-    assert_eq!(answer, Some(503));
+    assert_eq!(status, Some(503));
 }
 
 #[tokio::test]
-async fn a_pipelined_request_forwards_only_the_time_left() {
-    let (_gateway, _server, mut client, mut wire) = request_in_flight().await;
-    let patience_ms = 5000;
-    let timed =
-        |id: &str| look(id).replace("\r\n\r\n", &format!("\r\nX-Time-Left-Ms: {patience_ms}\r\n\r\n"));
-    client.send(&timed("b")).await;
+async fn a_pipelined_request_is_forwarded_with_the_time_left_after_its_wait() {
+    let (_gateway, _server, mut client, mut connection) = request_in_flight().await;
+    let timeout_ms = 5000;
+    let timed_request =
+        |id: &str| look_request(id).replace("\r\n\r\n", &format!("\r\nX-Time-Left-Ms: {timeout_ms}\r\n\r\n"));
+    client.send(&timed_request("b")).await;
     sleep(Duration::from_millis(500)).await;
-    wire.write(DESK).await;
-    let told = field(&wire.request().await.expect("the next one"), "x-time-left-ms");
-    let told: u64 = told.parse().expect("a time");
-    assert!(told <= patience_ms - 500 + 150, "told {told} ms of {patience_ms}, half a second later");
+    connection.write(OK_RESPONSE).await;
+    let forwarded_time_left_ms = header_value(
+        &connection.read_request().await.expect("the pipelined request is forwarded"),
+        "x-time-left-ms",
+    );
+    let forwarded_time_left_ms: u64 = forwarded_time_left_ms.parse().expect("the time left is a number");
+    assert!(
+        forwarded_time_left_ms <= timeout_ms - 500 + 150,
+        "forwarded {forwarded_time_left_ms} ms of {timeout_ms} ms, half a second later"
+    );
 }
--- a/gateway/tests/client_disconnects.rs
+++ b/gateway/tests/client_disconnects.rs
@@ -1,4 +1,4 @@
-//! Clients that disconnect, and servers that drain, while a request is open.
+//! Clients that disconnect, and endpoints that drain, while a request is open.
 
 mod common;
 use common::*;
@@ -7,189 +7,252 @@
 use tokio::time::{sleep, timeout};
 
 #[tokio::test]
-async fn a_passed_deadline_and_a_disconnect_close_the_server_connection() {
-    let (mut server, discovery) = (Server::start(ServerBehavior::Hang).await, Discovery::start().await);
-    let gateway = Gateway::start(&config(vec![target(1, server.at, "SERVING")], discovery.at)).await;
+async fn the_upstream_connection_is_closed_when_the_deadline_passes_or_the_client_disconnects() {
+    let (mut server, discovery) =
+        (StubServer::start(ServerBehavior::Hang).await, StubDiscovery::start().await);
+    let gateway = Gateway::start(&gateway_config(
+        vec![endpoint_entry(1, server.address, "SERVING")],
+        discovery.address,
+    ))
+    .await;
     let mut client = gateway.client().await;
-    let short = look("a").replace("\r\n\r\n", "\r\nX-Time-Left-Ms: 1000\r\n\r\n");
-    assert_eq!(client.ask(&short).await.start_line.code, 503);
-    while !matches!(server.next().await, Seen::Ended) {}
-    let mut other = gateway.client().await;
-    other.send(&look("b")).await;
-    while !matches!(server.next().await, Seen::Request(_)) {}
-    drop(other);
-    while !matches!(server.next().await, Seen::Ended) {}
+    let short_request = look_request("a").replace("\r\n\r\n", "\r\nX-Time-Left-Ms: 1000\r\n\r\n");
+    assert_eq!(client.request(&short_request).await.start_line.code, 503);
+    while !matches!(server.next_event().await, ServerEvent::Closed) {}
+    let mut second_client = gateway.client().await;
+    second_client.send(&look_request("b")).await;
+    while !matches!(server.next_event().await, ServerEvent::Request(_)) {}
+    drop(second_client);
+    while !matches!(server.next_event().await, ServerEvent::Closed) {}
 }
 
 #[tokio::test]
-async fn an_attempt_still_dialling_when_its_client_disconnects_is_not_sent() {
-    for cancel in [false, true] {
-        let (mut server, discovery) = (UnacceptingServer::start().await, Discovery::start().await);
-        let mut told = config_with_unsafe_class(vec![target(1, server.at, "SERVING")], discovery.at);
-        told["settings"]["limits"]["cancel"] = cancel.into();
-        let gateway = Gateway::start(&told).await;
-        let (mut client, mut stays) = (gateway.client().await, gateway.client().await);
-        // It dials first, so its connection would be the first to come up.
-        client.send(&look("leaves")).await;
+async fn an_attempt_still_connecting_when_its_client_disconnects_is_not_sent() {
+    for may_cancel in [false, true] {
+        let (mut server, discovery) = (FullBacklogServer::start().await, StubDiscovery::start().await);
+        let mut config =
+            config_with_unsafe_class(vec![endpoint_entry(1, server.address, "SERVING")], discovery.address);
+        config["settings"]["limits"]["cancel"] = may_cancel.into();
+        let gateway = Gateway::start(&config).await;
+        let (mut leaving_client, mut staying_client) = (gateway.client().await, gateway.client().await);
+        // The attempt of the client that disconnects starts to connect first, so that its upstream
+        // connection is likely to be established first.
+        leaving_client.send(&look_request("leaves")).await;
         sleep(Duration::from_millis(100)).await;
-        drop(client);
+        drop(leaving_client);
         sleep(Duration::from_millis(100)).await;
-        stays.send(&look("stays")).await;
-        // Only the request whose client is still there comes through, whichever connection comes up first.
-        let mut wires = vec![server.hears().await];
+        staying_client.send(&look_request("stays")).await;
+        // Whichever connection is established first, only the request of the connected client is forwarded.
+        let mut connections = vec![server.accept_from_gateway().await];
         let mut text = String::new();
         while !text.contains("stays") {
             let mut bytes = [0; 4096];
-            let wire = wires.last_mut().expect("one");
-            match timeout(LONG, wire.read(&mut bytes)).await.expect("a request or an end") {
-                Ok(0) | Err(_) => wires.push(server.hears().await),
+            let connection = connections.last_mut().expect("a connection is accepted");
+            match timeout(TEST_TIMEOUT, connection.read(&mut bytes))
+                .await
+                .expect("the gateway sends a request or closes the connection")
+            {
+                Ok(0) | Err(_) => connections.push(server.accept_from_gateway().await),
                 Ok(n) => text.push_str(&String::from_utf8_lossy(&bytes[..n])),
             }
         }
         assert!(!text.contains("leaves"), "{text}");
-        wires.last_mut().expect("one").write_all(DESK.as_bytes()).await.expect("it is up");
-        assert_eq!(stays.answer().await.expect("an answer").start_line.code, 200);
+        connections
+            .last_mut()
+            .expect("a connection is accepted")
+            .write_all(OK_RESPONSE.as_bytes())
+            .await
+            .expect("the connection is open");
+        assert_eq!(staying_client.read_response().await.expect("the gateway responds").start_line.code, 200);
     }
 }
 
 #[tokio::test]
-async fn a_drain_during_the_dial_keeps_attempts_from_that_server() {
-    for mode in ["push", "ask"] {
-        let (mut leaving, mut other) = (UnacceptingServer::start().await, Server::start(SERVED).await);
-        let mut discovery = Discovery::start().await;
-        let mut told = config_with_unsafe_class(vec![target(1, leaving.at, "SERVING")], discovery.at);
-        told["settings"]["discovery"] = mode.into();
-        let gateway = Gateway::start(&told).await;
-        let (_, answer) = discovery.call().await;
+async fn an_attempt_still_connecting_when_its_endpoint_drains_is_sent_to_another_endpoint() {
+    for discovery_mode in ["push", "ask"] {
+        let (mut draining_server, mut serving_server) =
+            (FullBacklogServer::start().await, StubServer::start(SERVE).await);
+        let mut discovery = StubDiscovery::start().await;
+        let mut config = config_with_unsafe_class(
+            vec![endpoint_entry(1, draining_server.address, "SERVING")],
+            discovery.address,
+        );
+        config["settings"]["discovery"] = discovery_mode.into();
+        let gateway = Gateway::start(&config).await;
+        let (_, responder) = discovery.next_poll().await;
         let mut client = gateway.client().await;
         client.send(&unsafe_request("a")).await;
         sleep(Duration::from_millis(100)).await;
-        let change = vec![target(1, leaving.at, "DRAINING"), target(2, other.at, "SERVING")];
-        answer.send(ok(&list(42, false, change))).expect("asked");
-        let _waiting = discovery.call().await;
-        assert_eq!(ends(&mut leaving.hears().await).await, 0, "not a byte goes to the one that leaves");
-        // It surely never ran there, so even what must not run twice is sent to another.
-        assert_eq!(client.answer().await.expect("an answer").start_line.code, 200);
-        assert_eq!(other.so_far().0, ["a"]);
+        let delta = vec![
+            endpoint_entry(1, draining_server.address, "DRAINING"),
+            endpoint_entry(2, serving_server.address, "SERVING"),
+        ];
+        responder
+            .send(ok_response(&endpoint_list(42, false, delta)))
+            .expect("the poll waits for its response");
+        let _waiting = discovery.next_poll().await;
+        assert_eq!(
+            read_until_closed(&mut draining_server.accept_from_gateway().await).await,
+            0,
+            "nothing is sent to the draining endpoint"
+        );
+        // The request cannot have run at the draining endpoint, so that even a non-idempotent request is
+        // retried at another endpoint.
+        assert_eq!(client.read_response().await.expect("the gateway responds").start_line.code, 200);
+        assert_eq!(serving_server.take_events().0, ["a"]);
     }
 }
 
 #[tokio::test]
-async fn a_half_closed_client_is_answered_at_once() {
-    for (text, cancel, status) in
-        [(look("a"), true, 503), (unsafe_request("a"), true, 502), (look("a"), false, 503)]
+async fn a_client_that_ends_its_sending_side_gets_a_response_at_once() {
+    for (text, may_cancel, status) in
+        [(look_request("a"), true, 503), (unsafe_request("a"), true, 502), (look_request("a"), false, 503)]
     {
-        let (server, discovery) = (ScriptedServer::start().await, Discovery::start().await);
-        let mut told = config_with_unsafe_class(vec![target(1, server.at, "SERVING")], discovery.at);
-        told["settings"]["limits"]["cancel"] = cancel.into();
-        let gateway = Gateway::start(&told).await;
+        let (server, discovery) = (ScriptedServer::start().await, StubDiscovery::start().await);
+        let mut config =
+            config_with_unsafe_class(vec![endpoint_entry(1, server.address, "SERVING")], discovery.address);
+        config["settings"]["limits"]["cancel"] = may_cancel.into();
+        let gateway = Gateway::start(&config).await;
         let mut client = gateway.client().await;
         client.send(&text).await;
-        let mut wire = server.accept().await;
-        wire.request().await.expect("it is out");
-        client.stream.shutdown().await.expect("it is up");
-        let answer = client.answer().await.expect("it still reads");
+        let mut connection = server.accept().await;
+        connection.read_request().await.expect("the request is forwarded");
+        client.stream.shutdown().await.expect("the connection is open");
+        let response = client
+            .read_response()
+            .await
+            .expect("the client receives a response after it has ended its sending side");
         assert_eq!(
-            (answer.start_line.code, answer.keep_alive, field(&answer, "retry-after")),
+            (response.start_line.code, response.keep_alive, header_value(&response, "retry-after")),
             (status, false, "".into())
         );
-        if cancel {
-            assert!(wire.ends().await, "nobody waits for it any more");
+        if may_cancel {
+            assert!(connection.closes_without_data().await, "the attempt is cancelled");
         } else {
-            // What is out runs on where it may not be called off, and its answer does no harm.
-            wire.write(DESK).await;
-            let mut next = gateway.client().await;
-            next.send(&look("b")).await;
-            assert_eq!(field(&wire.request().await.expect("the same connection"), "x-correlation-id"), "b");
-            wire.write(DESK).await;
-            assert_eq!(next.answer().await.expect("an answer").start_line.code, 200);
+            // An attempt that may not be cancelled continues, and its response is not taken as the response
+            // to the next request.
+            connection.write(OK_RESPONSE).await;
+            let mut next_client = gateway.client().await;
+            next_client.send(&look_request("b")).await;
+            assert_eq!(
+                header_value(
+                    &connection
+                        .read_request()
+                        .await
+                        .expect("the next request is sent over the same connection"),
+                    "x-correlation-id"
+                ),
+                "b"
+            );
+            connection.write(OK_RESPONSE).await;
+            assert_eq!(next_client.read_response().await.expect("the gateway responds").start_line.code, 200);
         }
     }
 }
 
 #[tokio::test]
-async fn a_disconnect_behind_much_read_ahead_is_noticed() {
-    for bytes in [100, 4096, 5000, 300_000] {
-        let (_gateway, _server, mut client, mut wire) = request_in_flight().await;
-        client.send(&"x".repeat(bytes)).await;
+async fn a_disconnect_behind_pipelined_bytes_is_noticed() {
+    for byte_count in [100, 4096, 5000, 300_000] {
+        let (_gateway, _server, mut client, mut connection) = request_in_flight().await;
+        client.send(&"x".repeat(byte_count)).await;
         drop(client);
-        assert!(wire.ends().await, "{bytes} early bytes: the attempt ends with its client");
+        assert!(
+            connection.closes_without_data().await,
+            "{byte_count} pipelined bytes: the attempt is cancelled when the client disconnects"
+        );
     }
-    // One that never leaves and never stops counts as having left, and one that sends a little is served.
-    let (server, discovery) = (ScriptedServer::start().await, Discovery::start().await);
-    let gateway = Gateway::start(&config(vec![target(1, server.at, "SERVING")], discovery.at)).await;
-    let (mut floods, mut early) = (gateway.client().await, gateway.client().await);
-    floods.send(&look("a")).await;
-    let mut wire = server.accept().await;
-    wire.request().await.expect("it is out");
-    let part = "x".repeat(1 << 16);
-    let flood = async { while floods.stream.write_all(part.as_bytes()).await.is_ok() {} };
-    let (ended, ()) = tokio::join!(wire.ends(), flood);
-    assert!(ended, "its attempt ends, and so does its connection");
-    early.send(&format!("{}{}", look("b"), "x".repeat(5000))).await;
-    let mut wire = server.accept().await;
-    wire.request().await.expect("it is out");
-    wire.write(DESK).await;
-    let answer = early.answer().await.expect("an answer");
-    assert_eq!((answer.start_line.code, answer.keep_alive), (200, false));
+    // A client that sends without end counts as disconnected, and a client that pipelines a few bytes is
+    // served.
+    let (server, discovery) = (ScriptedServer::start().await, StubDiscovery::start().await);
+    let gateway = Gateway::start(&gateway_config(
+        vec![endpoint_entry(1, server.address, "SERVING")],
+        discovery.address,
+    ))
+    .await;
+    let (mut flooding_client, mut pipelining_client) = (gateway.client().await, gateway.client().await);
+    flooding_client.send(&look_request("a")).await;
+    let mut connection = server.accept().await;
+    connection.read_request().await.expect("the request is forwarded");
+    let chunk = "x".repeat(1 << 16);
+    let flood = async { while flooding_client.stream.write_all(chunk.as_bytes()).await.is_ok() {} };
+    let (is_closed, ()) = tokio::join!(connection.closes_without_data(), flood);
+    assert!(is_closed, "the attempt is cancelled, and its connection is closed");
+    pipelining_client.send(&format!("{}{}", look_request("b"), "x".repeat(5000))).await;
+    let mut connection = server.accept().await;
+    connection.read_request().await.expect("the request is forwarded");
+    connection.write(OK_RESPONSE).await;
+    let response = pipelining_client.read_response().await.expect("the gateway responds");
+    assert_eq!((response.start_line.code, response.keep_alive), (200, false));
 }
 
 #[tokio::test]
-async fn no_further_request_is_read_from_a_disconnected_client() {
-    let (gateway, server, mut client, mut wire) = request_in_flight().await;
-    // Its next request waits behind the first one.
-    client.send(&look("b")).await;
-    client.stream.shutdown().await.expect("it is up");
-    assert_eq!(client.answer().await.expect("an answer").start_line.code, 503);
-    assert!(wire.ends().await);
-    let mut other = gateway.client().await;
-    other.send(&look("c")).await;
-    let mut wire = server.accept().await;
-    assert_eq!(field(&wire.request().await.expect("a request"), "x-correlation-id"), "c");
+async fn a_pipelined_request_of_a_disconnected_client_is_not_forwarded() {
+    let (gateway, server, mut client, mut connection) = request_in_flight().await;
+    // The second request waits until the first one is answered.
+    client.send(&look_request("b")).await;
+    client.stream.shutdown().await.expect("the connection is open");
+    assert_eq!(client.read_response().await.expect("the gateway responds").start_line.code, 503);
+    assert!(connection.closes_without_data().await);
+    let mut other_client = gateway.client().await;
+    other_client.send(&look_request("c")).await;
+    let mut connection = server.accept().await;
+    assert_eq!(
+        header_value(&connection.read_request().await.expect("a request is forwarded"), "x-correlation-id"),
+        "c"
+    );
 }
 
 #[tokio::test]
-async fn no_attempt_begins_after_the_client_has_disconnected() {
-    for cancel in [false, true] {
-        let (one, two, discovery) =
-            (ScriptedServer::start().await, ScriptedServer::start().await, Discovery::start().await);
-        let known = vec![target(1, one.at, "SERVING"), target(2, two.at, "SERVING")];
-        let mut told = config_with_unsafe_class(known, discovery.at);
-        told["settings"]["limits"]["cancel"] = cancel.into();
-        let gateway = Gateway::start(&told).await;
+async fn no_retry_begins_after_the_client_has_disconnected() {
+    for may_cancel in [false, true] {
+        let (first_server, second_server, discovery) =
+            (ScriptedServer::start().await, ScriptedServer::start().await, StubDiscovery::start().await);
+        let entries = vec![
+            endpoint_entry(1, first_server.address, "SERVING"),
+            endpoint_entry(2, second_server.address, "SERVING"),
+        ];
+        let mut config = config_with_unsafe_class(entries, discovery.address);
+        config["settings"]["limits"]["cancel"] = may_cancel.into();
+        let gateway = Gateway::start(&config).await;
         let mut client = gateway.client().await;
-        client.send(&look("a")).await;
-        let (mut wire, other) = tokio::select! {
-            wire = one.accept() => (wire, &two),
-            wire = two.accept() => (wire, &one),
+        client.send(&look_request("a")).await;
+        let (mut connection, other_server) = tokio::select! {
+            connection = first_server.accept() => (connection, &second_server),
+            connection = second_server.accept() => (connection, &first_server),
         };
-        wire.request().await.expect("whole");
-        // Its answer tells that the leave has been heard. Then the server turns the attempt away, which could be sent again.
-        client.stream.shutdown().await.expect("it is up");
-        assert_eq!(client.answer().await.expect("an answer").start_line.code, 503);
-        let _ =
-            wire.stream.write_all(b"HTTP/1.1 503 No\r\nX-Unprocessed: 1\r\nContent-Length: 0\r\n\r\n").await;
-        // Whatever comes next, at either server, is the next client's.
-        let mut next = gateway.client().await;
-        next.send(&look("b")).await;
-        let mut wire = tokio::select! {
+        connection.read_request().await.expect("the request is forwarded");
+        // The response shows that the gateway has noticed the disconnect. The server then rejects the
+        // attempt, which could be retried.
+        client.stream.shutdown().await.expect("the connection is open");
+        assert_eq!(client.read_response().await.expect("the gateway responds").start_line.code, 503);
+        let _ = connection
+            .stream
+            .write_all(b"HTTP/1.1 503 No\r\nX-Unprocessed: 1\r\nContent-Length: 0\r\n\r\n")
+            .await;
+        // The next request that either server receives is the request of the second client.
+        let mut second_client = gateway.client().await;
+        second_client.send(&look_request("b")).await;
+        let mut connection = tokio::select! {
             biased;
-            request = wire.request() => match request {
+            request = connection.read_request() => match request {
                 Some(request) => {
-                    assert_eq!(field(&request, "x-correlation-id"), "b");
+                    assert_eq!(header_value(&request, "x-correlation-id"), "b");
                     continue;
                 }
                 None => tokio::select! {
-                    wire = one.accept() => wire,
-                    wire = two.accept() => wire,
+                    connection = first_server.accept() => connection,
+                    connection = second_server.accept() => connection,
                 },
             },
-            wire = other.accept() => wire,
+            connection = other_server.accept() => connection,
         };
         assert_eq!(
-            field(&wire.request().await.expect("a request"), "x-correlation-id"),
+            header_value(
+                &connection.read_request().await.expect("a request is forwarded"),
+                "x-correlation-id"
+            ),
             "b",
-            "cancel {cancel}"
+            "may_cancel {may_cancel}"
         );
     }
 }
--- a/gateway/tests/common/fixtures.rs
+++ b/gateway/tests/common/fixtures.rs
@@ -1,16 +1,18 @@
-//! Fixtures: lines of text that must not change. `TERNSTACK_WRITE_FIXTURES=1` writes them anew.
+//! Fixtures: files with recorded lines that must not change.
+//!
+//! With `TERNSTACK_WRITE_FIXTURES` set, the tests record the fixtures again.
 use std::path::PathBuf;
 
-/// Fails unless `lines` are those of the fixture `name`.
+/// Asserts that `lines` equal the lines of the fixture file `name`.
 pub fn assert_fixture(name: &str, lines: &[String]) {
     let path = PathBuf::from(env!("CARGO_MANIFEST_DIR")).join("tests/fixtures").join(name);
-    let seen = lines.join("\n") + "\n";
+    let actual = lines.join("\n") + "\n";
     if std::env::var_os("TERNSTACK_WRITE_FIXTURES").is_some() {
-        std::fs::write(&path, &seen).expect("the fixture is written");
+        std::fs::write(&path, &actual).expect("the fixture file is writable");
     }
-    let expected = std::fs::read_to_string(&path).expect("the fixture is there");
-    for (n, (seen, expected)) in seen.lines().zip(expected.lines()).enumerate() {
-        assert_eq!(seen, expected, "{name}, line {}", n + 1);
+    let expected = std::fs::read_to_string(&path).expect("the fixture file is readable");
+    for (index, (actual, expected)) in actual.lines().zip(expected.lines()).enumerate() {
+        assert_eq!(actual, expected, "{name}, line {}", index + 1);
     }
-    assert_eq!(seen.lines().count(), expected.lines().count(), "{name}: number of lines");
+    assert_eq!(actual.lines().count(), expected.lines().count(), "{name}: number of lines");
 }
--- a/gateway/tests/common/gateway.rs
+++ b/gateway/tests/common/gateway.rs
@@ -1,8 +1,8 @@
-//! The gateway in a task or in a thread of its own, its configuration, and its clients.
+//! A gateway in a task or thread of its own, the configuration of such a gateway, and its clients.
 use super::*;
 use serde_json::{json, Value};
 use std::net::SocketAddr;
-use std::sync::mpsc as threads;
+use std::sync::mpsc as blocking_mpsc;
 use std::time::Duration;
 use ternstack_gateway::config::Config;
 use ternstack_gateway::control::ControlConfig;
@@ -14,12 +14,13 @@
 use tokio::task::JoinHandle;
 use tokio::time::{sleep, timeout};
 
-/// A configuration with one safe and one keyed class.
-pub fn config(known: Vec<Value>, discovery: SocketAddr) -> Value {
+/// Returns a configuration with the idempotent class `look`, and with the class `book`, whose requests are
+/// idempotent with an idempotency key. The cached endpoint list consists of `cached_entries`.
+pub fn gateway_config(cached_entries: Vec<Value>, discovery: SocketAddr) -> Value {
     json!({
         "name": "n0", "listen": "127.0.0.1:0", "discovery": discovery.to_string(), "seed": "8c1f30d27a5be964",
         "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 256},
-        "known": list(41, true, known),
+        "known": endpoint_list(41, true, cached_entries),
         "settings": {
             "classes": [
                 {"name": "look", "aim_ms": 8000.0, "deadline_ms": 20000.0, "effect": "safe", "late_value": 0.2},
@@ -33,11 +34,12 @@
     })
 }
 
+/// A gateway in a task of the test's runtime.
 pub struct Gateway {
-    pub at: SocketAddr,
-    /// Where discovery answers.
+    pub address: SocketAddr,
+    /// The sender with which the test changes discovery's address.
     pub discovery: watch::Sender<SocketAddr>,
-    stop: Option<oneshot::Sender<()>>,
+    shutdown: Option<oneshot::Sender<()>>,
     pub task: JoinHandle<Result<(), ServeError>>,
 }
 
@@ -46,154 +48,186 @@
         Self::start_with_control(config, None).await
     }
 
-    /// The same, with what an operators' file tells it.
+    /// Starts a gateway that follows a control server, if `control` is given.
     pub async fn start_with_control(config: &Value, control: Option<ControlConfig>) -> Self {
-        let config = Config::read(&config.to_string(), |_| None).expect("a sound configuration");
-        let listener = TcpListener::bind(config.listen).await.expect("a free port");
-        let at = listener.local_addr().expect("an address");
-        let (stop, told) = oneshot::channel();
-        let told = async move { drop(told.await) };
-        let (discovery, now) = watch::channel(config.discovery);
-        let task = tokio::spawn(ternstack_gateway::serve_with_control(config, control, listener, now, told));
-        Gateway { at, discovery, stop: Some(stop), task }
+        let config = Config::read(&config.to_string(), |_| None).expect("the configuration is valid");
+        let listener = TcpListener::bind(config.listen).await.expect("a free port is bound");
+        let address = listener.local_addr().expect("a listener has an address");
+        let (shutdown, shutdown_signal) = oneshot::channel();
+        let shutdown_signal = async move { drop(shutdown_signal.await) };
+        let (discovery, discovery_address) = watch::channel(config.discovery);
+        let task = tokio::spawn(ternstack_gateway::serve_with_control(
+            config,
+            control,
+            listener,
+            discovery_address,
+            shutdown_signal,
+        ));
+        Gateway { address, discovery, shutdown: Some(shutdown), task }
     }
 
-    pub fn stop(&mut self) {
-        drop(self.stop.take());
+    /// Starts the graceful shutdown, without waiting for the shutdown to end.
+    pub fn shut_down(&mut self) {
+        drop(self.shutdown.take());
     }
 
     pub async fn client(&self) -> Client {
-        Client { stream: TcpStream::connect(self.at).await.expect("the gateway listens") }
+        Client { stream: TcpStream::connect(self.address).await.expect("the gateway accepts connections") }
     }
 }
 
+/// A client connection to the gateway.
 pub struct Client {
     pub stream: TcpStream,
 }
 
 impl Client {
     pub async fn send(&mut self, text: &str) {
-        self.stream.write_all(text.as_bytes()).await.expect("the gateway reads");
+        self.stream.write_all(text.as_bytes()).await.expect("the connection to the gateway is open");
     }
 
-    /// The next answer; `None` if the connection ends first.
-    pub async fn answer(&mut self) -> Option<CompleteMessage<StatusLine>> {
-        timeout(LONG, next(&mut self.stream, &mut Reader::new(MAX_BODY_BYTES)))
+    /// Reads the next response; returns `None` if the connection ends first.
+    pub async fn read_response(&mut self) -> Option<CompleteMessage<StatusLine>> {
+        timeout(TEST_TIMEOUT, read_message(&mut self.stream, &mut Reader::new(MAX_BODY_BYTES)))
             .await
-            .expect("an answer or an end")
+            .expect("the gateway responds or closes the connection")
     }
 
-    pub async fn ask(&mut self, text: &str) -> CompleteMessage<StatusLine> {
+    /// Sends a request and returns the response.
+    pub async fn request(&mut self, text: &str) -> CompleteMessage<StatusLine> {
         self.send(text).await;
-        self.answer().await.expect("an answer")
+        self.read_response().await.expect("the gateway responds")
     }
 }
 
-pub fn look(id: &str) -> String {
+/// Returns a request of the idempotent class `look`.
+pub fn look_request(id: &str) -> String {
     format!("GET /api?d=4 HTTP/1.1\r\nHost: backend.local\r\nX-Correlation-Id: {id}\r\nX-Service-Class: look\r\n\r\n")
 }
 
-/// A gateway in a thread of its own, which the test can make stand still.
+/// A gateway in a thread of its own, which the test can stall.
 pub struct StallableGateway {
-    pub at: SocketAddr,
-    /// Where discovery answers.
+    pub address: SocketAddr,
+    /// The sender with which the test changes discovery's address.
     pub discovery: watch::Sender<SocketAddr>,
-    holds: mpsc::UnboundedSender<threads::Receiver<()>>,
-    stop: Option<oneshot::Sender<()>>,
+    stalls: mpsc::UnboundedSender<blocking_mpsc::Receiver<()>>,
+    shutdown: Option<oneshot::Sender<()>>,
     thread: Option<std::thread::JoinHandle<Result<(), ServeError>>>,
 }
 
 impl StallableGateway {
     pub fn start(config: &Value) -> Self {
-        Self::start_with(config, || ())
+        Self::start_with_hook(config, || ())
     }
 
-    /// The same; its thread does `first` once it listens.
-    pub fn start_with(config: &Value, first: impl FnOnce() + Send + 'static) -> Self {
-        let config = Config::read(&config.to_string(), |_| None).expect("a sound configuration");
-        let (stop, told) = oneshot::channel();
-        let (discovery, now) = watch::channel(config.discovery);
-        let (tell, at) = threads::channel();
-        let (holds, mut held) = mpsc::unbounded_channel::<threads::Receiver<()>>();
+    /// Starts a gateway whose thread calls `on_listening` once the gateway listens.
+    pub fn start_with_hook(config: &Value, on_listening: impl FnOnce() + Send + 'static) -> Self {
+        let config = Config::read(&config.to_string(), |_| None).expect("the configuration is valid");
+        let (shutdown, shutdown_signal) = oneshot::channel();
+        let (discovery, discovery_address) = watch::channel(config.discovery);
+        let (address_sender, address) = blocking_mpsc::channel();
+        let (stalls, mut stall_receiver) = mpsc::unbounded_channel::<blocking_mpsc::Receiver<()>>();
         let thread = std::thread::spawn(move || {
-            let runtime =
-                tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
+            let runtime = tokio::runtime::Builder::new_current_thread()
+                .enable_all()
+                .build()
+                .expect("a runtime is built");
             runtime.block_on(async {
-                let listener = TcpListener::bind(config.listen).await.expect("a free port");
-                tell.send(listener.local_addr().expect("an address")).expect("the test waits");
+                let listener = TcpListener::bind(config.listen).await.expect("a free port is bound");
+                address_sender
+                    .send(listener.local_addr().expect("a listener has an address"))
+                    .expect("the test waits for the address");
                 tokio::spawn(async move {
-                    while let Some(until) = held.recv().await {
-                        let _ = until.recv();
+                    while let Some(released) = stall_receiver.recv().await {
+                        let _ = released.recv();
                     }
                 });
-                first();
-                let told = async move { drop(told.await) };
-                ternstack_gateway::serve_with_control(config, None, listener, now, told).await
+                on_listening();
+                let shutdown_signal = async move { drop(shutdown_signal.await) };
+                ternstack_gateway::serve_with_control(
+                    config,
+                    None,
+                    listener,
+                    discovery_address,
+                    shutdown_signal,
+                )
+                .await
             })
         });
-        let at = at.recv().expect("it listens");
-        StallableGateway { at, discovery, holds, stop: Some(stop), thread: Some(thread) }
+        let address = address.recv().expect("the gateway listens on its port");
+        StallableGateway { address, discovery, stalls, shutdown: Some(shutdown), thread: Some(thread) }
     }
 
-    /// From now on it stands still, until what this gives is dropped.
-    pub async fn hold(&self) -> threads::Sender<()> {
-        let (release, until) = threads::channel();
-        self.holds.send(until).expect("it runs");
+    /// Stalls the gateway's thread until the returned guard is dropped.
+    pub async fn stall(&self) -> blocking_mpsc::Sender<()> {
+        let (guard, released) = blocking_mpsc::channel();
+        self.stalls.send(released).expect("the gateway is running");
         sleep(Duration::from_millis(100)).await;
-        release
+        guard
     }
 
     pub async fn client(&self) -> Client {
-        Client { stream: TcpStream::connect(self.at).await.expect("the gateway listens") }
+        Client { stream: TcpStream::connect(self.address).await.expect("the gateway accepts connections") }
     }
 
-    pub fn stop(&mut self) {
-        drop(self.stop.take());
+    /// Starts the graceful shutdown, without waiting for the shutdown to end.
+    pub fn shut_down(&mut self) {
+        drop(self.shutdown.take());
     }
 }
 
 impl Drop for StallableGateway {
     fn drop(&mut self) {
-        self.stop();
-        let ended = self.thread.take().map(std::thread::JoinHandle::join);
+        self.shut_down();
+        let result = self.thread.take().map(std::thread::JoinHandle::join);
         if !std::thread::panicking() {
-            ended.expect("it was started").expect("no panic").expect("it ends well");
+            result
+                .expect("the thread was started")
+                .expect("the gateway does not panic")
+                .expect("the gateway stops without an error");
         }
     }
 }
 
-/// Of a kind with the deployments' own: an unsafe class, a repeat window, no advice, no cancelling, pushed lists.
-pub fn config_with_unsafe_class(known: Vec<Value>, discovery: std::net::SocketAddr) -> Value {
-    let mut told = config(known, discovery);
-    told["settings"]["classes"] = json!([
+/// Returns a configuration like that of a deployment: with the non-idempotent class `sign` and a short
+/// deduplication window, without `Retry-After` and cancellation, and with endpoint lists that discovery
+/// pushes.
+pub fn config_with_unsafe_class(cached_entries: Vec<Value>, discovery: std::net::SocketAddr) -> Value {
+    let mut config = gateway_config(cached_entries, discovery);
+    config["settings"]["classes"] = json!([
         {"name": "look", "aim_ms": 9000.0, "deadline_ms": 600_000.0, "effect": "safe"},
         {"name": "sign", "aim_ms": 9000.0, "deadline_ms": 600_000.0, "effect": "unsafe"},
         {"name": "hold", "aim_ms": 9000.0, "deadline_ms": 600_000.0, "effect": "keyed", "group": "all", "window_ms": 300.0}]);
-    told["settings"]["limits"]["cancel"] = false.into();
-    told["settings"]["limits"]["retry_after"] = false.into();
-    told["settings"]["limits"]["dial_timeout_ms"] = json!(20_000.0);
-    told["settings"]["limits"]["max_attempts"] = json!(6);
-    told["settings"]["discovery"] = "push".into();
-    told
+    config["settings"]["limits"]["cancel"] = false.into();
+    config["settings"]["limits"]["retry_after"] = false.into();
+    config["settings"]["limits"]["dial_timeout_ms"] = json!(20_000.0);
+    config["settings"]["limits"]["max_attempts"] = json!(6);
+    config["settings"]["discovery"] = "push".into();
+    config
 }
 
+/// Returns a request of the non-idempotent class `sign`.
 pub fn unsafe_request(id: &str) -> String {
     format!("POST /api HTTP/1.1\r\nX-Correlation-Id: {id}\r\nX-Service-Class: sign\r\nContent-Length: 4\r\n\r\ndesk")
 }
 
-/// A gateway that may call off, its server, a client, and the connection on which that one's request is out.
+/// Starts a gateway that may cancel attempts, and sends a request through it. Returns the gateway, the
+/// server, the client, and the server's connection, from which the request with the id `a` has been read but
+/// not answered.
 pub async fn request_in_flight() -> (Gateway, ScriptedServer, Client, ScriptedConnection) {
-    let (server, discovery) = (ScriptedServer::start().await, Discovery::start().await);
-    let mut told = config_with_unsafe_class(vec![target(1, server.at, "SERVING")], discovery.at);
-    told["settings"]["limits"]["cancel"] = true.into();
-    let gateway = Gateway::start(&told).await;
+    let (server, discovery) = (ScriptedServer::start().await, StubDiscovery::start().await);
+    let mut config =
+        config_with_unsafe_class(vec![endpoint_entry(1, server.address, "SERVING")], discovery.address);
+    config["settings"]["limits"]["cancel"] = true.into();
+    let gateway = Gateway::start(&config).await;
     let mut client = gateway.client().await;
-    client.send(&look("a")).await;
-    let mut wire = server.accept().await;
-    wire.request().await.expect("it is out");
-    (gateway, server, client, wire)
+    client.send(&look_request("a")).await;
+    let mut connection = server.accept().await;
+    connection.read_request().await.expect("the request is forwarded");
+    (gateway, server, client, connection)
 }
 
-pub async fn next_answer(client: &mut Client) -> Option<u16> {
-    client.answer().await.map(|answer| answer.start_line.code)
+/// Reads the next response and returns the status code; `None` if the connection ends first.
+pub async fn read_status(client: &mut Client) -> Option<u16> {
+    client.read_response().await.map(|response| response.start_line.code)
 }
--- a/gateway/tests/common/mod.rs
+++ b/gateway/tests/common/mod.rs
@@ -1,12 +1,13 @@
-//! What the gateway's tests share: stub servers, a stub discovery, clients, and the gateway between them.
-#![allow(dead_code, reason = "no test file uses all of these")]
+//! Helpers shared by the gateway's tests: stub endpoints, a stub discovery, clients, and a gateway between
+//! them.
+#![allow(dead_code, reason = "each test file uses only some of the helpers")]
 
 mod discovery;
 mod fixtures;
 mod gateway;
 mod servers;
 
-#[allow(unused_imports, reason = "no test file uses all of these")]
+#[allow(unused_imports, reason = "each test file uses only some of the helpers")]
 pub use {discovery::*, fixtures::*, gateway::*, servers::*};
 
 use std::net::SocketAddr;
@@ -17,75 +18,80 @@
 use tokio::task::JoinHandle;
 use tokio::time::timeout;
 
-/// Far longer than anything here takes: a test that hangs ends, and none depends on speed.
-pub const LONG: Duration = Duration::from_secs(60);
+/// The time after which a test that waits for an event fails. The timeout is far longer than any event takes,
+/// so that no test depends on the speed of the machine.
+pub const TEST_TIMEOUT: Duration = Duration::from_secs(60);
 
-/// Keeps a paused clock from moving by itself: it would, whenever nobody has work, and bytes on their way are no work.
-/// It moves on by a millisecond after each pause for the sockets, or where the test moves it.
-pub fn hold_clock(moves: bool) -> JoinHandle<()> {
+/// Keeps tokio's paused clock from advancing by itself. Tokio advances a paused clock whenever no task is
+/// ready, even while bytes are in transit between sockets. If `auto_advance` is true, the clock advances by
+/// 1 ms after each pause that gives the sockets time to become ready; otherwise only the test advances it.
+pub fn start_clock_driver(auto_advance: bool) -> JoinHandle<()> {
     tokio::spawn(async move {
         loop {
             for _ in 0..20 {
                 tokio::task::yield_now().await;
             }
             std::thread::sleep(Duration::from_micros(200));
-            if moves {
+            if auto_advance {
                 tokio::time::advance(Duration::from_millis(1)).await;
             }
         }
     })
 }
 
-/// The next whole request of a connection; `None` if it ends first.
-pub async fn next<S: StartLine>(
+/// Reads the next complete message from a connection; returns `None` if the connection ends first or the
+/// message is malformed.
+pub async fn read_message<S: StartLine>(
     stream: &mut TcpStream, reader: &mut Reader<S>,
 ) -> Option<CompleteMessage<S>> {
-    let mut ended = false;
+    let mut is_closed = false;
     loop {
-        match reader.next(ended) {
-            Ok(Some(request)) => return Some(request),
-            Ok(None) if !ended => {}
+        match reader.next(is_closed) {
+            Ok(Some(message)) => return Some(message),
+            Ok(None) if !is_closed => {}
             _ => return None,
         }
-        ended = stream.read_buf(reader.buffer()).await.unwrap_or(0) == 0;
+        is_closed = stream.read_buf(reader.buffer()).await.unwrap_or(0) == 0;
     }
 }
 
-pub fn field<S>(request: &CompleteMessage<S>, name: &str) -> String {
-    request.fields.text(name).unwrap_or("").to_string()
+/// Returns the value of a message's header; empty if the message has no such header.
+pub fn header_value<S>(message: &CompleteMessage<S>, name: &str) -> String {
+    message.fields.text(name).unwrap_or("").to_string()
 }
 
-/// Reads a connection to its end, by a close or a reset; the bytes that came.
-pub async fn ends(stream: &mut TcpStream) -> usize {
+/// Reads from a connection until the peer closes or resets it; returns the number of bytes read.
+pub async fn read_until_closed(stream: &mut TcpStream) -> usize {
     let mut bytes = Vec::new();
-    let _ = timeout(LONG, stream.read_to_end(&mut bytes)).await.expect("it ends");
+    let _ = timeout(TEST_TIMEOUT, stream.read_to_end(&mut bytes)).await.expect("the connection is closed");
     bytes.len()
 }
 
-/// A port that is bound and does not listen: connections to it are refused, and no other process is given it meanwhile.
+/// A port that is bound but not listening: connections to the port are refused, and no other process can be
+/// given the port.
 pub struct ReservedPort {
-    pub at: SocketAddr,
+    pub address: SocketAddr,
     socket: TcpSocket,
 }
 
 impl ReservedPort {
     pub fn new() -> Self {
-        let socket = TcpSocket::new_v4().expect("a socket");
-        socket.bind(([127, 0, 0, 1], 0).into()).expect("a free port");
-        ReservedPort { at: socket.local_addr().expect("an address"), socket }
+        let socket = TcpSocket::new_v4().expect("a socket is created");
+        socket.bind(([127, 0, 0, 1], 0).into()).expect("a free port is bound");
+        ReservedPort { address: socket.local_addr().expect("a bound socket has an address"), socket }
     }
 
-    /// Listens at the port from now on.
+    /// Starts listening on the port.
     pub fn listen(self) -> TcpListener {
-        self.socket.listen(1024).expect("the port is reserved")
+        self.socket.listen(1024).expect("the reserved port can be listened on")
     }
 }
 
-/// An address at which nobody answers, as long as the test's process runs.
-pub async fn nobody() -> SocketAddr {
+/// Returns an address that refuses connections until the test process ends.
+pub async fn refusing_address() -> SocketAddr {
     let port = ReservedPort::new();
-    let at = port.at;
-    // The socket stays open, so that the port is given to nobody else.
+    let address = port.address;
+    // The socket is never closed, so that the port is not given to another process.
     std::mem::forget(port);
-    at
+    address
 }
--- a/gateway/tests/config.rs
+++ b/gateway/tests/config.rs
@@ -1,4 +1,4 @@
-//! Configuration: faulty keys, and what takes precedence.
+//! The configuration: the keys that errors name, and the precedence of the file over environment variables.
 
 mod common;
 use common::*;
@@ -6,18 +6,21 @@
 use ternstack_gateway::config::Config;
 
 #[test]
-fn a_faulty_configuration_names_the_key() {
-    let good = config(
-        vec![target(1, "127.0.0.1:9".parse().expect("an address"), "SERVING")],
+fn an_error_about_an_invalid_configuration_names_the_key() {
+    let valid = gateway_config(
+        vec![endpoint_entry(1, "127.0.0.1:9".parse().expect("the address is well-formed"), "SERVING")],
         ([127, 0, 0, 1], 9).into(),
     );
     let read = |config: &Value, name: &str, value: &str| {
-        Config::read(&config.to_string(), |asked| (asked == name).then(|| value.to_string()))
+        Config::read(&config.to_string(), |variable_name| (variable_name == name).then(|| value.to_string()))
     };
-    let told = read(&good, "LB_LISTEN", "127.0.0.1:4000").expect("sound");
-    assert_eq!((told.listen.port(), told.seed, told.max_sockets), (4000, 0x8c1f_30d2_7a5b_e964, 256));
-    assert!(read(&good, "LB_LISTEN", "here").unwrap_err().to_string().starts_with("LB_LISTEN"));
-    assert!(read(&good, "LB_LOG", "loud").unwrap_err().to_string().starts_with("LB_LOG"));
+    let overridden = read(&valid, "LB_LISTEN", "127.0.0.1:4000").expect("the configuration is valid");
+    assert_eq!(
+        (overridden.listen.port(), overridden.seed, overridden.max_sockets),
+        (4000, 0x8c1f_30d2_7a5b_e964, 256)
+    );
+    assert!(read(&valid, "LB_LISTEN", "here").unwrap_err().to_string().starts_with("LB_LISTEN"));
+    assert!(read(&valid, "LB_LOG", "loud").unwrap_err().to_string().starts_with("LB_LOG"));
     for (path, value, key) in [
         ("/listen", json!("nowhere"), "listen"),
         ("/discovery", json!(7), "discovery"),
@@ -47,25 +50,25 @@
         ("/settings/classes/1/window_ms", json!(-1), "classes.window_ms"),
         ("/settings/tenants", json!({}), "tenants"),
     ] {
-        let mut bad = good.clone();
-        *bad.pointer_mut(path).expect("it is there") = value;
-        let problem = read(&bad, "", "").expect_err(path).to_string();
-        assert!(problem.contains(key) && problem.starts_with("LB_CONFIG"), "{path}: {problem}");
+        let mut invalid = valid.clone();
+        *invalid.pointer_mut(path).expect("the path exists in the valid configuration") = value;
+        let error = read(&invalid, "", "").expect_err(path).to_string();
+        assert!(error.contains(key) && error.starts_with("LB_CONFIG"), "{path}: {error}");
     }
-    let mut alone = good.clone();
-    alone["settings"]["me"] = json!(1);
-    assert!(read(&alone, "", "")
-        .expect_err("one gateway is number 0")
+    let mut single_gateway = valid.clone();
+    single_gateway["settings"]["me"] = json!(1);
+    assert!(read(&single_gateway, "", "")
+        .expect_err("the number of the only gateway must be 0")
         .to_string()
         .contains("me must be below instances"));
 }
 
 #[test]
-fn a_reread_file_takes_precedence_over_the_variable() {
-    let text = config(vec![], ([127, 0, 0, 1], 9).into()).to_string();
+fn a_reread_configuration_file_takes_precedence_over_the_environment_variable() {
+    let text = gateway_config(vec![], ([127, 0, 0, 1], 9).into()).to_string();
     let variable = |name: &str| (name == "LB_DISCOVERY").then(|| "127.0.0.1:8".to_string());
-    assert_eq!(Config::read(&text, variable).expect("sound").discovery.port(), 8);
-    assert_eq!(Config::reread(&text, variable).expect("sound").discovery.port(), 9);
+    assert_eq!(Config::read(&text, variable).expect("the configuration is valid").discovery.port(), 8);
+    assert_eq!(Config::reread(&text, variable).expect("the configuration is valid").discovery.port(), 9);
     let text = text.replace("\"discovery\":\"127", "\"elsewhere\":\"127");
-    assert_eq!(Config::reread(&text, variable).expect("sound").discovery.port(), 8);
+    assert_eq!(Config::reread(&text, variable).expect("the configuration is valid").discovery.port(), 8);
 }
--- a/gateway/tests/discovery.rs
+++ b/gateway/tests/discovery.rs
@@ -1,4 +1,4 @@
-//! Following the endpoint list: polls, silent watches, moves, cached and pushed lists.
+//! The watch of discovery: polls, silent watches, changes of the address, and cached and pushed lists.
 
 mod common;
 use common::*;
@@ -10,259 +10,336 @@
 use tokio::time::{sleep, Instant};
 
 #[tokio::test]
-async fn the_watch_continues_and_a_drain_applies_once_it_is_read() {
-    let (mut old, mut new) = (Server::start(SERVED).await, Server::start(SERVED).await);
-    let mut discovery = Discovery::start().await;
-    let gateway = Gateway::start(&config(vec![target(1, old.at, "SERVING")], discovery.at)).await;
-    let (query, answer) = discovery.call().await;
-    assert!(query.starts_with("/v1/endpoints?after=41&wait_ms="), "{query}");
-    answer
-        .send(ok(&list(42, false, vec![target(2, new.at, "SERVING"), target(1, old.at, "DRAINING")])))
-        .expect("asked");
-    let (query, answer) = discovery.call().await;
-    assert!(query.contains("after=42"), "{query}");
+async fn a_watch_applies_each_list_and_survives_failed_polls() {
+    let (mut old_server, mut new_server) = (StubServer::start(SERVE).await, StubServer::start(SERVE).await);
+    let mut discovery = StubDiscovery::start().await;
+    let gateway = Gateway::start(&gateway_config(
+        vec![endpoint_entry(1, old_server.address, "SERVING")],
+        discovery.address,
+    ))
+    .await;
+    let (poll_target, responder) = discovery.next_poll().await;
+    assert!(poll_target.starts_with("/v1/endpoints?after=41&wait_ms="), "{poll_target}");
+    responder
+        .send(ok_response(&endpoint_list(
+            42,
+            false,
+            vec![
+                endpoint_entry(2, new_server.address, "SERVING"),
+                endpoint_entry(1, old_server.address, "DRAINING"),
+            ],
+        )))
+        .expect("the poll waits for its response");
+    let (poll_target, responder) = discovery.next_poll().await;
+    assert!(poll_target.contains("after=42"), "{poll_target}");
     for n in 0..8 {
-        assert_eq!(gateway.client().await.ask(&look(&format!("id-{n}"))).await.start_line.code, 200);
+        assert_eq!(
+            gateway.client().await.request(&look_request(&format!("id-{n}"))).await.start_line.code,
+            200
+        );
     }
-    assert_eq!((old.so_far().0.len(), new.so_far().0.len()), (0, 8));
+    assert_eq!((old_server.take_events().0.len(), new_server.take_events().0.len()), (0, 8));
 
-    // A malformed list is a failed call: the list stands, and the next call asks from the same version.
-    answer.send(ok(&json!({"rev": 43, "all": true}))).expect("asked");
-    let (query, answer) = discovery.call().await;
-    assert!(query.contains("after=42"), "{query}");
-    assert_eq!(gateway.client().await.ask(&look("still")).await.start_line.code, 200);
-    // So is a connection that ends. Then a whole list, in which a server has moved.
-    drop(answer);
-    let moved = Server::start(SERVED).await;
-    let (_, answer) = discovery.call().await;
-    answer.send(ok(&list(44, true, vec![target(2, moved.at, "SERVING")]))).expect("asked");
-    let _waiting = discovery.call().await;
-    new.so_far();
-    assert_eq!(gateway.client().await.ask(&look("moved")).await.start_line.code, 200);
-    assert_eq!(new.so_far(), (vec![], 0));
+    // After a malformed response, the last list stays in use, and the next poll is from the same revision.
+    responder.send(ok_response(&json!({"rev": 43, "all": true}))).expect("the poll waits for its response");
+    let (poll_target, responder) = discovery.next_poll().await;
+    assert!(poll_target.contains("after=42"), "{poll_target}");
+    assert_eq!(gateway.client().await.request(&look_request("still")).await.start_line.code, 200);
+    // The same holds after a closed connection. A complete list then gives an endpoint another address.
+    drop(responder);
+    let moved_server = StubServer::start(SERVE).await;
+    let (_, responder) = discovery.next_poll().await;
+    responder
+        .send(ok_response(&endpoint_list(44, true, vec![endpoint_entry(2, moved_server.address, "SERVING")])))
+        .expect("the poll waits for its response");
+    let _pending_responder = discovery.next_poll().await;
+    new_server.take_events();
+    assert_eq!(gateway.client().await.request(&look_request("moved")).await.start_line.code, 200);
+    assert_eq!(new_server.take_events(), (vec![], 0));
 }
 
 #[tokio::test]
-async fn a_silent_discovery_is_polled_again() {
-    let (server, mut discovery) = (Server::start(SERVED).await, Discovery::start().await);
-    let gateway = Gateway::start(&config(vec![target(1, server.at, "SERVING")], discovery.at)).await;
-    let (_, _never_answered) = discovery.call().await;
-    // The call's own deadline ends it, the module asks anew, and the list stands meanwhile.
-    let (query, answer) = discovery.call().await;
-    assert!(query.contains("after=41"), "{query}");
-    assert_eq!(gateway.client().await.ask(&look("a")).await.start_line.code, 200);
-    answer.send(ok(&list(42, false, vec![]))).expect("asked");
-    assert!(discovery.call().await.0.contains("after=42"));
+async fn a_poll_without_a_response_is_repeated_and_the_cached_list_stays_in_use() {
+    let (server, mut discovery) = (StubServer::start(SERVE).await, StubDiscovery::start().await);
+    let gateway = Gateway::start(&gateway_config(
+        vec![endpoint_entry(1, server.address, "SERVING")],
+        discovery.address,
+    ))
+    .await;
+    let (_, _never_answered) = discovery.next_poll().await;
+    // The poll ends at its deadline, and the gateway polls again. Meanwhile the cached list stays in use.
+    let (poll_target, responder) = discovery.next_poll().await;
+    assert!(poll_target.contains("after=41"), "{poll_target}");
+    assert_eq!(gateway.client().await.request(&look_request("a")).await.start_line.code, 200);
+    responder.send(ok_response(&endpoint_list(42, false, vec![]))).expect("the poll waits for its response");
+    assert!(discovery.next_poll().await.0.contains("after=42"));
 }
 
-/// A watch of gateway `me` of `instances` that answers `answered` calls and then falls silent for good.
-async fn silent_watch(me: u32, instances: u32, answered: u64) {
-    let mut discovery = Discovery::start().await;
-    let (_at, at) = watch::channel(discovery.at);
-    let (asked, to_ask) = mpsc::channel(1);
-    let (queue, mut news) = mpsc::channel(16);
-    let turn = discovery::renewal_delay(me, instances);
-    assert!(turn < Duration::from_secs(1), "{turn:?}");
-    let config = FollowConfig { connect_timeout: LONG, revision: Some(41), renewal_delay: turn };
-    tokio::spawn(discovery::follow(at, config, to_ask, queue));
-    asked.send(()).await.expect("followed");
-    for n in 0..answered {
-        discovery.call().await.1.send(ok(&list(42 + n, false, vec![]))).expect("asked");
-        assert!(matches!(news.recv().await, Some(GatewayEvent::Discovery(DiscoveryEvent::Update(_)))));
+/// Checks that the gateway with the number `gateway_index` of `gateway_count` gateways renews a watch that
+/// falls silent after `answered_polls` responses, and reports a watch as lost if the renewed watch is silent
+/// from its start.
+async fn check_watch_renewal(gateway_index: u32, gateway_count: u32, answered_polls: u64) {
+    let mut discovery = StubDiscovery::start().await;
+    let (_address_sender, address) = watch::channel(discovery.address);
+    let (request_sender, requests) = mpsc::channel(1);
+    let (event_sender, mut events) = mpsc::channel(16);
+    let renewal_delay = discovery::renewal_delay(gateway_index, gateway_count);
+    assert!(renewal_delay < Duration::from_secs(1), "{renewal_delay:?}");
+    let config = FollowConfig { connect_timeout: TEST_TIMEOUT, revision: Some(41), renewal_delay };
+    tokio::spawn(discovery::follow(address, config, requests, event_sender));
+    request_sender.send(()).await.expect("the watch task is running");
+    for n in 0..answered_polls {
+        discovery
+            .next_poll()
+            .await
+            .1
+            .send(ok_response(&endpoint_list(42 + n, false, vec![])))
+            .expect("the poll waits for its response");
+        assert!(matches!(events.recv().await, Some(GatewayEvent::Discovery(DiscoveryEvent::Update(_)))));
     }
-    let (_, _silent) = discovery.call().await;
-    let (query, answer) = discovery.call().await;
-    assert!(query.contains(&format!("after={}&", 41 + answered)), "{query}");
-    assert!(news.try_recv().is_err(), "{me} of {instances}: lost before it was opened anew");
-    // What it missed comes; a second silence in a row is left to the module.
-    answer.send(ok(&list(60, false, vec![]))).expect("asked");
-    assert!(matches!(news.recv().await, Some(GatewayEvent::Discovery(DiscoveryEvent::Update(_)))));
-    let (_, _silent) = discovery.call().await;
-    let (_, _silent_too) = discovery.call().await;
-    assert!(news.try_recv().is_err(), "lost before it was opened anew");
-    assert!(matches!(news.recv().await, Some(GatewayEvent::Discovery(DiscoveryEvent::WatchLost))));
+    let (_, _silent) = discovery.next_poll().await;
+    let (poll_target, responder) = discovery.next_poll().await;
+    assert!(poll_target.contains(&format!("after={}&", 41 + answered_polls)), "{poll_target}");
+    assert!(
+        events.try_recv().is_err(),
+        "gateway {gateway_index} of {gateway_count}: the watch is renewed before it is reported as lost"
+    );
+    // The renewed watch receives the changes. A watch that falls silent before its first response is not
+    // renewed but reported as lost, so that the balancer decides when to request another watch.
+    responder.send(ok_response(&endpoint_list(60, false, vec![]))).expect("the poll waits for its response");
+    assert!(matches!(events.recv().await, Some(GatewayEvent::Discovery(DiscoveryEvent::Update(_)))));
+    let (_, _silent) = discovery.next_poll().await;
+    let (_, _also_silent) = discovery.next_poll().await;
+    assert!(events.try_recv().is_err(), "the watch is renewed before it is reported as lost");
+    assert!(matches!(events.recv().await, Some(GatewayEvent::Discovery(DiscoveryEvent::WatchLost))));
 }
 
 #[tokio::test]
-async fn a_silent_watch_is_renewed_within_the_notification_deadline() {
-    let all = [(0, 1, 0), (0, 1, 2), (2, 3, 0), (99, 100, 1), (299, 300, 0), (349, 350, 1)];
-    let all = all.map(|(me, instances, answered)| tokio::spawn(silent_watch(me, instances, answered)));
-    for one in all {
-        one.await.expect("it holds");
+async fn a_silent_watch_is_renewed_once_before_it_is_reported_as_lost() {
+    let checks = [(0, 1, 0), (0, 1, 2), (2, 3, 0), (99, 100, 1), (299, 300, 0), (349, 350, 1)];
+    let checks = checks.map(|(index, count, polls)| tokio::spawn(check_watch_renewal(index, count, polls)));
+    for check in checks {
+        check.await.expect("the check succeeds");
     }
-    // All of a fleet come one after another.
-    let turns: Vec<_> = (0..300).map(|me| discovery::renewal_delay(me, 300)).collect();
-    assert!(turns.windows(2).all(|pair| pair[0] < pair[1]));
+    // The gateways of a fleet renew their watches one after another.
+    let renewal_delays: Vec<_> =
+        (0..300).map(|gateway_index| discovery::renewal_delay(gateway_index, 300)).collect();
+    assert!(renewal_delays.windows(2).all(|pair| pair[0] < pair[1]));
 }
 
 #[tokio::test]
 async fn a_new_discovery_address_is_watched_at_once() {
-    let (mut server, mut new) = (Server::start(SERVED).await, Server::start(SERVED).await);
-    let (mut before, mut after) = (Discovery::start().await, Discovery::start().await);
-    let gateway = Gateway::start(&config(vec![target(1, server.at, "SERVING")], before.at)).await;
-    let (_, waiting) = before.call().await;
-    gateway.discovery.send(after.at).expect("it is followed");
-    // The call that waits at the old address holds nothing up, and what it says then is not heard.
-    let (query, answer) = after.call().await;
-    assert_eq!(query, "/v1/endpoints");
-    let _ = waiting.send(ok(&list(42, true, vec![])));
-    assert_eq!(gateway.client().await.ask(&look("meanwhile")).await.start_line.code, 200);
-    assert_eq!(server.so_far().0, ["meanwhile"]);
-    answer.send(ok(&list(7, true, vec![target(2, new.at, "SERVING")]))).expect("asked");
-    assert!(after.call().await.0.contains("after=7"));
-    assert_eq!(gateway.client().await.ask(&look("moved")).await.start_line.code, 200);
-    assert_eq!((server.so_far().0.len(), new.so_far().0), (0, vec!["moved".to_string()]));
+    let (mut server, mut new_server) = (StubServer::start(SERVE).await, StubServer::start(SERVE).await);
+    let (mut old_discovery, mut new_discovery) = (StubDiscovery::start().await, StubDiscovery::start().await);
+    let gateway = Gateway::start(&gateway_config(
+        vec![endpoint_entry(1, server.address, "SERVING")],
+        old_discovery.address,
+    ))
+    .await;
+    let (_, old_responder) = old_discovery.next_poll().await;
+    gateway.discovery.send(new_discovery.address).expect("the gateway watches the address");
+    // The poll at the old address is abandoned, and its response is ignored.
+    let (poll_target, responder) = new_discovery.next_poll().await;
+    assert_eq!(poll_target, "/v1/endpoints");
+    let _ = old_responder.send(ok_response(&endpoint_list(42, true, vec![])));
+    assert_eq!(gateway.client().await.request(&look_request("meanwhile")).await.start_line.code, 200);
+    assert_eq!(server.take_events().0, ["meanwhile"]);
+    responder
+        .send(ok_response(&endpoint_list(7, true, vec![endpoint_entry(2, new_server.address, "SERVING")])))
+        .expect("the poll waits for its response");
+    assert!(new_discovery.next_poll().await.0.contains("after=7"));
+    assert_eq!(gateway.client().await.request(&look_request("moved")).await.start_line.code, 200);
+    assert_eq!((server.take_events().0.len(), new_server.take_events().0), (0, vec!["moved".to_string()]));
 }
 
 #[tokio::test]
-async fn a_cached_list_of_any_revision_is_continued_with_deltas() {
-    for (known, call) in [(vec![], "/v1/endpoints"), (vec![1], "/v1/endpoints?after=0&wait_ms=100")] {
-        let (server, mut discovery) = (Server::start(SERVED).await, Discovery::start().await);
-        let known = known.into_iter().map(|n| target(n, server.at, "SERVING")).collect();
-        let mut config = config(vec![], discovery.at);
-        config["known"] = list(0, true, known);
+async fn the_first_poll_continues_from_the_cached_revision_unless_the_cached_list_is_empty() {
+    for (entries, expected_poll_target) in
+        [(vec![], "/v1/endpoints"), (vec![1], "/v1/endpoints?after=0&wait_ms=100")]
+    {
+        let (server, mut discovery) = (StubServer::start(SERVE).await, StubDiscovery::start().await);
+        let entries = entries.into_iter().map(|n| endpoint_entry(n, server.address, "SERVING")).collect();
+        let mut config = gateway_config(vec![], discovery.address);
+        config["known"] = endpoint_list(0, true, entries);
         let _gateway = Gateway::start(&config).await;
-        assert_eq!(discovery.call().await.0, call);
+        assert_eq!(discovery.next_poll().await.0, expected_poll_target);
     }
 }
 
 #[tokio::test]
-async fn large_lists_with_long_names_are_followed_in_every_form() {
-    const HOSTS: usize = 1500;
-    let (first, second, third) =
-        (Server::start(SERVED).await, Server::start(SERVED).await, Server::start(SERVED).await);
-    let many = |at: std::net::SocketAddr, state: &str| -> Vec<serde_json::Value> {
-        let named = |n: usize| {
-            let mut target = target(n, at, state);
-            target["uid"] = format!("{n}-{}", "long-name.".repeat(60)).into();
-            target["az"] = "a".repeat(200).into();
-            target
+async fn large_lists_are_applied_as_cached_list_complete_list_and_delta() {
+    const ENDPOINTS: usize = 1500;
+    let (cached_server, complete_server, delta_server) =
+        (StubServer::start(SERVE).await, StubServer::start(SERVE).await, StubServer::start(SERVE).await);
+    let entries_at = |address: std::net::SocketAddr, state: &str| -> Vec<serde_json::Value> {
+        let long_entry = |n: usize| {
+            let mut entry = endpoint_entry(n, address, state);
+            entry["uid"] = format!("{n}-{}", "long-name.".repeat(60)).into();
+            entry["az"] = "a".repeat(200).into();
+            entry
         };
-        (0..HOSTS).map(named).collect()
+        (0..ENDPOINTS).map(long_entry).collect()
     };
-    let mut discovery = Discovery::start().await;
-    let mut config = config(many(first.at, "SERVING"), discovery.at);
+    let mut discovery = StubDiscovery::start().await;
+    let mut config = gateway_config(entries_at(cached_server.address, "SERVING"), discovery.address);
     config["settings"]["instances"] = 1024.into();
     config["settings"]["me"] = 1023.into();
     let gateway = Gateway::start(&config).await;
-    let served_by = |server: &mut Server| server.so_far().0.len();
-    let [mut first, mut second, mut third] = [first, second, third];
-    assert_eq!(gateway.client().await.ask(&look("known")).await.start_line.code, 200);
-    assert_eq!(served_by(&mut first), 1);
+    let served_by = |server: &mut StubServer| server.take_events().0.len();
+    let [mut cached_server, mut complete_server, mut delta_server] =
+        [cached_server, complete_server, delta_server];
+    assert_eq!(gateway.client().await.request(&look_request("known")).await.start_line.code, 200);
+    assert_eq!(served_by(&mut cached_server), 1);
 
-    let whole = list(42, true, many(second.at, "SERVING"));
-    assert!(whole.to_string().len() > 1 << 20, "more than a mebibyte");
-    let (_, answer) = discovery.call().await;
-    answer.send(ok(&whole)).expect("asked");
-    let (query, answer) = discovery.call().await;
-    assert!(query.contains("after=42"), "{query}");
-    assert_eq!(gateway.client().await.ask(&look("whole")).await.start_line.code, 200);
-    assert_eq!((served_by(&mut first), served_by(&mut second)), (0, 1));
+    let complete_list = endpoint_list(42, true, entries_at(complete_server.address, "SERVING"));
+    assert!(complete_list.to_string().len() > 1 << 20, "the list is larger than 1 MiB");
+    let (_, responder) = discovery.next_poll().await;
+    responder.send(ok_response(&complete_list)).expect("the poll waits for its response");
+    let (poll_target, responder) = discovery.next_poll().await;
+    assert!(poll_target.contains("after=42"), "{poll_target}");
+    assert_eq!(gateway.client().await.request(&look_request("whole")).await.start_line.code, 200);
+    assert_eq!((served_by(&mut cached_server), served_by(&mut complete_server)), (0, 1));
 
-    answer.send(ok(&list(43, false, many(third.at, "SERVING")))).expect("asked");
-    let (query, _answer) = discovery.call().await;
-    assert!(query.contains("after=43"), "{query}");
-    assert_eq!(gateway.client().await.ask(&look("changes")).await.start_line.code, 200);
-    assert_eq!((served_by(&mut second), served_by(&mut third)), (0, 1));
+    responder
+        .send(ok_response(&endpoint_list(43, false, entries_at(delta_server.address, "SERVING"))))
+        .expect("the poll waits for its response");
+    let (poll_target, _responder) = discovery.next_poll().await;
+    assert!(poll_target.contains("after=43"), "{poll_target}");
+    assert_eq!(gateway.client().await.request(&look_request("changes")).await.start_line.code, 200);
+    assert_eq!((served_by(&mut complete_server), served_by(&mut delta_server)), (0, 1));
 }
 
 #[tokio::test]
-async fn pushed_lists_are_watched_from_the_start_and_after_each_lost_watch() {
-    let (mut old, mut new) = (Server::start(SERVED).await, Server::start(SERVED).await);
-    let mut discovery = Discovery::start().await;
-    let known = vec![target(1, old.at, "SERVING"), target(2, new.at, "SERVING")];
-    let gateway = Gateway::start(&config_with_unsafe_class(known, discovery.at)).await;
-    let (query, answer) = discovery.call().await;
-    assert!(query.contains("after=41"), "{query}");
-    answer.send(ok(&list(42, false, vec![target(1, old.at, "DRAINING")]))).expect("asked");
-    let (_, reset) = discovery.call().await;
-    assert_eq!(gateway.client().await.ask(&look("a")).await.start_line.code, 200);
-    assert_eq!((old.so_far().0.len(), new.so_far().0.len()), (0, 1));
-    // A watch that ends, is refused and gets garbage is opened anew each time, and what changed meanwhile is there.
-    drop(reset);
-    let (_, refused) = discovery.call().await;
-    refused.send("HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n".into()).expect("asked");
-    let (_, spoilt) = discovery.call().await;
-    spoilt.send("HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\n{\"rev".into()).expect("asked");
-    let (query, answer) = discovery.call().await;
-    assert!(query.contains("after=42"), "{query}");
-    let indented = serde_json::to_string_pretty(&list(43, true, vec![target(1, old.at, "SERVING")]));
-    let indented = indented.expect("text");
+async fn with_pushed_lists_a_watch_begins_at_startup_and_after_each_lost_watch() {
+    let (mut old_server, mut new_server) = (StubServer::start(SERVE).await, StubServer::start(SERVE).await);
+    let mut discovery = StubDiscovery::start().await;
+    let entries = vec![
+        endpoint_entry(1, old_server.address, "SERVING"),
+        endpoint_entry(2, new_server.address, "SERVING"),
+    ];
+    let gateway = Gateway::start(&config_with_unsafe_class(entries, discovery.address)).await;
+    let (poll_target, responder) = discovery.next_poll().await;
+    assert!(poll_target.contains("after=41"), "{poll_target}");
+    responder
+        .send(ok_response(&endpoint_list(42, false, vec![endpoint_entry(1, old_server.address, "DRAINING")])))
+        .expect("the poll waits for its response");
+    let (_, reset_responder) = discovery.next_poll().await;
+    assert_eq!(gateway.client().await.request(&look_request("a")).await.start_line.code, 200);
+    assert_eq!((old_server.take_events().0.len(), new_server.take_events().0.len()), (0, 1));
+    // A watch begins again after a closed connection, after a status 503 and after a malformed response, and
+    // then receives the changes since the last revision.
+    drop(reset_responder);
+    let (_, rejected_responder) = discovery.next_poll().await;
+    rejected_responder
+        .send("HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n".into())
+        .expect("the poll waits for its response");
+    let (_, malformed_responder) = discovery.next_poll().await;
+    malformed_responder
+        .send("HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\n{\"rev".into())
+        .expect("the poll waits for its response");
+    let (poll_target, responder) = discovery.next_poll().await;
+    assert!(poll_target.contains("after=42"), "{poll_target}");
+    let indented = serde_json::to_string_pretty(&endpoint_list(
+        43,
+        true,
+        vec![endpoint_entry(1, old_server.address, "SERVING")],
+    ));
+    let indented = indented.expect("the list is serialized");
     let text = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{indented}", indented.len());
-    answer.send(text).expect("asked");
-    let _waiting = discovery.call().await;
-    assert_eq!(gateway.client().await.ask(&look("b")).await.start_line.code, 200);
-    assert_eq!((old.so_far().0.len(), new.so_far().0.len()), (1, 0));
+    responder.send(text).expect("the poll waits for its response");
+    let _pending_responder = discovery.next_poll().await;
+    assert_eq!(gateway.client().await.request(&look_request("b")).await.start_line.code, 200);
+    assert_eq!((old_server.take_events().0.len(), new_server.take_events().0.len()), (1, 0));
 }
 
-/// How a call to discovery ends that tells nothing.
+/// How a poll fails.
 #[derive(Clone, Copy, Debug)]
 enum PollFailure {
+    /// There is no response.
     Silent,
-    Refused,
-    RefusedLate,
+    /// The status is 503 at once.
+    Rejected,
+    /// The status is 503 after 3 s.
+    RejectedLate,
+    /// The connection is closed without a response.
     Reset,
+    /// The body is not an endpoint list.
     Malformed,
 }
 
 #[tokio::test(start_paused = true)]
 async fn a_failed_poll_is_repeated_within_the_notification_deadline() {
-    let _clock = hold_clock(true);
-    let mut all = tokio::task::JoinSet::new();
-    for (instances, pushed) in [(1, false), (1, true), (30, false), (350, false), (350, true)] {
-        for before in [0, 2] {
-            for ends in [
+    let _clock = start_clock_driver(true);
+    let mut checks = tokio::task::JoinSet::new();
+    for (gateway_count, is_pushed) in [(1, false), (1, true), (30, false), (350, false), (350, true)] {
+        for answered_polls in [0, 2] {
+            for failure in [
                 PollFailure::Silent,
-                PollFailure::Refused,
-                PollFailure::RefusedLate,
+                PollFailure::Rejected,
+                PollFailure::RejectedLate,
                 PollFailure::Reset,
                 PollFailure::Malformed,
             ] {
-                all.spawn(next_poll(instances, pushed, before, ends));
+                checks.spawn(check_next_poll(gateway_count, is_pushed, answered_polls, failure));
             }
         }
     }
-    while let Some(one) = all.join_next().await {
-        one.expect("it holds");
+    while let Some(check) = checks.join_next().await {
+        check.expect("the check succeeds");
     }
 }
 
-/// The last of `instances` gateways, whose call `ends` so after so many that were answered `before`.
-async fn next_poll(instances: u64, pushed: bool, before: u64, ends: PollFailure) {
-    let refusal = "HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n";
-    let mut discovery = Discovery::start().await;
-    let mut told = config(vec![], discovery.at);
-    told["settings"]["instances"] = json!(instances);
-    told["settings"]["me"] = json!(instances - 1);
-    told["settings"]["discovery"] = if pushed { "push" } else { "ask" }.into();
-    let started = Instant::now();
-    let _gateway = Gateway::start(&told).await;
-    for n in 0..before {
-        discovery.call().await.1.send(ok(&list(42 + n, false, vec![]))).expect("asked");
+/// Checks how soon the last of `gateway_count` gateways polls again after a poll that fails with `failure`.
+/// Before the failed poll, `answered_polls` polls have a response. `is_pushed` says whether discovery pushes
+/// its lists.
+async fn check_next_poll(gateway_count: u64, is_pushed: bool, answered_polls: u64, failure: PollFailure) {
+    let rejection = "HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n";
+    let mut discovery = StubDiscovery::start().await;
+    let mut config = gateway_config(vec![], discovery.address);
+    config["settings"]["instances"] = json!(gateway_count);
+    config["settings"]["me"] = json!(gateway_count - 1);
+    config["settings"]["discovery"] = if is_pushed { "push" } else { "ask" }.into();
+    let started_at = Instant::now();
+    let _gateway = Gateway::start(&config).await;
+    for n in 0..answered_polls {
+        discovery
+            .next_poll()
+            .await
+            .1
+            .send(ok_response(&endpoint_list(42 + n, false, vec![])))
+            .expect("the poll waits for its response");
     }
-    let (_, answer) = discovery.call().await;
-    // All of a fleet call within so long, where they call one discovery.
-    let spread = Duration::from_millis(if pushed { 0 } else { (50 * (instances - 1)).min(2000) });
+    let (_, responder) = discovery.next_poll().await;
+    // The gateways of a fleet spread their first polls over `spread`, unless lists are pushed.
+    let spread = Duration::from_millis(if is_pushed { 0 } else { (50 * (gateway_count - 1)).min(2000) });
     let slack = Duration::from_millis(100);
-    let called = Instant::now();
-    assert!(before > 0 || called - started <= spread + slack, "{instances} {pushed}: {:?}", called - started);
-    let mut held = None;
-    match ends {
-        PollFailure::Silent => held = Some(answer),
-        PollFailure::Refused => drop(answer.send(refusal.into())),
-        PollFailure::RefusedLate => {
-            // As long as discovery keeps a call in its line.
+    let polled_at = Instant::now();
+    assert!(
+        answered_polls > 0 || polled_at - started_at <= spread + slack,
+        "{gateway_count} gateways, pushed {is_pushed}: first poll after {:?}",
+        polled_at - started_at
+    );
+    let mut held_responder = None;
+    match failure {
+        PollFailure::Silent => held_responder = Some(responder),
+        PollFailure::Rejected => drop(responder.send(rejection.into())),
+        PollFailure::RejectedLate => {
+            // Discovery may keep a poll in its queue for up to 3 s.
             sleep(Duration::from_secs(3)).await;
-            let _ = answer.send(refusal.into());
+            let _ = responder.send(rejection.into());
         }
-        PollFailure::Reset => drop(answer),
-        PollFailure::Malformed => drop(answer.send(ok(&json!({"rev": "x"})))),
+        PollFailure::Reset => drop(responder),
+        PollFailure::Malformed => drop(responder.send(ok_response(&json!({"rev": "x"})))),
     }
-    let _next = discovery.call().await;
-    // The formula of the operators' page: a call's own time, and the pause before the next.
-    let most = Duration::from_millis(3200) + spread.max(Duration::from_millis(200));
-    let took = called.elapsed();
-    assert!(took <= most + slack, "{instances} {pushed} {before} {ends:?}: {took:?}, not {most:?}");
-    assert!(most < Duration::from_secs(6));
-    drop(held);
+    let _next_poll = discovery.next_poll().await;
+    // The bound is the time of a poll, 3.2 s, plus the pause before the next poll.
+    let max_delay = Duration::from_millis(3200) + spread.max(Duration::from_millis(200));
+    let elapsed = polled_at.elapsed();
+    assert!(
+        elapsed <= max_delay + slack,
+        "{gateway_count} gateways, pushed {is_pushed}, {answered_polls} polls answered, {failure:?}: \
+         next poll after {elapsed:?}, expected at most {max_delay:?}"
+    );
+    assert!(max_delay < Duration::from_secs(6));
+    drop(held_responder);
 }
--- a/gateway/tests/faults.rs
+++ b/gateway/tests/faults.rs
@@ -1,5 +1,5 @@
-//! System calls that fail, as Linux documents: every rule holds. The faults are those of the rig's shim, here within the
-//! test's own process and in the gateway's thread alone, so that the peers stay sound.
+//! System calls that fail in ways that Linux documents. The shim of the fault tests injects the faults into
+//! this process, but only in the gateway's thread, so that the stub servers and clients work normally.
 
 mod common;
 #[allow(dead_code)]
@@ -15,42 +15,45 @@
 use tokio::sync::{Mutex, MutexGuard};
 use tokio::time::{timeout, Instant};
 
-/// The one control of this process.
-fn control() -> &'static Control {
-    static CONTROL: OnceLock<&Control> = OnceLock::new();
-    CONTROL.get_or_init(|| {
-        let control: &Control = Box::leak(Box::default());
-        control.thread.store(-1, Relaxed);
-        shim::follow(control);
-        control
+/// Returns the control of the shim, which exists once per process.
+fn fault_control() -> &'static Control {
+    static FAULT_CONTROL: OnceLock<&Control> = OnceLock::new();
+    FAULT_CONTROL.get_or_init(|| {
+        let handle: &Control = Box::leak(Box::default());
+        handle.thread.store(-1, Relaxed);
+        shim::follow(handle);
+        handle
     })
 }
 
-/// Faults are one test's at a time.
-async fn alone() -> MutexGuard<'static, ()> {
-    static TURN: Mutex<()> = Mutex::const_new(());
-    let turn = TURN.lock().await;
-    control().rates.iter().for_each(|rate| rate.store(0, Relaxed));
-    turn
+/// Waits until no other test injects faults, and resets all fault rates. The test may inject faults until the
+/// returned guard is dropped.
+async fn exclusive_faults() -> MutexGuard<'static, ()> {
+    static EXCLUSIVE: Mutex<()> = Mutex::const_new(());
+    let guard = EXCLUSIVE.lock().await;
+    fault_control().rates.iter().for_each(|rate| rate.store(0, Relaxed));
+    guard
 }
 
-fn set(kind: Kind, rate: u32) {
-    control().rates[kind as usize].store(rate, Relaxed);
+/// Sets the probability of a fault per system call, as a fraction of [`ALWAYS`].
+fn set_rate(kind: Kind, rate: u32) {
+    fault_control().rates[kind as usize].store(rate, Relaxed);
 }
 
-fn injected(kind: Kind) -> u64 {
-    control().injected[kind as usize].load(Relaxed)
+/// Returns how often a fault has been injected in this process.
+fn injected_count(kind: Kind) -> u64 {
+    fault_control().injected[kind as usize].load(Relaxed)
 }
 
-/// Starts a gateway whose thread is the only one that is subject to faults.
-fn start(config: &Value) -> StallableGateway {
-    StallableGateway::start_with(config, || {
-        control().thread.store(rustix::thread::gettid().as_raw_nonzero().get(), Relaxed);
+/// Starts a gateway whose thread is the only one in which faults are injected.
+fn start_gateway(config: &Value) -> StallableGateway {
+    StallableGateway::start_with_hook(config, || {
+        fault_control().thread.store(rustix::thread::gettid().as_raw_nonzero().get(), Relaxed);
     })
 }
 
-/// A keyed request with a body.
-fn book(id: &str, body: &str) -> String {
+/// Returns a request of the class `book`, with an idempotency key and a body.
+fn book_request(id: &str, body: &str) -> String {
     format!(
         "POST /api HTTP/1.1\r\nX-Correlation-Id: {id}\r\nX-Service-Class: book\r\nIdempotency-Key: k{id}\r\n\
          Content-Length: {}\r\n\r\n{body}",
@@ -58,208 +61,242 @@
     )
 }
 
-/// Requests over one connection while a fault is injected at each call; all are served, and at once.
-async fn serves_through(kind: Kind, rate: u32) {
-    let mut server = Server::start(SERVED).await;
-    let discovery = Discovery::start().await;
-    let gateway = start(&config(vec![target(1, server.at, "SERVING")], discovery.at));
-    let before = injected(kind);
-    set(kind, rate);
+/// Checks that requests over one connection are all served without delay while a fault is injected
+/// with the probability `rate`, a fraction of [`ALWAYS`].
+async fn check_served_despite(kind: Kind, rate: u32) {
+    let mut server = StubServer::start(SERVE).await;
+    let discovery = StubDiscovery::start().await;
+    let gateway =
+        start_gateway(&gateway_config(vec![endpoint_entry(1, server.address, "SERVING")], discovery.address));
+    let count_before = injected_count(kind);
+    set_rate(kind, rate);
     let mut client = gateway.client().await;
-    let started = Instant::now();
+    let started_at = Instant::now();
     let body = "room=two&".repeat(900);
     for n in 0..6 {
-        let answer = client.ask(&book(&format!("{n}"), &body)).await;
-        assert_eq!((answer.start_line.code, &answer.body[..]), (200, &b"desk"[..]), "request {n}");
-        let Seen::Request(ask) = seen_request(&mut server).await else { unreachable!() };
-        assert_eq!(ask.body.len(), body.len());
+        let response = client.request(&book_request(&format!("{n}"), &body)).await;
+        assert_eq!((response.start_line.code, &response.body[..]), (200, &b"desk"[..]), "request {n}");
+        let ServerEvent::Request(request) = next_request(&mut server).await else { unreachable!() };
+        assert_eq!(request.body.len(), body.len());
     }
-    assert!(injected(kind) > before, "nothing was injected");
-    // A request takes a few ms; one that waits for a time-out to go on takes a quarter of a second at least.
-    assert!(started.elapsed() < Duration::from_secs(20), "{:?}", started.elapsed());
+    assert!(injected_count(kind) > count_before, "the fault is injected");
+    // A request usually takes a few milliseconds. A request that continues only after a timeout takes at
+    // least 250 ms.
+    assert!(started_at.elapsed() < Duration::from_secs(20), "{:?}", started_at.elapsed());
 }
 
-async fn seen_request(server: &mut Server) -> Seen {
+/// Waits for the next request at a server whose connections must stay open.
+async fn next_request(server: &mut StubServer) -> ServerEvent {
     loop {
-        match server.next().await {
-            Seen::Request(ask) => return Seen::Request(ask),
-            Seen::Connected => {}
-            Seen::Ended => panic!("a connection to the server ended"),
+        match server.next_event().await {
+            ServerEvent::Request(request) => return ServerEvent::Request(request),
+            ServerEvent::Connected => {}
+            ServerEvent::Closed => panic!("the connections to the server stay open"),
         }
     }
 }
 
 #[tokio::test]
 async fn short_reads_are_continued() {
-    let _turn = alone().await;
-    serves_through(Kind::ReadShort, ALWAYS).await;
+    let _exclusive = exclusive_faults().await;
+    check_served_despite(Kind::ReadShort, ALWAYS).await;
 }
 
 #[tokio::test]
 async fn short_writes_are_continued() {
-    let _turn = alone().await;
-    serves_through(Kind::WriteShort, ALWAYS).await;
+    let _exclusive = exclusive_faults().await;
+    check_served_despite(Kind::WriteShort, ALWAYS).await;
 }
 
 #[tokio::test]
 async fn interrupted_reads_are_retried() {
-    let _turn = alone().await;
-    serves_through(Kind::ReadInterrupted, ALWAYS / 3).await;
+    let _exclusive = exclusive_faults().await;
+    check_served_despite(Kind::ReadInterrupted, ALWAYS / 3).await;
 }
 
 #[tokio::test]
 async fn interrupted_writes_are_retried() {
-    let _turn = alone().await;
-    serves_through(Kind::WriteInterrupted, ALWAYS / 3).await;
+    let _exclusive = exclusive_faults().await;
+    check_served_despite(Kind::WriteInterrupted, ALWAYS / 3).await;
 }
 
 #[tokio::test]
 async fn writes_that_lack_buffers_for_a_moment_are_retried() {
-    let _turn = alone().await;
-    serves_through(Kind::WriteNoBuffers, ALWAYS / 3).await;
+    let _exclusive = exclusive_faults().await;
+    check_served_despite(Kind::WriteNoBuffers, ALWAYS / 3).await;
 }
 
 #[tokio::test]
 async fn interrupted_waits_are_retried() {
-    let _turn = alone().await;
-    serves_through(Kind::WaitInterrupted, ALWAYS / 3).await;
+    let _exclusive = exclusive_faults().await;
+    check_served_despite(Kind::WaitInterrupted, ALWAYS / 3).await;
 }
 
 #[tokio::test]
-async fn a_list_received_in_short_and_interrupted_reads_is_followed() {
-    let _turn = alone().await;
-    let (mut old, mut new) = (Server::start(SERVED).await, Server::start(SERVED).await);
-    let mut discovery = Discovery::start().await;
-    let known = vec![target(1, old.at, "SERVING"), target(2, new.at, "SERVING")];
-    let gateway = start(&config(known, discovery.at));
-    set(Kind::ReadShort, ALWAYS);
-    set(Kind::ReadInterrupted, ALWAYS / 4);
-    let (query, answer) = discovery.call().await;
-    assert!(query.contains("after=41"), "{query}");
-    answer.send(ok(&list(42, false, vec![target(1, old.at, "DRAINING")]))).expect("asked");
-    // The next call comes over the same watch: nothing was lost on the way.
-    let (query, _waiting) = discovery.call().await;
-    assert!(query.contains("after=42"), "{query}");
-    assert_eq!(gateway.client().await.ask(&look("a")).await.start_line.code, 200);
-    assert_eq!((old.so_far().0.len(), new.so_far().0.len()), (0, 1));
+async fn an_endpoint_list_received_in_short_and_interrupted_reads_is_applied() {
+    let _exclusive = exclusive_faults().await;
+    let (mut old_server, mut new_server) = (StubServer::start(SERVE).await, StubServer::start(SERVE).await);
+    let mut discovery = StubDiscovery::start().await;
+    let entries = vec![
+        endpoint_entry(1, old_server.address, "SERVING"),
+        endpoint_entry(2, new_server.address, "SERVING"),
+    ];
+    let gateway = start_gateway(&gateway_config(entries, discovery.address));
+    set_rate(Kind::ReadShort, ALWAYS);
+    set_rate(Kind::ReadInterrupted, ALWAYS / 4);
+    let (poll_target, responder) = discovery.next_poll().await;
+    assert!(poll_target.contains("after=41"), "{poll_target}");
+    responder
+        .send(ok_response(&endpoint_list(42, false, vec![endpoint_entry(1, old_server.address, "DRAINING")])))
+        .expect("the poll waits for its response");
+    // The next poll is from the new revision, which shows that the whole list was received.
+    let (poll_target, _pending_responder) = discovery.next_poll().await;
+    assert!(poll_target.contains("after=42"), "{poll_target}");
+    assert_eq!(gateway.client().await.request(&look_request("a")).await.start_line.code, 200);
+    assert_eq!((old_server.take_events().0.len(), new_server.take_events().0.len()), (0, 1));
 }
 
 #[tokio::test]
-async fn a_poll_that_fails_on_this_machine_is_retried_within_its_deadline() {
-    let _turn = alone().await;
-    let (old, new) = (Server::start(SERVED).await, Server::start(SERVED).await);
-    let (mut before, mut after) = (Discovery::start().await, Discovery::start().await);
-    let mut told = config(vec![target(1, old.at, "SERVING"), target(2, new.at, "SERVING")], before.at);
-    // A large fleet's pause between calls is 1 to 2 s.
-    told["settings"]["instances"] = json!(350);
-    let gateway = start(&told);
-    let (_, _waiting) = before.call().await;
+async fn a_poll_that_cannot_connect_for_a_local_reason_is_retried_within_its_deadline() {
+    let _exclusive = exclusive_faults().await;
+    let (old_server, new_server) = (StubServer::start(SERVE).await, StubServer::start(SERVE).await);
+    let (mut old_discovery, mut new_discovery) = (StubDiscovery::start().await, StubDiscovery::start().await);
+    let mut config = gateway_config(
+        vec![
+            endpoint_entry(1, old_server.address, "SERVING"),
+            endpoint_entry(2, new_server.address, "SERVING"),
+        ],
+        old_discovery.address,
+    );
+    // With 350 gateways, the pause before another watch would be 1 to 2 s.
+    config["settings"]["instances"] = json!(350);
+    let gateway = start_gateway(&config);
+    let (_, _old_responder) = old_discovery.next_poll().await;
     for kind in
         [Kind::ConnectNoAddress, Kind::ConnectUnreachable, Kind::ConnectNoBuffers, Kind::SocketFileTable]
     {
-        set(kind, ALWAYS);
+        set_rate(kind, ALWAYS);
     }
-    gateway.discovery.send_replace(after.at);
-    while injected(Kind::ConnectNoAddress) + injected(Kind::SocketFileTable) == 0 {
+    gateway.discovery.send_replace(new_discovery.address);
+    while injected_count(Kind::ConnectNoAddress) + injected_count(Kind::SocketFileTable) == 0 {
         tokio::time::sleep(Duration::from_millis(5)).await;
     }
-    control().rates.iter().for_each(|rate| rate.store(0, Relaxed));
-    let started = Instant::now();
-    let (query, _answer) = after.call().await;
-    assert!(!query.contains("after"), "{query}");
-    assert!(started.elapsed() < Duration::from_millis(800), "{:?}", started.elapsed());
+    fault_control().rates.iter().for_each(|rate| rate.store(0, Relaxed));
+    let started_at = Instant::now();
+    let (poll_target, _responder) = new_discovery.next_poll().await;
+    assert!(!poll_target.contains("after"), "{poll_target}");
+    assert!(started_at.elapsed() < Duration::from_millis(800), "{:?}", started_at.elapsed());
 }
 
-/// Connections that are accepted although accepting fails now and then; whether a connection at rest stays.
-async fn accepts_through(kind: Kind, rate: u32, keeps: bool) {
-    let server = Server::start(SERVED).await;
-    let discovery = Discovery::start().await;
-    let gateway = start(&config(vec![target(1, server.at, "SERVING")], discovery.at));
-    let mut resting = gateway.client().await;
-    assert_eq!(resting.ask(&look("resting")).await.start_line.code, 200);
-    set(kind, rate);
+/// Checks that connections are accepted although `accept` fails with the probability `rate`, a fraction of
+/// [`ALWAYS`]. If `keeps_idle` is true, also checks that an idle connection is not evicted.
+async fn check_accepted_despite(kind: Kind, rate: u32, keeps_idle: bool) {
+    let server = StubServer::start(SERVE).await;
+    let discovery = StubDiscovery::start().await;
+    let gateway =
+        start_gateway(&gateway_config(vec![endpoint_entry(1, server.address, "SERVING")], discovery.address));
+    let mut idle_client = gateway.client().await;
+    assert_eq!(idle_client.request(&look_request("idle")).await.start_line.code, 200);
+    set_rate(kind, rate);
     for n in 0..10 {
         assert_eq!(
-            gateway.client().await.ask(&look(&format!("{n}"))).await.start_line.code,
+            gateway.client().await.request(&look_request(&format!("{n}"))).await.start_line.code,
             200,
             "request {n}"
         );
     }
-    assert!(injected(kind) > 0, "nothing was injected");
-    set(kind, 0);
-    if keeps {
-        resting.send(&look("again")).await;
-        let answer = timeout(LONG, resting.answer()).await.expect("in time");
-        assert_eq!(answer.map(|answer| answer.start_line.code), Some(200), "a connection at rest was ended");
+    assert!(injected_count(kind) > 0, "the fault is injected");
+    set_rate(kind, 0);
+    if keeps_idle {
+        idle_client.send(&look_request("again")).await;
+        let response = timeout(TEST_TIMEOUT, idle_client.read_response())
+            .await
+            .expect("the gateway responds or closes the connection");
+        assert_eq!(
+            response.map(|response| response.start_line.code),
+            Some(200),
+            "the idle connection stays open"
+        );
     }
 }
 
 #[tokio::test]
-async fn an_accept_that_fails_by_its_client_or_a_signal_evicts_no_connection() {
-    let _turn = alone().await;
-    accepts_through(Kind::AcceptAborted, ALWAYS / 2, true).await;
-    accepts_through(Kind::AcceptInterrupted, ALWAYS / 2, true).await;
+async fn an_accept_failure_due_to_the_client_or_a_signal_evicts_no_connection() {
+    let _exclusive = exclusive_faults().await;
+    check_accepted_despite(Kind::AcceptAborted, ALWAYS / 2, true).await;
+    check_accepted_despite(Kind::AcceptInterrupted, ALWAYS / 2, true).await;
 }
 
 #[tokio::test]
-async fn an_accept_that_lacks_descriptors_or_buffers_for_a_moment_is_retried() {
-    let _turn = alone().await;
-    accepts_through(Kind::AcceptFileTable, ALWAYS / 2, false).await;
-    accepts_through(Kind::AcceptNoBuffers, ALWAYS / 2, false).await;
+async fn an_accept_failure_due_to_a_brief_lack_of_descriptors_or_buffers_is_retried() {
+    let _exclusive = exclusive_faults().await;
+    check_accepted_despite(Kind::AcceptFileTable, ALWAYS / 2, false).await;
+    check_accepted_despite(Kind::AcceptNoBuffers, ALWAYS / 2, false).await;
 }
 
 #[tokio::test]
-async fn connections_that_wait_at_shutdown_are_answered_though_accepts_fail() {
-    let _turn = alone().await;
-    let server = Server::start(SERVED).await;
-    let discovery = Discovery::start().await;
-    let mut gateway = start(&config(vec![target(1, server.at, "SERVING")], discovery.at));
-    assert_eq!(gateway.client().await.ask(&look("before")).await.start_line.code, 200);
-    // Nothing is accepted until the gateway ends, and then every second call fails once more.
-    set(Kind::AcceptFileTable, ALWAYS);
-    let mut waiting = Vec::new();
+async fn connections_in_the_backlog_at_shutdown_are_answered_despite_accept_failures() {
+    let _exclusive = exclusive_faults().await;
+    let server = StubServer::start(SERVE).await;
+    let discovery = StubDiscovery::start().await;
+    let mut gateway =
+        start_gateway(&gateway_config(vec![endpoint_entry(1, server.address, "SERVING")], discovery.address));
+    assert_eq!(gateway.client().await.request(&look_request("before")).await.start_line.code, 200);
+    // No connection is accepted until the graceful shutdown has begun. After that, about half of the accepts
+    // still fail.
+    set_rate(Kind::AcceptFileTable, ALWAYS);
+    let mut clients = Vec::new();
     for n in 0..8 {
         let mut client = gateway.client().await;
-        client.send(&look(&format!("{n}"))).await;
-        waiting.push(client);
+        client.send(&look_request(&format!("{n}"))).await;
+        clients.push(client);
     }
-    gateway.stop();
+    gateway.shut_down();
     tokio::time::sleep(Duration::from_millis(650)).await;
-    set(Kind::AcceptAborted, ALWAYS / 2);
-    set(Kind::AcceptInterrupted, ALWAYS / 4);
-    set(Kind::AcceptFileTable, 0);
-    for (n, client) in waiting.iter_mut().enumerate() {
-        let answer = client.answer().await;
+    set_rate(Kind::AcceptAborted, ALWAYS / 2);
+    set_rate(Kind::AcceptInterrupted, ALWAYS / 4);
+    set_rate(Kind::AcceptFileTable, 0);
+    for (n, client) in clients.iter_mut().enumerate() {
+        let response = client.read_response().await;
         assert!(
-            answer.is_some_and(|answer| matches!(answer.start_line.code, 200 | 503)),
-            "client {n} got no answer"
+            response.is_some_and(|response| matches!(response.start_line.code, 200 | 503)),
+            "client {n} gets a response"
         );
     }
 }
 
 #[tokio::test]
-async fn a_request_whose_connection_waited_for_accept_forwards_only_the_time_left() {
-    let _turn = alone().await;
-    let (server, discovery) = (ScriptedServer::start().await, Discovery::start().await);
-    let gateway = start(&config(vec![target(1, server.at, "SERVING")], discovery.at));
-    let patience_ms = 5000;
-    let timed =
-        |id: &str| look(id).replace("\r\n\r\n", &format!("\r\nX-Time-Left-Ms: {patience_ms}\r\n\r\n"));
-    set(Kind::AcceptFileTable, ALWAYS);
+async fn a_request_is_forwarded_with_the_time_left_after_the_wait_for_accept() {
+    let _exclusive = exclusive_faults().await;
+    let (server, discovery) = (ScriptedServer::start().await, StubDiscovery::start().await);
+    let gateway =
+        start_gateway(&gateway_config(vec![endpoint_entry(1, server.address, "SERVING")], discovery.address));
+    let timeout_ms = 5000;
+    let timed_request =
+        |id: &str| look_request(id).replace("\r\n\r\n", &format!("\r\nX-Time-Left-Ms: {timeout_ms}\r\n\r\n"));
+    set_rate(Kind::AcceptFileTable, ALWAYS);
     let mut client = gateway.client().await;
-    client.send(&timed("a")).await;
+    client.send(&timed_request("a")).await;
     tokio::time::sleep(Duration::from_millis(500)).await;
-    set(Kind::AcceptFileTable, 0);
-    let mut wire = server.accept().await;
-    let told = field(&wire.request().await.expect("a request"), "x-time-left-ms");
-    let told: u64 = told.parse().expect("a time");
-    assert!(told <= patience_ms - 500 + 150, "told {told} ms of {patience_ms}, half a second later");
-    wire.write(DESK).await;
-    assert_eq!(client.answer().await.expect("an answer").start_line.code, 200);
-    // The next one on that connection has not waited.
-    client.send(&timed("b")).await;
-    let told = field(&wire.request().await.expect("a request"), "x-time-left-ms");
-    assert!(told.parse::<u64>().expect("a time") > patience_ms - 300, "told {told} ms");
-    wire.write(DESK).await;
-    assert_eq!(client.answer().await.expect("an answer").start_line.code, 200);
+    set_rate(Kind::AcceptFileTable, 0);
+    let mut connection = server.accept().await;
+    let forwarded_time_left_ms =
+        header_value(&connection.read_request().await.expect("a request is forwarded"), "x-time-left-ms");
+    let forwarded_time_left_ms: u64 = forwarded_time_left_ms.parse().expect("the time left is a number");
+    assert!(
+        forwarded_time_left_ms <= timeout_ms - 500 + 150,
+        "forwarded {forwarded_time_left_ms} ms of {timeout_ms} ms, half a second later"
+    );
+    connection.write(OK_RESPONSE).await;
+    assert_eq!(client.read_response().await.expect("the gateway responds").start_line.code, 200);
+    // The next request on the same connection has not waited for an accept.
+    client.send(&timed_request("b")).await;
+    let forwarded_time_left_ms =
+        header_value(&connection.read_request().await.expect("a request is forwarded"), "x-time-left-ms");
+    assert!(
+        forwarded_time_left_ms.parse::<u64>().expect("the time left is a number") > timeout_ms - 300,
+        "forwarded {forwarded_time_left_ms} ms"
+    );
+    connection.write(OK_RESPONSE).await;
+    assert_eq!(client.read_response().await.expect("the gateway responds").start_line.code, 200);
 }
--- a/gateway/tests/program.rs
+++ b/gateway/tests/program.rs
@@ -1,4 +1,4 @@
-//! The program as a process: start, signals, exit codes, and a lack of descriptors.
+//! The gateway as a process: startup, signals, exit codes, and a lack of descriptors.
 
 mod common;
 use common::*;
@@ -9,144 +9,163 @@
 use std::time::Duration;
 use tokio::io::AsyncWriteExt;
 
-/// The program, started by a shell that may first lower its limits; ended if the test fails.
-struct Program {
+/// A running gateway process. A shell starts the process, and may lower the resource limits first. Dropping
+/// the value kills the process.
+struct GatewayProcess {
     child: std::process::Child,
-    at: String,
-    file: std::path::PathBuf,
+    address: String,
+    config_path: std::path::PathBuf,
     log: std::sync::mpsc::Receiver<String>,
 }
 
-impl Program {
+impl GatewayProcess {
+    /// Starts the process, and waits until the process listens. `limits` is a shell command that sets
+    /// resource limits, and `name` makes the path of the configuration file unique.
     fn start(limits: &str, name: &str, config: &Value) -> Self {
-        let file = std::env::temp_dir().join(format!("ternstack-{}-{name}.json", std::process::id()));
-        std::fs::write(&file, config.to_string()).expect("it is written");
+        let config_path = std::env::temp_dir().join(format!("ternstack-{}-{name}.json", std::process::id()));
+        std::fs::write(&config_path, config.to_string()).expect("the file is written");
         let script = format!("{limits} exec {}", env!("CARGO_BIN_EXE_ternstack-gateway"));
         let mut shell = Command::new("sh");
-        let shell = shell.arg("-c").arg(script).env("LB_CONFIG", &file).stderr(Stdio::piped());
-        let mut child = shell.spawn().expect("it runs");
-        let log = std::io::BufReader::new(child.stderr.take().expect("a log"));
-        let (tell, lines) = std::sync::mpsc::channel();
-        // The log is read to its end, so that the program never writes to a closed pipe.
+        let shell = shell.arg("-c").arg(script).env("LB_CONFIG", &config_path).stderr(Stdio::piped());
+        let mut child = shell.spawn().expect("the shell can be run");
+        let log = std::io::BufReader::new(child.stderr.take().expect("stderr is piped"));
+        let (line_sender, lines) = std::sync::mpsc::channel();
+        // The log is read until the process ends, so that the process never writes to a closed pipe.
         std::thread::spawn(move || {
             for line in std::io::BufRead::lines(log).map_while(Result::ok) {
-                let _ = tell.send(line);
+                let _ = line_sender.send(line);
             }
         });
-        let mut program = Program { child, at: String::new(), file, log: lines };
-        let line = program.logs("serving");
-        let at = line.split("listen=").nth(1).and_then(|rest| rest.split(' ').next());
-        program.at = at.expect("an address").to_string();
+        let mut program = GatewayProcess { child, address: String::new(), config_path, log: lines };
+        let line = program.wait_for_log("serving");
+        let address = line.split("listen=").nth(1).and_then(|rest| rest.split(' ').next());
+        program.address = address.expect("the log line contains the address").to_string();
         program
     }
 
-    /// The next log line with these words.
-    fn logs(&self, words: &str) -> String {
-        let mut lines = std::iter::from_fn(|| self.log.recv_timeout(LONG).ok());
+    /// Waits for the next log line that contains `words`, and returns the line.
+    fn wait_for_log(&self, words: &str) -> String {
+        let mut lines = std::iter::from_fn(|| self.log.recv_timeout(TEST_TIMEOUT).ok());
         lines.find(|line| line.contains(words)).expect(words)
     }
 
+    /// Sends the signal `name`, such as `HUP`.
     fn signal(&self, name: &str) {
-        let kill = Command::new("sh").arg("-c").arg(format!("kill -{name} {}", self.child.id())).status();
-        assert!(kill.expect("a shell").success());
+        let kill_status =
+            Command::new("sh").arg("-c").arg(format!("kill -{name} {}", self.child.id())).status();
+        assert!(kill_status.expect("the shell can be run").success());
     }
 
+    /// Sends SIGTERM, and returns the exit code of the process.
     fn terminate(mut self) -> Option<i32> {
         self.signal("TERM");
-        self.child.wait().expect("it ends").code()
+        self.child.wait().expect("the process exits").code()
     }
 }
 
-impl Drop for Program {
+impl Drop for GatewayProcess {
     fn drop(&mut self) {
-        let _ = (std::fs::remove_file(&self.file), self.child.kill(), self.child.wait());
+        let _ = (std::fs::remove_file(&self.config_path), self.child.kill(), self.child.wait());
     }
 }
 
 #[test]
-fn the_program_survives_a_lack_of_descriptors() {
-    let program = Program::start("ulimit -n 40;", "few", &config(vec![], ([127, 0, 0, 1], 9).into()));
-    // More clients than descriptors: the rest wait in the listener's queue.
-    let clients: Vec<_> =
-        (0..60).map(|_| std::net::TcpStream::connect(&program.at).expect("it listens")).collect();
+fn the_program_serves_again_after_a_lack_of_descriptors() {
+    let program =
+        GatewayProcess::start("ulimit -n 40;", "few", &gateway_config(vec![], ([127, 0, 0, 1], 9).into()));
+    // More clients connect than there are descriptors. The others wait in the listener's backlog.
+    let clients: Vec<_> = (0..60)
+        .map(|_| std::net::TcpStream::connect(&program.address).expect("the program listens on its port"))
+        .collect();
     drop(clients);
-    let mut client = std::net::TcpStream::connect(&program.at).expect("it still listens");
-    std::io::Write::write_all(&mut client, b"GET /ready HTTP/1.1\r\n\r\n").expect("it reads");
-    let mut start = [0; 12];
-    std::io::Read::read_exact(&mut client, &mut start).expect("it answers");
-    assert_eq!(&start, b"HTTP/1.1 200");
+    let mut client =
+        std::net::TcpStream::connect(&program.address).expect("the program still listens on its port");
+    std::io::Write::write_all(&mut client, b"GET /ready HTTP/1.1\r\n\r\n").expect("the connection is open");
+    let mut status_line = [0; 12];
+    std::io::Read::read_exact(&mut client, &mut status_line).expect("the program responds");
+    assert_eq!(&status_line, b"HTTP/1.1 200");
     assert_eq!(program.terminate(), Some(0));
 }
 
 #[test]
-fn the_program_reports_errors_and_exits_cleanly_on_sigterm() {
+fn the_program_reports_a_missing_configuration_and_exits_with_0_on_sigterm() {
     let program = || Command::new(env!("CARGO_BIN_EXE_ternstack-gateway"));
-    let lost = program().env("LB_CONFIG", "nowhere.json").output().expect("it runs");
-    assert!(!lost.status.success());
-    assert!(String::from_utf8_lossy(&lost.stderr).contains("LB_CONFIG"));
+    let output = program().env("LB_CONFIG", "nowhere.json").output().expect("the program can be run");
+    assert!(!output.status.success());
+    assert!(String::from_utf8_lossy(&output.stderr).contains("LB_CONFIG"));
 
-    let plain = Program::start("", "plain", &config(vec![], ([127, 0, 0, 1], 9).into()));
-    assert_eq!(plain.terminate(), Some(0));
+    let process = GatewayProcess::start("", "plain", &gateway_config(vec![], ([127, 0, 0, 1], 9).into()));
+    assert_eq!(process.terminate(), Some(0));
 }
 
 #[tokio::test]
-async fn sighup_rereads_the_configuration_and_never_ends_the_program() {
-    let (mut before, mut after) = (Discovery::start().await, Discovery::start().await);
-    let program = Program::start("", "hangup", &config(vec![], before.at));
-    let (_, _waiting) = before.call().await;
-    // What is wrong is told by its key, and the old configuration stays.
-    std::fs::write(&program.file, config(vec![], after.at).to_string().replace("\"look\"", "7"))
-        .expect("written");
+async fn sighup_rereads_the_configuration_and_does_not_apply_an_invalid_one() {
+    let (mut old_discovery, mut new_discovery) = (StubDiscovery::start().await, StubDiscovery::start().await);
+    let program = GatewayProcess::start("", "hangup", &gateway_config(vec![], old_discovery.address));
+    let (_, _pending_responder) = old_discovery.next_poll().await;
+    // An invalid configuration is logged with its key, and the old configuration stays in force.
+    std::fs::write(
+        &program.config_path,
+        gateway_config(vec![], new_discovery.address).to_string().replace("\"look\"", "7"),
+    )
+    .expect("the file is written");
     program.signal("HUP");
-    assert!(program.logs("stays in force").contains("classes[].name"));
-    std::fs::write(&program.file, config(vec![], after.at).to_string()).expect("written");
+    assert!(program.wait_for_log("stays in force").contains("classes[].name"));
+    std::fs::write(&program.config_path, gateway_config(vec![], new_discovery.address).to_string())
+        .expect("the file is written");
     program.signal("HUP");
-    assert_eq!(after.call().await.0, "/v1/endpoints");
+    assert_eq!(new_discovery.next_poll().await.0, "/v1/endpoints");
     assert_eq!(program.terminate(), Some(0));
 }
 
 #[tokio::test]
-async fn an_unreadable_configuration_is_followed_once_it_can_be_read() {
-    let (mut before, mut after) = (Discovery::start().await, Discovery::start().await);
-    let program = Program::start("", "unreadable", &config(vec![], before.at));
-    let (_, _waiting) = before.call().await;
-    std::fs::remove_file(&program.file).expect("it was there");
+async fn a_configuration_that_cannot_be_reread_is_applied_once_it_can_be_read() {
+    let (mut old_discovery, mut new_discovery) = (StubDiscovery::start().await, StubDiscovery::start().await);
+    let program = GatewayProcess::start("", "unreadable", &gateway_config(vec![], old_discovery.address));
+    let (_, _pending_responder) = old_discovery.next_poll().await;
+    std::fs::remove_file(&program.config_path).expect("the file is removed");
     program.signal("HUP");
-    program.logs("LB_CONFIG");
-    std::fs::write(&program.file, config(vec![], after.at).to_string()).expect("written");
-    assert_eq!(after.call().await.0, "/v1/endpoints");
-    // Half written, as another process that writes it leaves it for a moment.
-    let text = config(vec![], before.at).to_string();
-    std::fs::write(&program.file, &text[..text.len() / 2]).expect("written");
+    program.wait_for_log("LB_CONFIG");
+    std::fs::write(&program.config_path, gateway_config(vec![], new_discovery.address).to_string())
+        .expect("the file is written");
+    assert_eq!(new_discovery.next_poll().await.0, "/v1/endpoints");
+    // The file contains half of the configuration, as it may while another process is writing the file.
+    let text = gateway_config(vec![], old_discovery.address).to_string();
+    std::fs::write(&program.config_path, &text[..text.len() / 2]).expect("the file is written");
     program.signal("HUP");
-    program.logs("LB_CONFIG: invalid JSON");
-    std::fs::write(&program.file, &text).expect("written");
-    assert_eq!(before.call().await.0, "/v1/endpoints");
+    program.wait_for_log("LB_CONFIG: invalid JSON");
+    std::fs::write(&program.config_path, &text).expect("the file is written");
+    assert_eq!(old_discovery.next_poll().await.0, "/v1/endpoints");
     assert_eq!(program.terminate(), Some(0));
 }
 
 #[test]
-fn sighup_during_the_start_does_not_end_the_program() {
-    // Its configuration comes from a pipe, so that the test knows how far it is.
-    let folder = tempfile::tempdir().expect("a folder");
-    let pipe = folder.path().join("config.json");
-    assert!(Command::new("mkfifo").arg(&pipe).status().expect("it runs").success());
+fn sighup_during_startup_does_not_end_the_program() {
+    // The program reads its configuration from a pipe, so that the test controls when startup continues.
+    let directory = tempfile::tempdir().expect("a temporary directory is created");
+    let pipe = directory.path().join("config.json");
+    assert!(Command::new("mkfifo").arg(&pipe).status().expect("mkfifo can be run").success());
     let mut program = Command::new(env!("CARGO_BIN_EXE_ternstack-gateway"));
-    let program = program.env("LB_CONFIG", &pipe).stderr(Stdio::piped()).spawn().expect("it runs");
+    let program =
+        program.env("LB_CONFIG", &pipe).stderr(Stdio::piped()).spawn().expect("the program can be run");
     let mut program = KillOnDrop(program);
-    // This waits until the program reads.
-    let mut writer = std::fs::File::options().write(true).open(&pipe).expect("a pipe");
-    let hangup = Command::new("sh").arg("-c").arg(format!("kill -HUP {}", program.0.id())).status();
-    assert!(hangup.expect("a shell").success());
-    let text = config(vec![], ([127, 0, 0, 1], 9).into()).to_string();
-    std::io::Write::write_all(&mut writer, text.as_bytes()).expect("it reads");
+    // Opening the pipe for writing blocks until the program opens the pipe for reading.
+    let mut writer = std::fs::File::options().write(true).open(&pipe).expect("the pipe is opened");
+    let kill_status = Command::new("sh").arg("-c").arg(format!("kill -HUP {}", program.0.id())).status();
+    assert!(kill_status.expect("the shell can be run").success());
+    let text = gateway_config(vec![], ([127, 0, 0, 1], 9).into()).to_string();
+    std::io::Write::write_all(&mut writer, text.as_bytes()).expect("the program reads the pipe");
     drop(writer);
-    let log = std::io::BufReader::new(program.0.stderr.take().expect("a log"));
+    let log = std::io::BufReader::new(program.0.stderr.take().expect("stderr is piped"));
     let mut lines = std::io::BufRead::lines(log).map_while(Result::ok);
-    assert!(lines.any(|line| line.contains("serving")), "it has ended: {:?}", program.0.try_wait());
+    assert!(
+        lines.any(|line| line.contains("serving")),
+        "the program logs that it is serving; exit status: {:?}",
+        program.0.try_wait()
+    );
 }
 
-/// A process that does not outlive its test.
+/// A process that is killed when the value is dropped.
 struct KillOnDrop(std::process::Child);
 
 impl Drop for KillOnDrop {
@@ -156,90 +175,106 @@
 }
 
 #[test]
-fn an_address_in_use_is_retried_at_the_start() {
-    let held = std::net::TcpListener::bind("127.0.0.1:0").expect("a free port");
-    let mut told = config(vec![], ([127, 0, 0, 1], 9).into());
-    told["listen"] = json!(held.local_addr().expect("an address").to_string());
-    let releasing = std::thread::spawn(move || {
+fn binding_to_an_address_in_use_is_retried_at_startup() {
+    let held_listener = std::net::TcpListener::bind("127.0.0.1:0").expect("a free port is bound");
+    let mut config = gateway_config(vec![], ([127, 0, 0, 1], 9).into());
+    config["listen"] = json!(held_listener.local_addr().expect("a listener has an address").to_string());
+    let releasing_thread = std::thread::spawn(move || {
         std::thread::sleep(Duration::from_millis(500));
-        drop(held);
+        drop(held_listener);
     });
-    let program = Program::start("", "held", &told);
-    releasing.join().expect("released");
+    let program = GatewayProcess::start("", "held", &config);
+    releasing_thread.join().expect("the releasing thread does not panic");
     assert_eq!(program.terminate(), Some(0));
 }
 
 #[tokio::test]
-async fn a_discovery_that_is_down_at_the_start_or_after_a_move_is_watched_on_its_return() {
-    let (before, after) = (ReservedPort::new(), ReservedPort::new());
-    let program = Program::start("", "down", &config(vec![], before.at));
-    // Ready at once, on what it knows.
-    let mut client = tokio::net::TcpStream::connect(&program.at).await.expect("it listens");
-    client.write_all(b"GET /ready HTTP/1.1\r\n\r\n").await.expect("it reads");
-    let mut start = [0; 12];
-    tokio::io::AsyncReadExt::read_exact(&mut client, &mut start).await.expect("it answers");
-    assert_eq!(&start, b"HTTP/1.1 200");
-    program.logs("cannot connect");
-    std::fs::write(&program.file, config(vec![], after.at).to_string()).expect("written");
+async fn a_discovery_that_is_down_at_startup_or_at_a_new_address_is_watched_once_it_listens() {
+    let (old_port, new_port) = (ReservedPort::new(), ReservedPort::new());
+    let program = GatewayProcess::start("", "down", &gateway_config(vec![], old_port.address));
+    // The program is ready at once, with the cached endpoint list.
+    let mut client =
+        tokio::net::TcpStream::connect(&program.address).await.expect("the program listens on its port");
+    client.write_all(b"GET /ready HTTP/1.1\r\n\r\n").await.expect("the connection is open");
+    let mut status_line = [0; 12];
+    tokio::io::AsyncReadExt::read_exact(&mut client, &mut status_line).await.expect("the program responds");
+    assert_eq!(&status_line, b"HTTP/1.1 200");
+    program.wait_for_log("cannot connect");
+    std::fs::write(&program.config_path, gateway_config(vec![], new_port.address).to_string())
+        .expect("the file is written");
     program.signal("HUP");
-    program.logs("configuration reread");
-    program.logs("cannot connect");
-    let mut discovery = Discovery::start_on(after.listen());
-    assert_eq!(discovery.call().await.0, "/v1/endpoints");
+    program.wait_for_log("configuration reread");
+    program.wait_for_log("cannot connect");
+    let mut discovery = StubDiscovery::start_on(new_port.listen());
+    assert_eq!(discovery.next_poll().await.0, "/v1/endpoints");
     assert_eq!(program.terminate(), Some(0));
 }
 
 #[tokio::test]
 async fn idle_clients_that_hold_all_descriptors_do_not_block_discovery() {
-    // A budget that is as large as the limit, and one that counts on more than there are and so holds nobody back.
-    for (limit, sockets) in [(64, 64), (40, 256)] {
-        let (mut old, mut new) = (Server::start(SERVED).await, Server::start(SERVED).await);
-        let down = ReservedPort::new();
-        let mut told = config(vec![target(1, old.at, "SERVING")], down.at);
-        told["limits"]["sockets"] = json!(sockets);
-        let program = Program::start(&format!("ulimit -n {limit};"), "filled", &told);
-        let (at, full) = (program.at.clone(), Arc::new(AtomicBool::new(true)));
-        let fills = full.clone();
-        // A thread of its own, since waiting for a log line holds up this one.
-        let filling = std::thread::spawn(move || {
-            let mut held: Vec<std::net::TcpStream> = Vec::new();
-            while fills.load(Ordering::Relaxed) {
-                held.retain(|stream| !matches!(std::io::Read::read(&mut &*stream, &mut [0; 1]), Ok(0)));
-                while held.len() < 100 {
-                    let stream = std::net::TcpStream::connect(&at).expect("it listens");
-                    stream.set_nonblocking(true).expect("a socket");
-                    held.push(stream);
+    // A budget equal to the descriptor_limit of the process, and a budget above the descriptor_limit, which
+    // therefore refuses no client.
+    for (descriptor_limit, sockets) in [(64, 64), (40, 256)] {
+        let (mut draining_server, mut serving_server) =
+            (StubServer::start(SERVE).await, StubServer::start(SERVE).await);
+        let discovery_port = ReservedPort::new();
+        let mut config = gateway_config(
+            vec![endpoint_entry(1, draining_server.address, "SERVING")],
+            discovery_port.address,
+        );
+        config["limits"]["sockets"] = json!(sockets);
+        let program = GatewayProcess::start(&format!("ulimit -n {descriptor_limit};"), "filled", &config);
+        let (address, keep_filling) = (program.address.clone(), Arc::new(AtomicBool::new(true)));
+        let is_filling = keep_filling.clone();
+        // The clients run in a thread of their own, because waiting for a log line blocks the current thread.
+        let filling_thread = std::thread::spawn(move || {
+            let mut clients: Vec<std::net::TcpStream> = Vec::new();
+            while is_filling.load(Ordering::Relaxed) {
+                clients.retain(|stream| !matches!(std::io::Read::read(&mut &*stream, &mut [0; 1]), Ok(0)));
+                while clients.len() < 100 {
+                    let stream =
+                        std::net::TcpStream::connect(&address).expect("the program listens on its port");
+                    stream.set_nonblocking(true).expect("the socket can be made non-blocking");
+                    clients.push(stream);
                 }
                 std::thread::sleep(Duration::from_millis(2));
             }
         });
-        // By then clients have come for whatever was free, many times over.
-        if sockets > limit {
-            program.logs("cannot accept");
+        // After these log lines, clients have taken every descriptor that became free, many times over.
+        if sockets > descriptor_limit {
+            program.wait_for_log("cannot accept");
         }
         for _ in 0..5 {
-            program.logs("cannot connect: Connection refused");
+            program.wait_for_log("cannot connect: Connection refused");
         }
-        let mut discovery = Discovery::start_on(down.listen());
-        let (_, answer) = discovery.call().await;
-        let change = vec![target(1, old.at, "DRAINING"), target(2, new.at, "SERVING")];
-        answer.send(ok(&list(42, false, change))).expect("asked");
-        let _waiting = discovery.call().await;
-        // It serves as well, within its budget; a client that is told to come back does.
-        let mut served = sockets > limit;
+        let mut discovery = StubDiscovery::start_on(discovery_port.listen());
+        let (_, responder) = discovery.next_poll().await;
+        let delta = vec![
+            endpoint_entry(1, draining_server.address, "DRAINING"),
+            endpoint_entry(2, serving_server.address, "SERVING"),
+        ];
+        responder
+            .send(ok_response(&endpoint_list(42, false, delta)))
+            .expect("the poll waits for its response");
+        let _pending_responder = discovery.next_poll().await;
+        // With a budget equal to the limit, the program also serves requests, possibly after rejecting some.
+        let mut is_served = sockets > descriptor_limit;
         for _ in 0..200 {
-            if !served {
-                let stream = tokio::net::TcpStream::connect(&program.at).await.expect("it listens");
+            if !is_served {
+                let stream = tokio::net::TcpStream::connect(&program.address)
+                    .await
+                    .expect("the program listens on its port");
                 let mut client = Client { stream };
-                let _ = client.stream.write_all(look("a").as_bytes()).await;
-                served = client.answer().await.is_some_and(|answer| answer.start_line.code == 200);
+                let _ = client.stream.write_all(look_request("a").as_bytes()).await;
+                is_served =
+                    client.read_response().await.is_some_and(|response| response.start_line.code == 200);
             }
         }
-        assert!(served, "nobody is served");
-        assert_eq!(new.so_far().0.contains(&"a".to_string()), sockets == limit);
-        assert!(old.so_far().0.is_empty(), "it drains");
-        full.store(false, Ordering::Relaxed);
-        filling.join().expect("it filled");
+        assert!(is_served, "a request is served");
+        assert_eq!(serving_server.take_events().0.contains(&"a".to_string()), sockets == descriptor_limit);
+        assert!(draining_server.take_events().0.is_empty(), "no request is sent to the draining endpoint");
+        keep_filling.store(false, Ordering::Relaxed);
+        filling_thread.join().expect("the filling thread does not panic");
         assert_eq!(program.terminate(), Some(0));
     }
 }
--- a/gateway/tests/same_config.rs
+++ b/gateway/tests/same_config.rs
@@ -1,11 +1,12 @@
-//! What the gateway reads from `LB_CONFIG` and its variables, and its errors, held to a fixture.
+//! The values that the gateway reads from `LB_CONFIG` and the other environment variables, and the errors
+//! about invalid values, compared with a fixture.
 
 mod common;
 use common::*;
 use serde_json::{json, Value};
 use ternstack_gateway::config::Config;
 
-/// A configuration with no value that is a default.
+/// A configuration in which every key is present with a value that is not the default.
 const EVERY_KEY: &str = r#"{
     "name": "n7", "listen": "127.0.0.3:8080", "discovery": "127.0.0.4:9090", "seed": "8c1f30d27a5be964",
     "limits": {"cores": 2.5, "memory_mb": 111, "sockets": 777},
@@ -25,9 +26,11 @@
         "report": {"how": "on_probe"}, "discovery": "ask", "instances": 5, "me": 3, "zone": "c",
         "zones": ["a", "b", "c"], "tick_ms": 6.0}}"#;
 
-const FEWEST_KEYS: &str = r#"{"listen": "[::1]:1", "discovery": "127.0.0.1:2", "seed": 18446744073709551615,
+/// A configuration with only the required keys.
+const REQUIRED_KEYS: &str = r#"{"listen": "[::1]:1", "discovery": "127.0.0.1:2", "seed": 18446744073709551615,
     "settings": {"classes": [{"name": "a", "deadline_ms": 1000.0}], "limits": {"dial_timeout_ms": 1.0, "max_open": 1}}}"#;
 
+/// Returns lines with the values of a configuration. Floating-point values are written as their bits.
 fn config_lines(config: &Config) -> Vec<String> {
     let balancer = &config.deployment.balancer;
     let mut lines = vec![
@@ -62,10 +65,12 @@
 }
 
 #[test]
-fn a_configuration_reads_to_the_same_values_and_errors() {
-    let none = |_: &str| None;
-    let mut lines = config_lines(&Config::read(EVERY_KEY, none).expect("sound"));
-    lines.extend(config_lines(&Config::read(FEWEST_KEYS, none).expect("sound")));
+fn configurations_are_read_to_the_recorded_values_and_errors() {
+    let no_variables = |_: &str| None;
+    let mut lines = config_lines(&Config::read(EVERY_KEY, no_variables).expect("the configuration is valid"));
+    lines.extend(config_lines(
+        &Config::read(REQUIRED_KEYS, no_variables).expect("the configuration is valid"),
+    ));
     let variables = |name: &str| {
         let value = match name {
             "LB_NAME" => "n8",
@@ -76,16 +81,18 @@
         };
         Some(value.to_string())
     };
-    lines.extend(config_lines(&Config::read(EVERY_KEY, variables).expect("sound")));
-    lines.extend(config_lines(&Config::reread(EVERY_KEY, variables).expect("sound")));
-    let without = EVERY_KEY.replace(r#""discovery": "127.0.0.4:9090""#, r#""discovery": null"#);
-    lines.extend(config_lines(&Config::reread(&without, variables).expect("sound")));
+    lines.extend(config_lines(&Config::read(EVERY_KEY, variables).expect("the configuration is valid")));
+    lines.extend(config_lines(&Config::reread(EVERY_KEY, variables).expect("the configuration is valid")));
+    let without_discovery = EVERY_KEY.replace(r#""discovery": "127.0.0.4:9090""#, r#""discovery": null"#);
+    lines.extend(config_lines(
+        &Config::reread(&without_discovery, variables).expect("the configuration is valid"),
+    ));
     for name in ["LB_LISTEN", "LB_DISCOVERY", "LB_LOG"] {
-        let odd = |asked: &str| (asked == name).then(|| "odd".to_string());
-        lines.push(Config::read(EVERY_KEY, odd).expect_err(name).to_string());
+        let invalid_variable = |variable_name: &str| (variable_name == name).then(|| "odd".to_string());
+        lines.push(Config::read(EVERY_KEY, invalid_variable).expect_err(name).to_string());
     }
-    lines.push(Config::read("{", none).expect_err("no JSON").to_string());
-    lines.push(Config::reread("[1,", none).expect_err("no JSON").to_string());
+    lines.push(Config::read("{", no_variables).expect_err("the text is not JSON").to_string());
+    lines.push(Config::reread("[1,", no_variables).expect_err("the text is not JSON").to_string());
     for (path, value) in [
         ("/name", json!(1)),
         ("/listen", json!("nowhere")),
@@ -109,13 +116,15 @@
         ("/settings/limits/max_open", json!("many")),
         ("/settings/limits/dial_timeout_ms", json!(0)),
     ] {
-        let mut config: Value = serde_json::from_str(EVERY_KEY).expect("JSON");
+        let mut config: Value = serde_json::from_str(EVERY_KEY).expect("the configuration is valid JSON");
         *config.pointer_mut(path).expect(path) = value.clone();
-        let problem = Config::read(&config.to_string(), none).expect_err(path).to_string();
-        lines.push(format!("{path}={value}\t{problem}"));
+        let error = Config::read(&config.to_string(), no_variables).expect_err(path).to_string();
+        lines.push(format!("{path}={value}\t{error}"));
     }
-    let mut config: Value = serde_json::from_str(EVERY_KEY).expect("JSON");
-    config.as_object_mut().expect("an object").remove("settings");
-    lines.push(Config::read(&config.to_string(), none).expect_err("settings").to_string());
+    let mut config: Value = serde_json::from_str(EVERY_KEY).expect("the configuration is valid JSON");
+    config.as_object_mut().expect("the configuration is an object").remove("settings");
+    lines.push(
+        Config::read(&config.to_string(), no_variables).expect_err("the settings are missing").to_string(),
+    );
     assert_fixture("config.txt", &lines);
 }
--- a/gateway/tests/sockets.rs
+++ b/gateway/tests/sockets.rs
@@ -1,20 +1,21 @@
-//! Sockets that lack an option.
+//! Sockets on which an option cannot be set.
 
 mod common;
 use tokio::io::AsyncWriteExt;
 
 #[tokio::test]
 async fn a_connection_without_tcp_nodelay_is_usable() {
-    // Such a socket refuses TCP_NODELAY as one of another family does.
-    let (ours, theirs) = std::os::unix::net::UnixStream::pair().expect("a pair");
-    ours.set_nonblocking(true).expect("non-blocking");
-    let odd = std::net::TcpStream::from(std::os::fd::OwnedFd::from(ours));
-    assert!(odd.set_nodelay(true).is_err(), "the option is taken: this test shows nothing");
-    let odd = tokio::net::TcpStream::from_std(odd).expect("a stream");
-    let mut stream = ternstack_gateway::sockets::with_nodelay(Ok(odd)).expect("a connection that goes on");
-    stream.write_all(b"attempt").await.expect("written");
+    // A Unix socket stands for a TCP socket on which the kernel refuses TCP_NODELAY.
+    let (local, peer) = std::os::unix::net::UnixStream::pair().expect("a socket pair is created");
+    local.set_nonblocking(true).expect("the socket can be made non-blocking");
+    let socket = std::net::TcpStream::from(std::os::fd::OwnedFd::from(local));
+    assert!(socket.set_nodelay(true).is_err(), "the socket refuses TCP_NODELAY, which the test requires");
+    let socket = tokio::net::TcpStream::from_std(socket).expect("the socket becomes a tokio stream");
+    let mut stream = ternstack_gateway::sockets::with_nodelay(Ok(socket))
+        .expect("the connection is kept without TCP_NODELAY");
+    stream.write_all(b"attempt").await.expect("the bytes are written");
     drop(stream);
-    let mut read = String::new();
-    std::io::Read::read_to_string(&mut &theirs, &mut read).expect("read");
-    assert_eq!(read, "attempt");
+    let mut received = String::new();
+    std::io::Read::read_to_string(&mut &peer, &mut received).expect("the bytes are read");
+    assert_eq!(received, "attempt");
 }
--- a/gateway/tests/stalls.rs
+++ b/gateway/tests/stalls.rs
@@ -1,66 +1,84 @@
-//! The process stands still for a while: what happened meanwhile takes effect before anything new is sent.
+//! Stalls of the whole process: events that occur during a stall take effect before the gateway sends
+//! anything new.
 
 mod common;
 use common::*;
 use std::time::Duration;
 use tokio::time::sleep;
 
-/// Longer than the tolerances of all rules that are at stake here.
-const STANDSTILL: Duration = Duration::from_millis(500);
+/// The duration of a stall, longer than the tolerances of all rules that are tested here.
+const STALL: Duration = Duration::from_millis(500);
 
-/// The first connection to a server whose queue is full, as it comes up while the gateway stands still; and what then
-/// happens there.
-async fn established_in_a_stall(meanwhile: impl AsyncFnOnce(Client, &mut Discovery)) -> usize {
-    let (mut server, mut discovery) = (UnacceptingServer::start().await, Discovery::start().await);
-    let gateway = StallableGateway::start(&config(vec![target(1, server.at, "SERVING")], discovery.at));
+/// Sends a request to a gateway whose connection to the only endpoint is established while the gateway is
+/// stalled, and calls `during_stall` in the same stall. Returns how many bytes the gateway sends over that
+/// connection after the stall.
+async fn bytes_sent_on_connection_established_during_stall(
+    during_stall: impl AsyncFnOnce(Client, &mut StubDiscovery),
+) -> usize {
+    let (mut server, mut discovery) = (FullBacklogServer::start().await, StubDiscovery::start().await);
+    let gateway = StallableGateway::start(&gateway_config(
+        vec![endpoint_entry(1, server.address, "SERVING")],
+        discovery.address,
+    ));
     let mut client = gateway.client().await;
-    client.send(&look("a")).await;
-    // It dials by now.
+    client.send(&look_request("a")).await;
+    // By then the gateway is connecting to the endpoint.
     sleep(Duration::from_millis(300)).await;
-    let release = gateway.hold().await;
-    let mut wire = server.hears().await;
-    meanwhile(client, &mut discovery).await;
-    sleep(STANDSTILL).await;
-    drop(release);
-    ends(&mut wire).await
+    let stall_guard = gateway.stall().await;
+    let mut connection = server.accept_from_gateway().await;
+    during_stall(client, &mut discovery).await;
+    sleep(STALL).await;
+    drop(stall_guard);
+    read_until_closed(&mut connection).await
 }
 
 #[tokio::test]
-async fn a_connection_established_in_a_stall_carries_nothing_for_a_client_that_disconnected_in_it() {
-    let bytes = established_in_a_stall(async |client, _| drop(client)).await;
-    assert_eq!(bytes, 0, "an attempt began long after its client had left");
+async fn a_connection_established_during_a_stall_is_not_used_if_the_client_has_disconnected() {
+    let bytes = bytes_sent_on_connection_established_during_stall(async |client, _| drop(client)).await;
+    assert_eq!(bytes, 0, "no attempt is sent after its client has disconnected");
 }
 
 #[tokio::test]
-async fn a_connection_established_in_a_stall_carries_nothing_to_a_server_that_drained_in_it() {
-    let mut kept = None;
-    let bytes = established_in_a_stall(async |client, discovery| {
-        let (_, answer) = discovery.call().await;
-        answer.send(ok(&list(42, true, vec![]))).expect("asked");
-        kept = Some(client);
+async fn a_connection_established_during_a_stall_is_not_used_if_the_endpoint_drains() {
+    let mut kept_client = None;
+    let bytes = bytes_sent_on_connection_established_during_stall(async |client, discovery| {
+        let (_, responder) = discovery.next_poll().await;
+        responder
+            .send(ok_response(&endpoint_list(42, true, vec![])))
+            .expect("the poll waits for its response");
+        kept_client = Some(client);
     })
     .await;
-    assert_eq!(bytes, 0, "an attempt began long after its server had drained");
+    assert_eq!(bytes, 0, "no attempt is sent after its endpoint has drained");
 }
 
 #[tokio::test]
-async fn a_request_that_arrives_in_a_stall_forwards_only_the_time_left() {
-    let (server, discovery) = (ScriptedServer::start().await, Discovery::start().await);
-    let gateway = StallableGateway::start(&config(vec![target(1, server.at, "SERVING")], discovery.at));
+async fn a_request_that_arrives_during_a_stall_is_forwarded_with_the_remaining_time() {
+    let (server, discovery) = (ScriptedServer::start().await, StubDiscovery::start().await);
+    let gateway = StallableGateway::start(&gateway_config(
+        vec![endpoint_entry(1, server.address, "SERVING")],
+        discovery.address,
+    ));
     let mut client = gateway.client().await;
-    let release = gateway.hold().await;
-    let patience_ms = 5000;
-    let text = look("a").replace("\r\n\r\n", &format!("\r\nX-Time-Left-Ms: {patience_ms}\r\n\r\n"));
+    let stall_guard = gateway.stall().await;
+    let timeout_ms = 5000;
+    let text = look_request("a").replace("\r\n\r\n", &format!("\r\nX-Time-Left-Ms: {timeout_ms}\r\n\r\n"));
     client.send(&text).await;
-    let sent = std::time::Instant::now();
-    sleep(STANDSTILL).await;
-    drop(release);
-    let mut wire = server.accept().await;
-    let told: u128 =
-        field(&wire.request().await.expect("a request"), "x-time-left-ms").parse().expect("a time");
-    // Both sides of the bound are counted from a moment before the standstill's end.
-    let most = patience_ms - STANDSTILL.as_millis() + 150;
-    assert!(told <= most, "told {told} ms, {} ms after it was sent", sent.elapsed().as_millis());
-    wire.write(DESK).await;
-    assert_eq!(client.answer().await.expect("an answer").start_line.code, 200);
+    let sent_at = std::time::Instant::now();
+    sleep(STALL).await;
+    drop(stall_guard);
+    let mut connection = server.accept().await;
+    let forwarded_time_left_ms: u128 =
+        header_value(&connection.read_request().await.expect("a request is forwarded"), "x-time-left-ms")
+            .parse()
+            .expect("the time left is a number");
+    // The request has waited for at least `STALL`, and the forwarded time left may be 150 ms too long.
+    let max_time_left_ms = timeout_ms - STALL.as_millis() + 150;
+    assert!(
+        forwarded_time_left_ms <= max_time_left_ms,
+        "forwarded {forwarded_time_left_ms} ms, {} ms after the request was sent",
+        sent_at.elapsed().as_millis()
+    );
+    connection.write(OK_RESPONSE).await;
+    assert_eq!(client.read_response().await.expect("the gateway responds").start_line.code, 200);
 }
