--- a/gateway/tests/attempts.rs
+++ b/gateway/tests/attempts.rs
@@ -254,9 +254,9 @@
             endpoint_entry(2, second_server.address, "SERVING"),
             endpoint_entry(3, closed_address, "SERVING"),
         ];
-        let gateway = Gateway::start(&config_with_unsafe_class(entries, discovery.address)).await;
+        let gateway = Gateway::start(&non_idempotent_config(entries, discovery.address)).await;
         let mut client = gateway.client().await;
-        client.send(&unsafe_request("a")).await;
+        client.send(&sign_request("a")).await;
         let (mut connection, other_server) = tokio::select! {
             connection = first_server.accept() => (connection, &second_server),
             connection = second_server.accept() => (connection, &first_server),
--- a/gateway/tests/client_disconnects.rs
+++ b/gateway/tests/client_disconnects.rs
@@ -31,7 +31,7 @@
     for may_cancel in [false, true] {
         let (mut server, discovery) = (FullBacklogServer::start().await, StubDiscovery::start().await);
         let mut config =
-            config_with_unsafe_class(vec![endpoint_entry(1, server.address, "SERVING")], discovery.address);
+            non_idempotent_config(vec![endpoint_entry(1, server.address, "SERVING")], discovery.address);
         config["settings"]["limits"]["cancel"] = may_cancel.into();
         let gateway = Gateway::start(&config).await;
         let (mut leaving_client, mut staying_client) = (gateway.client().await, gateway.client().await);
@@ -73,7 +73,7 @@
         let (mut draining_server, mut serving_server) =
             (FullBacklogServer::start().await, StubServer::start(SERVE).await);
         let mut discovery = StubDiscovery::start().await;
-        let mut config = config_with_unsafe_class(
+        let mut config = non_idempotent_config(
             vec![endpoint_entry(1, draining_server.address, "SERVING")],
             discovery.address,
         );
@@ -81,7 +81,7 @@
         let gateway = Gateway::start(&config).await;
         let (_, responder) = discovery.next_poll().await;
         let mut client = gateway.client().await;
-        client.send(&unsafe_request("a")).await;
+        client.send(&sign_request("a")).await;
         sleep(Duration::from_millis(100)).await;
         let delta = vec![
             endpoint_entry(1, draining_server.address, "DRAINING"),
@@ -106,11 +106,11 @@
 #[tokio::test]
 async fn a_client_that_ends_its_sending_side_gets_a_response_at_once() {
     for (text, may_cancel, status) in
-        [(look_request("a"), true, 503), (unsafe_request("a"), true, 502), (look_request("a"), false, 503)]
+        [(look_request("a"), true, 503), (sign_request("a"), true, 502), (look_request("a"), false, 503)]
     {
         let (server, discovery) = (ScriptedServer::start().await, StubDiscovery::start().await);
         let mut config =
-            config_with_unsafe_class(vec![endpoint_entry(1, server.address, "SERVING")], discovery.address);
+            non_idempotent_config(vec![endpoint_entry(1, server.address, "SERVING")], discovery.address);
         config["settings"]["limits"]["cancel"] = may_cancel.into();
         let gateway = Gateway::start(&config).await;
         let mut client = gateway.client().await;
@@ -211,7 +211,7 @@
             endpoint_entry(1, first_server.address, "SERVING"),
             endpoint_entry(2, second_server.address, "SERVING"),
         ];
-        let mut config = config_with_unsafe_class(entries, discovery.address);
+        let mut config = non_idempotent_config(entries, discovery.address);
         config["settings"]["limits"]["cancel"] = may_cancel.into();
         let gateway = Gateway::start(&config).await;
         let mut client = gateway.client().await;
--- a/gateway/tests/common/gateway.rs
+++ b/gateway/tests/common/gateway.rs
@@ -40,6 +40,7 @@
     /// The sender with which the test changes discovery's address.
     pub discovery: watch::Sender<SocketAddr>,
     shutdown: Option<oneshot::Sender<()>>,
+    /// The task that runs the gateway until the graceful shutdown has ended.
     pub task: JoinHandle<Result<(), ServeError>>,
 }
 
@@ -110,6 +111,7 @@
     pub address: SocketAddr,
     /// The sender with which the test changes discovery's address.
     pub discovery: watch::Sender<SocketAddr>,
+    /// The requests to stall the thread, each until its receiver returns.
     stalls: mpsc::UnboundedSender<blocking_mpsc::Receiver<()>>,
     shutdown: Option<oneshot::Sender<()>>,
     thread: Option<std::thread::JoinHandle<Result<(), ServeError>>>,
@@ -158,7 +160,8 @@
         StallableGateway { address, discovery, stalls, shutdown: Some(shutdown), thread: Some(thread) }
     }
 
-    /// Stalls the gateway's thread until the returned guard is dropped.
+    /// Stalls the gateway's thread until the returned guard is dropped. Returns after 100 ms, so that the
+    /// stall has begun by then.
     pub async fn stall(&self) -> blocking_mpsc::Sender<()> {
         let (guard, released) = blocking_mpsc::channel();
         self.stalls.send(released).expect("the gateway is running");
@@ -192,7 +195,7 @@
 /// Returns a configuration like that of a deployment: with the non-idempotent class `sign` and a short
 /// deduplication window, without `Retry-After` and cancellation, and with endpoint lists that discovery
 /// pushes.
-pub fn config_with_unsafe_class(cached_entries: Vec<Value>, discovery: std::net::SocketAddr) -> Value {
+pub fn non_idempotent_config(cached_entries: Vec<Value>, discovery: std::net::SocketAddr) -> Value {
     let mut config = gateway_config(cached_entries, discovery);
     config["settings"]["classes"] = json!([
         {"name": "look", "aim_ms": 9000.0, "deadline_ms": 600_000.0, "effect": "safe"},
@@ -207,7 +210,7 @@
 }
 
 /// Returns a request of the non-idempotent class `sign`.
-pub fn unsafe_request(id: &str) -> String {
+pub fn sign_request(id: &str) -> String {
     format!("POST /api HTTP/1.1\r\nX-Correlation-Id: {id}\r\nX-Service-Class: sign\r\nContent-Length: 4\r\n\r\ndesk")
 }
 
@@ -217,7 +220,7 @@
 pub async fn request_in_flight() -> (Gateway, ScriptedServer, Client, ScriptedConnection) {
     let (server, discovery) = (ScriptedServer::start().await, StubDiscovery::start().await);
     let mut config =
-        config_with_unsafe_class(vec![endpoint_entry(1, server.address, "SERVING")], discovery.address);
+        non_idempotent_config(vec![endpoint_entry(1, server.address, "SERVING")], discovery.address);
     config["settings"]["limits"]["cancel"] = true.into();
     let gateway = Gateway::start(&config).await;
     let mut client = gateway.client().await;
--- a/gateway/tests/control.rs
+++ b/gateway/tests/control.rs
@@ -1,5 +1,5 @@
-//! A gateway that follows a control server, as its operator file says: changes that are proposed to the
-//! primary apply to the requests. No result depends on the speed of the machine.
+//! A gateway that has an operator file and follows a control server instead of discovery: changes that are
+//! proposed to the primary apply to requests. No result depends on the speed of the machine.
 mod common;
 use common::*;
 use serde_json::Value;
@@ -90,7 +90,7 @@
     }
 }
 
-/// The log lines of the current thread.
+/// The log output of the current thread.
 #[derive(Clone, Default)]
 struct LogCapture(Arc<Mutex<Vec<u8>>>);
 
@@ -149,10 +149,13 @@
 }
 
 /// Sends 60 requests, which must all be served.
-async fn send_requests(gateway: &Gateway, name: &str) {
+async fn send_requests(gateway: &Gateway, id_prefix: &str) {
     let mut client = gateway.client().await;
     for number in 0..60 {
-        assert_eq!(client.request(&look_request(&format!("{name}-{number}"))).await.start_line.code, 200);
+        assert_eq!(
+            client.request(&look_request(&format!("{id_prefix}-{number}"))).await.start_line.code,
+            200
+        );
     }
 }
 
--- a/gateway/tests/discovery.rs
+++ b/gateway/tests/discovery.rs
@@ -45,7 +45,8 @@
     let (poll_target, responder) = discovery.next_poll().await;
     assert!(poll_target.contains("after=42"), "{poll_target}");
     assert_eq!(gateway.client().await.request(&look_request("still")).await.start_line.code, 200);
-    // The same holds after a closed connection. A complete list then gives an endpoint another address.
+    // After a closed connection, the watch also continues. A complete list then gives an endpoint another
+    // address.
     drop(responder);
     let moved_server = StubServer::start(SERVE).await;
     let (_, responder) = discovery.next_poll().await;
@@ -109,7 +110,7 @@
     responder.send(ok_response(&endpoint_list(60, false, vec![]))).expect("the poll waits for its response");
     assert!(matches!(events.recv().await, Some(GatewayEvent::Discovery(DiscoveryEvent::Update(_)))));
     let (_, _silent) = discovery.next_poll().await;
-    let (_, _also_silent) = discovery.next_poll().await;
+    let (_, _silent_renewal) = discovery.next_poll().await;
     assert!(events.try_recv().is_err(), "the watch is renewed before it is reported as lost");
     assert!(matches!(events.recv().await, Some(GatewayEvent::Discovery(DiscoveryEvent::WatchLost))));
 }
@@ -217,7 +218,7 @@
         endpoint_entry(1, old_server.address, "SERVING"),
         endpoint_entry(2, new_server.address, "SERVING"),
     ];
-    let gateway = Gateway::start(&config_with_unsafe_class(entries, discovery.address)).await;
+    let gateway = Gateway::start(&non_idempotent_config(entries, discovery.address)).await;
     let (poll_target, responder) = discovery.next_poll().await;
     assert!(poll_target.contains("after=41"), "{poll_target}");
     responder
--- a/gateway/tests/load_reports.rs
+++ b/gateway/tests/load_reports.rs
@@ -37,7 +37,7 @@
 }
 
 #[tokio::test]
-async fn endpoints_that_report_only_on_health_checks_are_checked_and_weighted() {
+async fn health_checks_weight_endpoints_and_are_sent_only_if_the_settings_allow_them() {
     const SMALL_REPORT: ServerBehavior =
         ServerBehavior::Respond("HTTP/1.1 200 OK\r\nContent-Length: 23\r\n\r\nutil=0.9,qps=10,queue=0");
     const LARGE_REPORT: ServerBehavior =
--- a/gateway/tests/parsers.rs
+++ b/gateway/tests/parsers.rs
@@ -20,7 +20,7 @@
     "az":"a","model":"m2","pod_group":3,"state":"SERVING","capacity_hint":1.0,"boot_ms":0}]}"#;
 
 /// Checks a property on 400 random inputs, which depend only on `seed`.
-fn check<A: Arbitrary + std::fmt::Debug>(seed: u64, property: fn(A) -> bool) {
+fn check_property<A: Arbitrary + std::fmt::Debug>(seed: u64, property: fn(A) -> bool) {
     QuickCheck::new().rng(Gen::from_size_and_seed(60, seed)).tests(400).max_tests(400).quickcheck(property);
 }
 
@@ -88,11 +88,11 @@
     let expected: [(u16, &[u8], bool); 4] =
         [(200, b"desk", true), (503, b"", false), (200, b"desk", true), (200, b"to the end", false)];
     assert_eq!(bodies, expected);
-    check(1, |piece_sizes: Vec<u8>| {
+    check_property(1, |piece_sizes: Vec<u8>| {
         read_comparable::<RequestLine>(REQUESTS.as_bytes(), &piece_sizes)
             == read_comparable::<RequestLine>(REQUESTS.as_bytes(), &[])
     });
-    check(2, |piece_sizes: Vec<u8>| {
+    check_property(2, |piece_sizes: Vec<u8>| {
         read_comparable::<StatusLine>(RESPONSES.as_bytes(), &piece_sizes)
             == read_comparable::<StatusLine>(RESPONSES.as_bytes(), &[])
     });
@@ -100,14 +100,14 @@
 
 #[test]
 fn malformed_input_parses_the_same_wherever_it_is_split() {
-    check(3, |(bytes, piece_sizes): (Vec<u8>, Vec<u8>)| {
+    check_property(3, |(bytes, piece_sizes): (Vec<u8>, Vec<u8>)| {
         read_comparable::<RequestLine>(&bytes, &piece_sizes) == read_comparable::<RequestLine>(&bytes, &[])
     });
-    check(4, |(replacements, piece_sizes): (Vec<(usize, u8)>, Vec<u8>)| {
+    check_property(4, |(replacements, piece_sizes): (Vec<(usize, u8)>, Vec<u8>)| {
         let bytes = corrupted(REQUESTS, &replacements[..replacements.len().min(3)]);
         read_comparable::<RequestLine>(&bytes, &piece_sizes) == read_comparable::<RequestLine>(&bytes, &[])
     });
-    check(5, |(replacements, piece_sizes): (Vec<(usize, u8)>, Vec<u8>)| {
+    check_property(5, |(replacements, piece_sizes): (Vec<(usize, u8)>, Vec<u8>)| {
         let bytes = corrupted(RESPONSES, &replacements[..replacements.len().min(3)]);
         read_comparable::<StatusLine>(&bytes, &piece_sizes) == read_comparable::<StatusLine>(&bytes, &[])
     });
@@ -117,7 +117,7 @@
 fn invalid_endpoint_lists_and_configurations_are_rejected_without_a_panic() {
     let list = EndpointList::from_slice(ENDPOINT_LIST.as_bytes()).expect("the list is valid");
     assert_eq!((list.revision, list.is_complete, list.endpoints[0].cell), (41, true, 3));
-    check(6, |(replacements, length): (Vec<(usize, u8)>, usize)| {
+    check_property(6, |(replacements, length): (Vec<(usize, u8)>, usize)| {
         let bytes = corrupted(ENDPOINT_LIST, &replacements[..replacements.len().min(3)]);
         let truncated_length = length % bytes.len();
         let config = Config::read(&String::from_utf8_lossy(&bytes), |_| None);
--- a/gateway/tests/same_bytes.rs
+++ b/gateway/tests/same_bytes.rs
@@ -135,16 +135,16 @@
     config
 }
 
-/// Returns a generated request with the id `id-N` for the number `n`.
-fn generated_request(random: &mut Random, n: usize) -> String {
+/// Returns a pseudorandom request. The correlation id ends in `number`.
+fn generated_request(random: &mut Random, number: usize) -> String {
     let method = random.choose(&["GET", "POST"]);
     let target = random.choose(&["/api", "/api?desk=4", "/api?a=%20b&c=d?e", "/api?"]);
     let version = random.choose(&["HTTP/1.1", "HTTP/1.1", "HTTP/1.1", "HTTP/1.0"]);
     let class = random.choose(&["look", "book", "sign"]);
-    let mut fields = vec![format!("X-Correlation-Id: id-{n}"), format!("X-Service-Class: {class}")];
+    let mut fields = vec![format!("X-Correlation-Id: id-{number}"), format!("X-Service-Class: {class}")];
     fields.push(random.choose(&["Host: backend.local", "host: other:81", "X-None: 1"]).to_string());
     if class == "book" || random.below(4) == 0 {
-        fields.push(format!("{}: key {n}", random.choose(&["Idempotency-Key", "idempotency-key"])));
+        fields.push(format!("{}: key {number}", random.choose(&["Idempotency-Key", "idempotency-key"])));
     }
     for (one_in, field) in [
         (2, "X-Account: acme"),
@@ -187,7 +187,7 @@
     format!("{method} {target} {version}\r\n{}\r\n\r\n{body}", fields.join("\r\n"))
 }
 
-/// Returns a generated response, which depends only on the length of the request.
+/// Returns a pseudorandom response, which depends only on the length of the request.
 fn generated_response(request: &str) -> Option<String> {
     let mut random = Random(request.len() as u64);
     let interim =
@@ -200,14 +200,14 @@
         "Set-Cookie: a=b\r\nSet-Cookie: c=d",
         "Retry-After: 3\r\nTrailer: X-T\r\nUpgrade: other/2",
     ]);
-    let body_fields = random.choose(&[
+    let framing_and_body = random.choose(&[
         "Content-Length: 4\r\n\r\ndesk",
         "Content-Length: 0\r\n\r\n",
         "Transfer-Encoding: chunked\r\n\r\n3\r\ndes\r\n1;x\r\nk\r\n0\r\nX-T: 1\r\n\r\n",
         "Connection: close\r\nContent-Length: 4\r\n\r\ndesk",
         "X-Last: 1\r\n\r\nto the end",
     ]);
-    Some(format!("{interim}HTTP/1.1 {head}\r\n{extra_fields}\r\n{body_fields}"))
+    Some(format!("{interim}HTTP/1.1 {head}\r\n{extra_fields}\r\n{framing_and_body}"))
 }
 
 #[tokio::test]
--- a/gateway/tests/upstream.rs
+++ b/gateway/tests/upstream.rs
@@ -24,13 +24,13 @@
 }
 
 impl UpstreamHarness {
-    fn new(max_connections: usize, idle_ms: f64) -> Self {
+    fn new(max_connections: usize, idle_timeout_ms: f64) -> Self {
         let (event_sender, events) = mpsc::channel(16);
         UpstreamHarness {
             upstream: Upstream::new(
                 event_sender,
                 Descriptors::new(max_connections),
-                idle_ms,
+                idle_timeout_ms,
                 Duration::from_secs(20),
             ),
             events,
@@ -96,7 +96,7 @@
     let report =
         |utilization, throughput_per_s| LoadReport { utilization, throughput_per_s, queue_length: None };
     let no_report = LoadReport::default();
-    for (behavior, outcome, expected_report) in [
+    for (behavior, expected_outcome, expected_report) in [
         (SERVE, Outcome::Served, report(Some(0.5), Some(20.0))),
         (REJECT, Outcome::Rejected, no_report),
         (
@@ -148,10 +148,11 @@
         (ServerBehavior::Hang, Outcome::ResponseTimeout, no_report),
     ] {
         let server = StubServer::start(behavior).await;
-        let limit = if outcome == Outcome::ResponseTimeout { Duration::from_secs(1) } else { TEST_TIMEOUT };
-        let (actual_outcome, report) =
+        let limit =
+            if expected_outcome == Outcome::ResponseTimeout { Duration::from_secs(1) } else { TEST_TIMEOUT };
+        let (outcome, report) =
             UpstreamHarness::new(4, 30_000.0).outcome(server.address, limit).await;
-        assert_eq!((actual_outcome, report), (outcome, expected_report));
+        assert_eq!((outcome, report), (expected_outcome, expected_report));
     }
     let closed_address = TcpListener::bind("127.0.0.1:0")
         .await
