--- a/fleet-simulator/src/main.rs
+++ b/fleet-simulator/src/main.rs
@@ -10,7 +10,7 @@
 use ternstack_fleet_simulator::judge::Findings;
 use ternstack_fleet_simulator::report;
 use ternstack_fleet_simulator::statistics::{compare, Verdict};
-use ternstack_scale_tests::run::Launches;
+use ternstack_scale_tests::run::LaunchCommands;
 
 /// Where the shipped experiments are, from the repository's root.
 const SHIPPED: &str = "fleet-simulator/experiments";
@@ -132,9 +132,9 @@
 /// Plays fleets of hollow gateways.
 fn scale(options: &ternstack_scale_tests::options::Options) -> Result<ExitCode, String> {
     let program = std::env::current_exe().map_err(|e| e.to_string())?;
-    let part = Launch { program, args: vec!["part".into()], variables: Vec::new() };
+    let worker = Launch { program, args: vec!["part".into()], variables: Vec::new() };
     let gateway = Some(Launch::current_program().map_err(|e| e.to_string())?);
-    let kept = ternstack_scale_tests::command::command(options, &Launches { part, gateway })?;
+    let kept = ternstack_scale_tests::command::run(options, &LaunchCommands { worker, gateway })?;
     Ok(if kept { ExitCode::SUCCESS } else { ExitCode::FAILURE })
 }
 
@@ -155,7 +155,7 @@
         return run_gateway();
     }
     if matches!(cli.command, Command::Part) {
-        return ternstack_scale_tests::hollow::be_a_part();
+        return ternstack_scale_tests::worker::run_worker();
     }
     let level = match cli.verbose {
         0 => tracing::Level::WARN,
--- a/scale-tests/src/command.rs
+++ b/scale-tests/src/command.rs
@@ -1,11 +1,11 @@
 //! The subcommand: plays the plans that the options ask for, one after another, and tells what came of it.
 use crate::options::Options;
 use crate::report;
-use crate::run::{play, Launches, Outcome};
+use crate::run::{play, LaunchCommands, Outcome};
 
 /// Plays all; whether the judge is content with every run. `launches` start this program as a part of a fleet
-/// ([`crate::hollow::be_a_part`]) and as a gateway.
-pub fn command(options: &Options, launches: &Launches) -> Result<bool, String> {
+/// ([`crate::worker::run_worker`]) and as a gateway.
+pub fn run(options: &Options, launches: &LaunchCommands) -> Result<bool, String> {
     let plans = options.plans()?;
     if let Some(out) = &options.out {
         std::fs::create_dir_all(out).map_err(|e| format!("--out {}: {e}", out.display()))?;
--- a/scale-tests/src/fleet.rs
+++ b/scale-tests/src/fleet.rs
@@ -1,10 +1,10 @@
 //! All processes of a run: an origin, distributors, hollow gateways, and the links between them that fail by script.
+use crate::installation::World;
 use crate::options::Plan;
-use crate::part::{Common, Hollow, MachineAt, Order, Part, Report, Role, Spec, Told};
-use crate::record::Span;
+use crate::timeline::Span;
 use crate::traffic::Traffic;
 use crate::usage::Usage;
-use crate::world::World;
+use crate::worker_process::{Common, Hollow, MachineAt, Order, Part, Report, Role, Spec, Told};
 use std::collections::{BTreeMap, HashMap};
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -128,7 +128,7 @@
     fn machines_for(&self, world: &World, gateway: usize) -> (Vec<MachineAt>, Vec<usize>) {
         let at = world.zone_of(gateway);
         let machines = self.machines_of(world, world.region_of(at));
-        let all: Vec<placement::ReplicaLocation> = machines.iter().map(crate::hollow::placed).collect();
+        let all: Vec<placement::ReplicaLocation> = machines.iter().map(crate::worker::placed).collect();
         let order =
             placement::preference_order(&hollow(gateway), &zone(at), &region(world.region_of(at)), &all);
         (machines, order)
--- a/scale-tests/src/before.rs
+++ b/scale-tests/src/full_state_cost.rs
@@ -1,6 +1,6 @@
 //! What one change costs when a version is the whole state ([`ternstack_replication::rules`]), at the size of a plan, and
 //! what it costs as a change ([`ternstack_replication::scope`]).
-use crate::world::World;
+use crate::installation::World;
 use serde::{Deserialize, Serialize};
 use std::time::Instant;
 use ternstack_replication::rules::{conflicts, Host, RetryPolicy, Rules};
--- a/scale-tests/src/judge.rs
+++ b/scale-tests/src/invariants.rs
@@ -1,5 +1,5 @@
 //! The judge: looks from outside at what all have told, and knows nothing of how it came about.
-use crate::record::Span;
+use crate::timeline::Span;
 use serde::Serialize;
 use std::collections::BTreeMap;
 use ternstack_replication::lease::LeaseConfig;
--- a/scale-tests/src/options.rs
+++ b/scale-tests/src/options.rs
@@ -1,6 +1,6 @@
 //! What a run is told on the command line, its defaults, and what is wrong with it.
 use crate::faults::Fault;
-use crate::world::Size;
+use crate::installation::Size;
 use std::path::PathBuf;
 use ternstack_replication::lease::LeaseConfig;
 
@@ -233,7 +233,7 @@
 
     /// Whether it can be played; the flag at fault is named.
     pub fn check(&self) -> Result<(), String> {
-        crate::world::World::draw(self.size)?;
+        crate::installation::World::draw(self.size)?;
         for (name, rate) in
             [("changes-per-s", self.changes_per_s), ("host-changes-per-s", self.host_changes_per_s)]
         {
--- a/scale-tests/src/measure.rs
+++ b/scale-tests/src/phase_result.rs
@@ -1,10 +1,10 @@
 //! What was taken between two moments of a run, by role.
 use crate::fleet::{look, Fleet};
 use crate::options::Plan;
-use crate::part::Report;
-use crate::record::Reached;
+use crate::timeline::Reached;
 use crate::traffic::Traffic;
 use crate::usage::{now_us, Machine, Usage};
+use crate::worker_process::Report;
 use serde::Serialize;
 
 /// A moment.
--- a/scale-tests/src/proposer.rs
+++ b/scale-tests/src/proposer.rs
@@ -1,6 +1,6 @@
 //! The staff's end: proposes changes to the origin, and keeps what was accepted.
+use crate::installation::World;
 use crate::usage::now_us;
-use crate::world::World;
 use std::collections::{BTreeMap, VecDeque};
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
--- a/scale-tests/src/real.rs
+++ b/scale-tests/src/real_gateways.rs
@@ -1,11 +1,11 @@
 //! Two real gateways with servers and load of their own beside a fleet: one follows the fleet's control, the other runs
 //! without. Both are measured at the same time, so that the machine's other work is the same to both.
 use crate::fleet::{region, zone, Fleet};
-use crate::hist::Times;
+use crate::histogram::Times;
+use crate::installation::World;
 use crate::options::Plan;
 use crate::proposer::Proposer;
 use crate::usage::now_us;
-use crate::world::World;
 use serde::Serialize;
 use std::fmt::Write as _;
 use std::net::{SocketAddr, SocketAddrV4};
--- a/scale-tests/src/report.rs
+++ b/scale-tests/src/report.rs
@@ -1,5 +1,5 @@
 //! What people read of runs: tables in Markdown, and one self-contained HTML page with a plot of each slope.
-use crate::measure::{Row, Taken};
+use crate::phase_result::{Row, Taken};
 use crate::run::Outcome;
 use crate::traffic::{Sum, Traffic};
 use plotters::coord::Shift;
--- a/scale-tests/src/run.rs
+++ b/scale-tests/src/run.rs
@@ -1,15 +1,15 @@
 //! Plays a plan: start, quiet, changes, ten times the changes, faults; measures each, and has the end judged.
-use crate::before::{self, Before};
 use crate::faults::Fault;
 use crate::fleet::{look, Fleet};
-use crate::judge::{judge, longest_contradiction, Drain, Evidence, Held, Offence};
-use crate::measure::{Mark, Row};
+use crate::full_state_cost::{self, Before};
+use crate::installation::{Stream, World};
+use crate::invariants::{judge, longest_contradiction, Drain, Evidence, Held, Offence};
 use crate::options::Plan;
-use crate::part::{Order, Report};
+use crate::phase_result::{Mark, Row};
 use crate::proposer::Proposer;
-use crate::real::{Pair, Seen};
+use crate::real_gateways::{Pair, Seen};
 use crate::usage::now_us;
-use crate::world::{Stream, World};
+use crate::worker_process::{Order, Report};
 use rustix::process::Signal;
 use serde::Serialize;
 use std::time::Duration;
@@ -104,20 +104,20 @@
 
 /// How processes are started.
 #[derive(Clone, Debug)]
-pub struct Launches {
+pub struct LaunchCommands {
     /// A part of a fleet.
-    pub part: Launch,
+    pub worker: Launch,
     /// A real gateway; `None` where there is none.
     pub gateway: Option<Launch>,
 }
 
 /// Plays a plan. `say` is told of each step.
 pub async fn play(
-    launches: &Launches, plan: &Plan, with_before: bool, say: &dyn Fn(String),
+    launches: &LaunchCommands, plan: &Plan, with_before: bool, say: &dyn Fn(String),
 ) -> Result<Outcome, String> {
-    let launch = &launches.part;
+    let launch = &launches.worker;
     let world = World::draw(plan.size)?;
-    let before = with_before.then(|| before::measure(&world));
+    let before = with_before.then(|| full_state_cost::measure(&world));
     say(format!("{} gateways, {} hosts: starting", plan.size.gateways, plan.size.hosts));
     let began = Instant::now();
     let fleet = Fleet::start(launch, plan, &world).await?;
--- a/scale-tests/src/record.rs
+++ b/scale-tests/src/timeline.rs
@@ -1,5 +1,5 @@
 //! What a process of hollow gateways keeps of when each acted on which version, and what it tells of that.
-use crate::hist::Times;
+use crate::histogram::Times;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 use ternstack_replication::scope::Revision;
--- a/scale-tests/src/hollow.rs
+++ b/scale-tests/src/worker.rs
@@ -1,10 +1,10 @@
 //! What happens inside the processes of a fleet: the origin, a distributor, or many hollow gateways.
 use crate::fleet::hollow;
-use crate::part::{Common, Hollow, MachineAt, Order, Report, Role, Spec, Told};
-use crate::record::{spans, Track};
+use crate::installation::World;
+use crate::timeline::{spans, Track};
 use crate::traffic::Traffic;
 use crate::usage::now_us;
-use crate::world::World;
+use crate::worker_process::{Common, Hollow, MachineAt, Order, Report, Role, Spec, Told};
 use std::collections::{BTreeSet, HashMap};
 use std::io::{BufRead, Write};
 use std::net::SocketAddr;
@@ -36,7 +36,7 @@
 }
 
 /// A process of a fleet, as a child of a run: it ends with its parent, and when its standard input does.
-pub fn be_a_part() -> ExitCode {
+pub fn run_worker() -> ExitCode {
     let worked = if ternstack_fault_tests::process::exit_with_parent() {
         work()
     } else {
--- a/scale-tests/src/part.rs
+++ b/scale-tests/src/worker_process.rs
@@ -1,9 +1,9 @@
 //! A process of a fleet, as the run sees it: started by this very program, told what to do by lines on its standard input,
 //! answering each with a line on its standard output.
-use crate::record::{Reached, Span};
+use crate::installation::Size;
+use crate::timeline::{Reached, Span};
 use crate::traffic::Traffic;
 use crate::usage::Usage;
-use crate::world::Size;
 use rustix::process::{kill_process, Pid, Signal};
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
@@ -144,7 +144,7 @@
     /// The least version in force at any.
     pub least: Revision,
     /// Times from the begin of a life until all was whole, over the lives since the last restart.
-    pub start: crate::hist::Times,
+    pub start: crate::histogram::Times,
     /// The versions asked about.
     pub reached: Reached,
     /// Messages and bytes since their start, of all together.
--- a/scale-tests/tests/fleet.rs
+++ b/scale-tests/tests/fleet.rs
@@ -2,9 +2,9 @@
 //! digests. What the judge says of times depends on the machine, so that is left to the run itself.
 use clap::Parser;
 use ternstack_fault_tests::process::Launch;
-use ternstack_scale_tests::judge::Promise;
+use ternstack_scale_tests::invariants::Promise;
 use ternstack_scale_tests::options::Options;
-use ternstack_scale_tests::run::{play, Launches};
+use ternstack_scale_tests::run::{play, LaunchCommands};
 
 #[derive(Parser)]
 struct Cli {
@@ -20,12 +20,12 @@
 fn a_small_fleet_holds_the_same_state_through_a_kill() -> Result<(), String> {
     let options = Cli::try_parse_from(SMALL.split_whitespace()).map_err(|e| e.to_string())?.options;
     let plans = options.plans()?;
-    let part = Launch {
+    let worker = Launch {
         program: env!("CARGO_BIN_EXE_ternstack-scale-worker").into(),
         args: Vec::new(),
         variables: Vec::new(),
     };
-    let launches = Launches { part, gateway: None };
+    let launches = LaunchCommands { worker, gateway: None };
     let runtime =
         tokio::runtime::Builder::new_current_thread().enable_all().build().map_err(|e| e.to_string())?;
     let outcome = runtime.block_on(play(&launches, &plans[0], false, &|_| {}))?;
--- a/scale-tests/tests/world.rs
+++ b/scale-tests/tests/installation.rs
@@ -1,7 +1,7 @@
 //! The installation and its changes as drawn.
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use ternstack_replication::scope::{Change, Entry, Scope};
-use ternstack_scale_tests::world::{Size, Stream, World};
+use ternstack_scale_tests::installation::{Size, Stream, World};
 
 const SIZE: Size = Size {
     seed: 1,
--- a/scale-tests/tests/judge.rs
+++ b/scale-tests/tests/invariants.rs
@@ -2,8 +2,8 @@
 use std::collections::BTreeMap;
 use ternstack_replication::lease::LeaseConfig;
 use ternstack_replication::scope::{Digest, Entry, Key, Scope};
-use ternstack_scale_tests::judge::{judge, longest_contradiction, Drain, Evidence, Held, Promise};
-use ternstack_scale_tests::record::{spans, Reached, Track};
+use ternstack_scale_tests::invariants::{judge, longest_contradiction, Drain, Evidence, Held, Promise};
+use ternstack_scale_tests::timeline::{spans, Reached, Track};
 
 /// Of these the judge takes the promise of 1,919 ms.
 fn terms() -> LeaseConfig {
