--- a/scale-tests/src/faults.rs
+++ b/scale-tests/src/faults.rs
@@ -1,40 +1,40 @@
-//! What befalls a fleet, by name.
+//! The faults that a run injects, by name.
 use serde::{Deserialize, Serialize};
 
-/// A fault.
+/// A fault injected into a fleet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Fault {
-    /// A distributor is killed, and started anew when the fault is over.
+    /// Kills a distributor, and restarts the distributor when the fault ends.
     Kill,
-    /// A distributor stands still (SIGSTOP) for a while.
+    /// Stops a distributor with SIGSTOP, and resumes the distributor when the fault ends.
     Stop,
-    /// One hollow's link to its distributor: what it says does not arrive.
+    /// Stalls the link between the first hollow gateway and its distributor: the gateway's messages don't arrive.
     CutThere,
-    /// The same link: what it is told does not arrive.
+    /// Stalls the link between the first hollow gateway and its distributor: the distributor's messages don't arrive.
     CutBack,
-    /// A distributor's link to the origin: what it says does not arrive.
+    /// Stalls the link between a distributor and the origin: the distributor's messages don't arrive.
     DistributorCutThere,
-    /// The same link: what it is told does not arrive.
+    /// Stalls the link between a distributor and the origin: the origin's messages don't arrive.
     DistributorCutBack,
-    /// A region's distributors do not reach the origin for a while.
+    /// Cuts the links from all distributors of one region to the origin.
     Region,
-    /// All hosts of a zone are lost: one entry.
+    /// Marks a zone as lost with one entry, so that gateways stop using the zone's hosts.
     ZoneLost,
-    /// A tenth of the hollow gateways start anew at once, with nothing.
+    /// Restarts a tenth of the hollow gateways at once, without any state.
     RestartTenth,
-    /// The same, with the snapshots that they kept.
+    /// Restarts a tenth of the hollow gateways at once, each with a snapshot of its state.
     RestartTenthKept,
-    /// All of them do, with nothing.
+    /// Restarts all hollow gateways at once, without any state.
     RestartAll,
-    /// One hollow reads 500 bytes a second.
+    /// Limits the first hollow gateway to reading 500 bytes a second.
     SlowReader,
-    /// 100 changes in one second.
+    /// Proposes 100 changes of configuration within one second.
     Burst,
 }
 
 impl Fault {
-    /// Every one, the gravest for the machine last.
+    /// All faults; those that load the machine most come last.
     pub const ALL: [Fault; 13] = [
         Fault::Kill,
         Fault::Stop,
@@ -51,7 +51,7 @@
         Fault::RestartAll,
     ];
 
-    /// Its name on the command line.
+    /// Returns the fault's name on the command line and in reports.
     pub fn name(self) -> &'static str {
         match self {
             Fault::Kill => "kill",
@@ -70,16 +70,19 @@
         }
     }
 
-    /// The fault of that name; an unknown one is named, with all there are.
-    pub fn named(name: &str) -> Result<Fault, String> {
+    /// Returns the fault with the given command-line name.
+    ///
+    /// # Errors
+    /// An unknown name; the message lists the known ones.
+    pub fn from_name(name: &str) -> Result<Fault, String> {
         Fault::ALL.into_iter().find(|f| f.name() == name).ok_or_else(|| {
             let known: Vec<_> = Fault::ALL.iter().map(|f| f.name()).collect();
             format!("--fault {name}: expected all or one of {}", known.join(", "))
         })
     }
 
-    /// How long it lasts, in s.
-    pub fn lasts_s(self) -> f64 {
+    /// Returns how long the fault lasts, in s.
+    pub fn duration_s(self) -> f64 {
         match self {
             Fault::Region => 10.0,
             Fault::ZoneLost | Fault::Burst => 1.0,
--- a/scale-tests/src/invariants.rs
+++ b/scale-tests/src/invariants.rs
@@ -1,136 +1,155 @@
-//! The judge: looks from outside at what all have told, and knows nothing of how it came about.
-use crate::timeline::Span;
+//! Checks the invariants of a run against evidence collected from the outside: the checks use only what the processes
+//! reported, and none of the code that distributes changes.
+use crate::timeline::RevisionSpan;
 use serde::Serialize;
 use std::collections::BTreeMap;
 use ternstack_replication::lease::LeaseConfig;
 use ternstack_replication::scope::{Digest, Revision, Scope};
 
-/// Who follows a scope and has it whole at the end, by what they hold.
+/// The followers that have all of a scope at the end of a run, with one digest in common.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Held {
+pub struct HeldScope {
     /// The scope.
     pub scope: Scope,
-    /// What it sums up to there.
+    /// The digest of the scope at these followers.
     pub digest: Digest,
-    /// How many hold it so.
+    /// Number of followers with this digest.
     pub followers: u64,
 }
 
-/// What was seen of a host that was told to drain.
+/// The observed effect of draining a host.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Drain {
-    /// Which.
+pub struct DrainEvidence {
+    /// Description of the host for messages.
     pub host: String,
-    /// Followers of its service that were asked once its bound was over.
-    pub asked: u64,
-    /// How many of them still gave it work.
-    pub still: u64,
+    /// Number of followers of the host's service that were probed after the bound on a drain had passed.
+    pub probed: u64,
+    /// Number of probed followers that still sent new requests to the host.
+    pub still_sending: u64,
 }
 
-/// All that is judged.
+/// The evidence that the invariants are checked against.
 #[derive(Clone, Debug, Default)]
 pub struct Evidence {
-    /// What scopes sum up to with all that was accepted; one that is not here is empty.
-    pub agreed: BTreeMap<Scope, Digest>,
-    /// What followers hold at the end.
-    pub held: Vec<Held>,
-    /// Followers that should be whole at the end, and those that are, at the origin's version.
+    /// The digest of each scope with all accepted changes applied; a scope without a digest is empty.
+    pub expected_digests: BTreeMap<Scope, Digest>,
+    /// The digests that followers have at the end.
+    pub held: Vec<HeldScope>,
+    /// Number of followers, and number of those that have all their scopes at the origin's revision at the end.
     pub followers: (u64, u64),
-    /// From when to when anybody acted on each version.
-    pub spans: BTreeMap<Revision, Span>,
-    /// How often anybody acted on an older version than before.
-    pub went_back: u64,
-    /// Drains that were told and looked after.
-    pub drains: Vec<Drain>,
-    /// Whether the origin's state sums up to the installation as drawn with all that was accepted since.
-    pub origin_keeps_all: bool,
-    /// Whether every distributor's does.
-    pub distributors_keep_all: bool,
-    /// Processes that ended by themselves.
-    pub ended: Vec<String>,
+    /// When any follower acted on each revision.
+    pub spans: BTreeMap<Revision, RevisionSpan>,
+    /// How often an older revision came into force at any follower.
+    pub rollbacks: u64,
+    /// The drains to be checked.
+    pub drains: Vec<DrainEvidence>,
+    /// Whether the origin's digest is that of the initial installation with all accepted changes applied.
+    pub origin_has_all_changes: bool,
+    /// Whether every distributor's digest equals the origin's.
+    pub distributors_have_all_changes: bool,
+    /// Names of the processes that exited without being told to.
+    pub exited_processes: Vec<String>,
 }
 
-/// What the judge holds against a run.
+/// An invariant that every run must keep.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Promise {
-    /// At the end all hold the same.
+pub enum Invariant {
+    /// At the end, all followers have the same state.
     SameState,
-    /// Nobody acts on an older version than it has said.
+    /// No follower acts on a revision older than the one it acted on before.
     NeverBack,
-    /// No two act on different versions for longer than the terms say.
+    /// No two followers act on different revisions for longer than the lease configuration allows.
     OneVersion,
-    /// A drain is obeyed within its bound.
+    /// Followers stop sending requests to a draining host within the bound on a drain.
     Drains,
-    /// What was accepted is kept.
+    /// No accepted change is lost.
     NothingLost,
-    /// No process ends by itself.
+    /// No process exits without being told to.
     Alive,
 }
 
-/// An offence.
+/// A violation of an invariant.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
-pub struct Offence {
-    /// Against what.
-    pub promise: Promise,
-    /// In words.
-    pub words: String,
+pub struct Violation {
+    /// The violated invariant.
+    #[serde(rename = "promise")]
+    pub invariant: Invariant,
+    /// What was observed and what was expected, as a sentence.
+    #[serde(rename = "words")]
+    pub description: String,
 }
 
-/// The longest time, in us, for which two acted on different versions: from the first act on a later version to the last
-/// on this one. 0 where that never was.
-pub fn longest_contradiction(spans: &BTreeMap<Revision, Span>) -> (Revision, u64) {
-    let mut worst = (0, 0);
-    let mut later = u64::MAX;
-    for (number, span) in spans.iter().rev() {
-        let overlap = span.last_us.saturating_sub(later);
-        if overlap > worst.1 {
-            worst = (*number, overlap);
+/// Returns the longest conflict as the earlier revision and a time in us: from the first action on any later revision to
+/// the last action on the earlier one. Both are 0 if no two revisions overlap.
+pub fn longest_conflict(spans: &BTreeMap<Revision, RevisionSpan>) -> (Revision, u64) {
+    let mut longest = (0, 0);
+    let mut first_later_us = u64::MAX;
+    for (revision, span) in spans.iter().rev() {
+        let overlap_us = span.last_us.saturating_sub(first_later_us);
+        if overlap_us > longest.1 {
+            longest = (*revision, overlap_us);
         }
-        later = later.min(span.first_us);
+        first_later_us = first_later_us.min(span.first_us);
     }
-    worst
+    longest
 }
 
-/// All offences.
-pub fn judge(evidence: &Evidence, terms: &LeaseConfig) -> Vec<Offence> {
-    let mut found = Vec::new();
-    let mut tell = |promise, words: String| found.push(Offence { promise, words });
-    let (all, there) = evidence.followers;
-    if there < all {
-        tell(Promise::SameState, format!("{} of {all} followers are not at the end", all - there));
+/// Returns all violations that the evidence shows.
+pub fn check_invariants(evidence: &Evidence, lease: &LeaseConfig) -> Vec<Violation> {
+    let mut violations = Vec::new();
+    let mut report = |invariant, description: String| violations.push(Violation { invariant, description });
+    let (all, complete) = evidence.followers;
+    if complete < all {
+        report(
+            Invariant::SameState,
+            format!("{} of {all} followers lack a scope or the last revision at the end", all - complete),
+        );
     }
     for held in &evidence.held {
-        let agreed = evidence.agreed.get(&held.scope).copied().unwrap_or_default();
-        if held.digest != agreed {
+        let expected = evidence.expected_digests.get(&held.scope).copied().unwrap_or_default();
+        if held.digest != expected {
             let (scope, n) = (held.scope, held.followers);
-            tell(Promise::SameState, format!("{scope:?}: {n} followers hold another state than was agreed"));
+            report(
+                Invariant::SameState,
+                format!("{scope:?}: the state at {n} followers differs from the accepted state"),
+            );
         }
     }
-    if evidence.went_back > 0 {
-        tell(Promise::NeverBack, format!("{} times an older version came into force", evidence.went_back));
+    if evidence.rollbacks > 0 {
+        report(
+            Invariant::NeverBack,
+            format!("an older revision came into force {} times, expected never", evidence.rollbacks),
+        );
     }
-    let (number, longest_us) = longest_contradiction(&evidence.spans);
-    if longest_us as f64 / 1e3 > terms.max_conflict_ms() {
-        let (ms, most) = (longest_us as f64 / 1e3, terms.max_conflict_ms());
-        let by = evidence.spans.get(&number).map_or(0, |span| span.last_by);
-        let words = format!(
-            "version {number} was acted on for {ms:.0} ms beside a later one, at last by gateway {by}; at most \
-             {most:.0} ms are promised"
+    let (revision, longest_us) = longest_conflict(&evidence.spans);
+    if longest_us as f64 / 1e3 > lease.max_conflict_ms() {
+        let (longest_ms, max_ms) = (longest_us as f64 / 1e3, lease.max_conflict_ms());
+        let gateway = evidence.spans.get(&revision).map_or(0, |span| span.last_gateway);
+        let description = format!(
+            "revision {revision} was acted on for {longest_ms:.0} ms after a later one, last by gateway {gateway}; \
+             expected at most {max_ms:.0} ms"
         );
-        tell(Promise::OneVersion, words);
+        report(Invariant::OneVersion, description);
     }
-    for drain in evidence.drains.iter().filter(|d| d.still > 0) {
-        let Drain { host, asked, still } = drain;
-        tell(Promise::Drains, format!("{still} of {asked} followers give {host} work after its bound"));
+    for drain in evidence.drains.iter().filter(|d| d.still_sending > 0) {
+        let DrainEvidence { host, probed, still_sending } = drain;
+        report(
+            Invariant::Drains,
+            format!(
+                "{still_sending} of {probed} followers still send requests to {host} after the drain's bound"
+            ),
+        );
     }
-    let keeps =
-        [("the origin", evidence.origin_keeps_all), ("a distributor", evidence.distributors_keep_all)];
-    for (name, _) in keeps.iter().filter(|(_, keeps)| !keeps) {
-        tell(Promise::NothingLost, format!("{name} has not the state that all accepted changes make"));
+    let has_all_changes = [
+        ("the origin", evidence.origin_has_all_changes),
+        ("a distributor", evidence.distributors_have_all_changes),
+    ];
+    for (name, _) in has_all_changes.iter().filter(|(_, has_all)| !has_all) {
+        report(Invariant::NothingLost, format!("{name} lacks the state that all accepted changes result in"));
     }
-    for name in &evidence.ended {
-        tell(Promise::Alive, format!("{name} ended by itself"));
+    for name in &evidence.exited_processes {
+        report(Invariant::Alive, format!("process {name} exited without being told to"));
     }
-    found
+    violations
 }
--- a/scale-tests/src/phase_result.rs
+++ b/scale-tests/src/phase_result.rs
@@ -1,187 +1,206 @@
-//! What was taken between two moments of a run, by role.
-use crate::fleet::{look, Fleet};
+//! The results of a phase: what the members of each role used between two samples, and how fast changes came into force.
+use crate::fleet::{fetch_status, Fleet};
 use crate::options::Plan;
-use crate::timeline::Reached;
+use crate::timeline::PropagationTimes;
 use crate::traffic::Traffic;
-use crate::usage::{now_us, Machine, Usage};
-use crate::worker_process::Report;
+use crate::usage::{now_us, MachineLoad, Usage};
+use crate::worker_process::WorkerReport;
 use serde::Serialize;
 
-/// A moment.
+/// A sample of the counters of all processes and of the machine.
 #[derive(Debug)]
-pub struct Mark {
+pub struct Sample {
     at_us: u64,
-    machine: Machine,
-    hollows: Vec<(u32, Usage)>,
-    report: Report,
-    everything: Option<(Usage, Report)>,
-    distributors: Vec<(u32, Usage, Traffic)>,
+    machine: MachineLoad,
+    hollow_workers: Vec<(u32, Usage)>, // Process id and usage.
+    report: WorkerReport,
+    everything: Option<(Usage, WorkerReport)>,
+    distributors: Vec<(u32, Usage, Traffic)>, // Process id, usage and traffic.
     origin: (Usage, Traffic),
     run: Usage,
 }
 
-/// What one member of a role takes, in the mean.
+/// The mean usage of one member of a role over a phase.
 #[derive(Clone, Debug, Default, Serialize)]
-pub struct Taken {
-    /// Share of a core.
-    pub cpu: f64,
-    /// Resident bytes, at the end.
-    pub rss: f64,
+pub struct MemberUsage {
+    /// CPU time as a share of one core.
+    #[serde(rename = "cpu")]
+    pub cpu_share: f64,
+    /// Resident memory in bytes at the end of the phase.
+    #[serde(rename = "rss")]
+    pub rss_bytes: f64,
     /// Messages and bytes a second.
     pub traffic: Traffic,
 }
 
-/// A phase of a run.
+/// The results of one phase.
 #[derive(Clone, Debug, Default, Serialize)]
-pub struct Row {
-    /// The phase.
+pub struct PhaseResult {
+    /// The phase's name in reports.
     pub phase: String,
-    /// How long it was measured, in s.
+    /// Time between the two samples, in s.
     pub seconds: f64,
-    /// Versions proposed in it.
-    pub versions: usize,
-    /// From the proposal of a change to in force at a gateway, in ms: half of them, 99 in 100, the last.
+    /// Number of revisions proposed during the phase.
+    #[serde(rename = "versions")]
+    pub revisions: usize,
+    /// Time from the proposal of a change until the change was in force at a gateway, in ms: median, 99th percentile and
+    /// maximum.
     pub in_force_ms: [f64; 3],
-    /// The histogram of that: `(ms, how many)`.
-    pub in_force: Vec<(f64, u64)>,
-    /// Versions that have not come into force, over all gateways.
+    /// Histogram of the times from proposal to in force: `(ms, count)`.
+    #[serde(rename = "in_force")]
+    pub in_force_histogram: Vec<(f64, u64)>,
+    /// Number of pairs of a revision and a gateway that the revision has not reached.
     pub missing: u64,
-    /// From the end of it until all gateways held the last version and all their scopes, in ms.
+    /// Time from the end of the phase until all gateways had the last revision and all their scopes, in ms.
     pub settled_ms: f64,
-    /// From the begin of a restarted gateway's life until it had all: half of them, and nine in ten.
+    /// Time from the start of a restarted gateway until all its scopes were there, in ms: median and 90th percentile.
+    /// `None` for phases that restart no gateways.
     pub ready_ms: Option<(f64, f64)>,
-    /// A hollow gateway.
-    pub gateway: Taken,
-    /// Bytes of state that a hollow gateway keeps, as it reckons itself.
-    pub gateway_state: f64,
-    /// Bytes a second to the gateway that was sent most. Since its start, for the first phase.
-    pub most_bytes_per_s: f64,
-    /// A follower of everything, with its process.
-    pub everything: Option<Taken>,
-    /// Bytes of state that it keeps.
-    pub everything_state: f64,
-    /// A distributor.
-    pub distributor: Taken,
-    /// The distributor that took most of a core.
-    pub distributor_cpu_most: f64,
-    /// The origin.
-    pub origin: Taken,
-    /// The run's own process, of a core.
-    pub run_cpu: f64,
-    /// Tasks that ran or waited on the machine, over the minute before the end.
+    /// Usage of a hollow gateway.
+    pub gateway: MemberUsage,
+    /// Bytes of replicated state in a hollow gateway, by the gateway's own count.
+    #[serde(rename = "gateway_state")]
+    pub gateway_state_bytes: f64,
+    /// Increase of the bytes read by the gateway that has read most, in bytes a second. For the first phase, the increase
+    /// is counted from the start of the gateways.
+    #[serde(rename = "most_bytes_per_s")]
+    pub max_bytes_per_s: f64,
+    /// Usage of a follower of everything, including its process; `None` if the fleet has none.
+    pub everything: Option<MemberUsage>,
+    /// Bytes of replicated state in a follower of everything, by the follower's own count.
+    #[serde(rename = "everything_state")]
+    pub everything_state_bytes: f64,
+    /// Usage of a distributor.
+    pub distributor: MemberUsage,
+    /// Highest CPU time of any distributor, as a share of one core.
+    #[serde(rename = "distributor_cpu_most")]
+    pub max_distributor_cpu_share: f64,
+    /// Usage of the origin.
+    pub origin: MemberUsage,
+    /// CPU time of the process that executes the run, as a share of one core.
+    #[serde(rename = "run_cpu")]
+    pub run_cpu_share: f64,
+    /// Mean number of running and runnable tasks on the machine over the last minute of the phase.
     pub load: f64,
-    /// The share of its cores' time that stood idle.
-    pub idle: f64,
+    /// Share (0 to 1) of the machine's CPU time that was idle.
+    #[serde(rename = "idle")]
+    pub idle_share: f64,
 }
 
-impl Mark {
-    /// This moment.
-    pub async fn of(fleet: &mut Fleet) -> Result<Mark, String> {
+impl Sample {
+    /// Takes a sample of the whole fleet now.
+    pub async fn take(fleet: &mut Fleet) -> Result<Sample, String> {
         let mut distributors = Vec::new();
-        for part in &fleet.distributors {
-            let status = look(part.at).await?;
-            distributors.push((part.pid(), part.usage(), Traffic::of(&status.traffic)));
+        for process in &fleet.distributors {
+            let status = fetch_status(process.address).await?;
+            distributors.push((process.pid(), process.usage(), Traffic::from_counts(&status.traffic)));
         }
-        let origin = look(fleet.origin.at).await?;
+        let origin = fetch_status(fleet.origin.address).await?;
         let report = fleet.report(&[]).await?;
         let everything = fleet.report_everything(&[]).await?;
-        Ok(Mark {
+        Ok(Sample {
             report,
             everything: everything.and_then(|r| Some((fleet.everything.as_ref()?.usage(), r))),
             distributors,
-            origin: (fleet.origin.usage(), Traffic::of(&origin.traffic)),
-            hollows: fleet.hollows.iter().map(|p| (p.pid(), p.usage())).collect(),
+            origin: (fleet.origin.usage(), Traffic::from_counts(&origin.traffic)),
+            hollow_workers: fleet.hollow_workers.iter().map(|p| (p.pid(), p.usage())).collect(),
             run: Usage::of(std::process::id()).unwrap_or_default(),
-            machine: Machine::now(),
+            machine: MachineLoad::now(),
             at_us: now_us(),
         })
     }
 }
 
-/// The share of a core between two readings.
-fn cpu(begin: Usage, end: Usage, seconds: f64) -> f64 {
+/// Returns the CPU time between two readings as a share of one core.
+fn cpu_share(begin: Usage, end: Usage, seconds: f64) -> f64 {
     end.cpu_us.saturating_sub(begin.cpu_us) as f64 / 1e6 / seconds
 }
 
-impl Row {
-    /// What was taken between two moments.
-    pub fn between(phase: &str, begin: &Mark, end: &Mark, plan: &Plan) -> Row {
+impl PhaseResult {
+    /// Computes the usage of each role between two samples. The propagation times are left empty.
+    pub fn between(phase: &str, begin: &Sample, end: &Sample, plan: &Plan) -> PhaseResult {
         let seconds = (end.at_us.saturating_sub(begin.at_us) as f64 / 1e6).max(1e-3);
         let gateways = plan.size.gateways as f64;
-        // Processes that were not there yet count from their start.
-        let hollow = |(pid, now): &(u32, Usage)| {
-            let before = begin.hollows.iter().find(|(p, _)| p == pid).map(|(_, u)| *u).unwrap_or_default();
-            (cpu(before, *now, seconds), now.rss as f64)
+        // A process that is missing in the first sample was started in between, so its counters began at 0.
+        let hollow_worker = |(pid, now): &(u32, Usage)| {
+            let before =
+                begin.hollow_workers.iter().find(|(p, _)| p == pid).map(|(_, u)| *u).unwrap_or_default();
+            (cpu_share(before, *now, seconds), now.rss_bytes as f64)
         };
-        let hollows: Vec<_> = end.hollows.iter().map(hollow).collect();
+        let hollow_workers: Vec<_> = end.hollow_workers.iter().map(hollow_worker).collect();
         let distributor = |(pid, now, traffic): &(u32, Usage, Traffic)| {
             let before = begin.distributors.iter().find(|(p, ..)| p == pid).cloned().unwrap_or_default();
-            let traffic = traffic.since(&before.2).over(seconds);
-            Taken { cpu: cpu(before.1, *now, seconds), rss: now.rss as f64, traffic }
+            let traffic = traffic.since(&before.2).divided_by(seconds);
+            MemberUsage {
+                cpu_share: cpu_share(before.1, *now, seconds),
+                rss_bytes: now.rss_bytes as f64,
+                traffic,
+            }
         };
         let distributors: Vec<_> = end.distributors.iter().map(distributor).collect();
-        let count = distributors.len().max(1) as f64;
+        let distributor_count = distributors.len().max(1) as f64;
         let everything = end.everything.as_ref().map(|(now, report)| {
-            let (usage, before) =
+            let (usage, traffic) =
                 begin.everything.as_ref().map(|(u, r)| (*u, r.traffic.clone())).unwrap_or_default();
-            let each = report.followers.max(1) as f64;
-            Taken {
-                cpu: cpu(usage, *now, seconds) / each,
-                rss: now.rss as f64 / each,
-                traffic: report.traffic.since(&before).over(seconds * each),
+            let followers = report.followers.max(1) as f64;
+            MemberUsage {
+                cpu_share: cpu_share(usage, *now, seconds) / followers,
+                rss_bytes: now.rss_bytes as f64 / followers,
+                traffic: report.traffic.since(&traffic).divided_by(seconds * followers),
             }
         });
-        Row {
+        PhaseResult {
             phase: phase.into(),
             seconds,
-            gateway: Taken {
-                cpu: hollows.iter().map(|h| h.0).sum::<f64>() / gateways,
-                rss: hollows.iter().map(|h| h.1).sum::<f64>() / gateways,
-                traffic: end.report.traffic.since(&begin.report.traffic).over(seconds * gateways),
+            gateway: MemberUsage {
+                cpu_share: hollow_workers.iter().map(|w| w.0).sum::<f64>() / gateways,
+                rss_bytes: hollow_workers.iter().map(|w| w.1).sum::<f64>() / gateways,
+                traffic: end.report.traffic.since(&begin.report.traffic).divided_by(seconds * gateways),
             },
-            gateway_state: end.report.state_bytes as f64 / gateways,
-            most_bytes_per_s: end.report.most_bytes.saturating_sub(begin.report.most_bytes) as f64 / seconds,
+            gateway_state_bytes: end.report.state_bytes as f64 / gateways,
+            max_bytes_per_s: end.report.max_bytes_read.saturating_sub(begin.report.max_bytes_read) as f64
+                / seconds,
             everything,
-            everything_state: end
+            everything_state_bytes: end
                 .everything
                 .as_ref()
                 .map_or(0.0, |(_, r)| r.state_bytes as f64 / r.followers.max(1) as f64),
-            distributor_cpu_most: distributors.iter().map(|d| d.cpu).fold(0.0, f64::max),
-            distributor: Taken {
-                cpu: distributors.iter().map(|d| d.cpu).sum::<f64>() / count,
-                rss: distributors.iter().map(|d| d.rss).sum::<f64>() / count,
+            max_distributor_cpu_share: distributors.iter().map(|d| d.cpu_share).fold(0.0, f64::max),
+            distributor: MemberUsage {
+                cpu_share: distributors.iter().map(|d| d.cpu_share).sum::<f64>() / distributor_count,
+                rss_bytes: distributors.iter().map(|d| d.rss_bytes).sum::<f64>() / distributor_count,
                 traffic: distributors
                     .iter()
                     .fold(Traffic::default(), |sum, d| sum.plus(&d.traffic))
-                    .over(count),
+                    .divided_by(distributor_count),
             },
-            origin: Taken {
-                cpu: cpu(begin.origin.0, end.origin.0, seconds),
-                rss: end.origin.0.rss as f64,
-                traffic: end.origin.1.since(&begin.origin.1).over(seconds),
+            origin: MemberUsage {
+                cpu_share: cpu_share(begin.origin.0, end.origin.0, seconds),
+                rss_bytes: end.origin.0.rss_bytes as f64,
+                traffic: end.origin.1.since(&begin.origin.1).divided_by(seconds),
             },
-            run_cpu: cpu(begin.run, end.run, seconds),
+            run_cpu_share: cpu_share(begin.run, end.run, seconds),
             load: end.machine.load,
-            idle: end.machine.idle_since(&begin.machine),
-            ..Row::default()
+            idle_share: end.machine.idle_since(&begin.machine),
+            ..PhaseResult::default()
         }
     }
 
-    /// Takes in when the phase's versions came into force.
-    pub fn reached(&mut self, reached: &Reached, versions: usize) {
-        let times = &reached.times;
-        self.versions = versions;
-        self.in_force_ms = [times.quantile_ms(0.5), times.quantile_ms(0.99), times.longest_ms()];
-        self.in_force = times.steps();
-        self.missing = reached.missing;
+    /// Sets the propagation times of the `revisions` revisions proposed during the phase.
+    pub fn set_propagation_times(&mut self, propagation: &PropagationTimes, revisions: usize) {
+        let times = &propagation.times;
+        self.revisions = revisions;
+        self.in_force_ms = [times.quantile_ms(0.5), times.quantile_ms(0.99), times.max_ms()];
+        self.in_force_histogram = times.buckets();
+        self.missing = propagation.missing;
     }
 
-    /// The phase in a line, for who waits.
-    pub fn line(&self) -> String {
-        let [p50, p99, last] = self.in_force_ms;
+    /// Returns a summary of the phase in one line, for the progress output.
+    pub fn summary(&self) -> String {
+        let [p50, p99, max] = self.in_force_ms;
         format!(
-            "{}: {} versions in force after {p50:.0} ms (half), {p99:.0} ms (99 in 100), {last:.0} ms (last)",
-            self.phase, self.versions
+            "{}: {} revisions in force after {p50:.0} ms (p50), {p99:.0} ms (p99), {max:.0} ms (max)",
+            self.phase, self.revisions
         )
     }
 }
--- a/scale-tests/src/proposer.rs
+++ b/scale-tests/src/proposer.rs
@@ -1,5 +1,5 @@
-//! The staff's end: proposes changes to the origin, and keeps what was accepted.
-use crate::installation::World;
+//! A client that proposes changes to the origin and records which ones the origin accepted.
+use crate::installation::Installation;
 use crate::usage::now_us;
 use std::collections::{BTreeMap, VecDeque};
 use std::net::SocketAddr;
@@ -13,142 +13,152 @@
 use tokio::task::JoinHandle;
 use tokio::time::{sleep, Instant};
 
-/// Proposals, and what became of them.
+/// The proposals of a [`Proposer`] and their results.
 #[derive(Debug, Default)]
-pub struct Log {
-    /// The version that each accepted proposal is part of, and when it was proposed, in us. In order.
+pub struct ProposalLog {
+    /// The accepted proposals in order: the revision that a proposal is part of, and when it was proposed, in us of the
+    /// monotonic clock.
     pub accepted: Vec<(Revision, u64)>,
-    /// What the accepted changes leave under each key.
-    pub left: BTreeMap<(Scope, Key), Option<Entry>>,
-    /// Why proposals were refused.
-    pub refused: Vec<String>,
-    open: VecDeque<(u64, u64, Vec<Change>)>, // Revision, when, what.
+    /// The last accepted entry of each changed key; `None` for a removed key.
+    pub changed_entries: BTreeMap<(Scope, Key), Option<Entry>>,
+    /// The origin's reasons for rejecting proposals.
+    pub rejected: Vec<String>,
+    pending: VecDeque<(u64, u64, Vec<Change>)>, // Proposal id, when proposed in us, changes.
 }
 
-/// Proposes to the origin, over a connection that is made anew where the origin has ended it as idle.
+/// Proposes changes to the origin over one connection. The connection is opened again if the origin has closed it as idle.
 #[derive(Debug)]
 pub struct Proposer {
     origin: SocketAddr,
-    line: Option<(OwnedWriteHalf, JoinHandle<()>)>,
-    number: u64,
-    log: Arc<Mutex<Log>>,
+    connection: Option<(OwnedWriteHalf, JoinHandle<()>)>,
+    last_proposal_id: u64,
+    log: Arc<Mutex<ProposalLog>>,
 }
 
 impl Proposer {
-    /// One that has proposed nothing.
+    /// Creates a proposer with an empty log; the connection is opened with the first proposal.
     pub fn new(origin: SocketAddr) -> Self {
-        Proposer { origin, line: None, number: 0, log: Arc::default() }
+        Proposer { origin, connection: None, last_proposal_id: 0, log: Arc::default() }
     }
 
-    /// The connection.
-    async fn line(&mut self) -> Result<&mut OwnedWriteHalf, String> {
-        let problem = |e: std::io::Error| format!("origin: {e}");
-        let open = self.line.take().filter(|(_, reading)| !reading.is_finished());
-        let line = match open {
-            Some(line) => line,
+    /// Returns the open connection, or opens a new one.
+    async fn connection(&mut self) -> Result<&mut OwnedWriteHalf, String> {
+        let connect_error =
+            |e: std::io::Error| format!("cannot connect to the origin at {}: {e}", self.origin);
+        let open = self.connection.take().filter(|(_, reader)| !reader.is_finished());
+        let connection = match open {
+            Some(connection) => connection,
             None => {
-                let stream = TcpStream::connect(self.origin).await.map_err(problem)?;
-                stream.set_nodelay(true).map_err(problem)?;
+                let stream = TcpStream::connect(self.origin).await.map_err(connect_error)?;
+                stream.set_nodelay(true).map_err(connect_error)?;
                 let (read, write) = stream.into_split();
-                (write, tokio::spawn(read_all(read, Arc::clone(&self.log))))
+                (write, tokio::spawn(read_answers(read, Arc::clone(&self.log))))
             }
         };
-        Ok(&mut self.line.insert(line).0)
+        Ok(&mut self.connection.insert(connection).0)
     }
 
-    /// Proposes changes that are to come into force together. The answer is not waited for.
+    /// Proposes changes that are to come into force in one revision. Doesn't wait for the origin's answer.
     pub async fn propose(&mut self, changes: Vec<Change>) -> Result<(), String> {
-        self.number += 1;
-        let number = self.number;
-        self.log().open.push_back((number, now_us(), changes.clone()));
+        self.last_proposal_id += 1;
+        let proposal_id = self.last_proposal_id;
+        self.log().pending.push_back((proposal_id, now_us(), changes.clone()));
         let mut bytes = Vec::new();
-        encode(&Message::Propose { proposal_id: number, changes }, &mut bytes).map_err(|e| e.to_string())?;
-        self.line().await?.write_all(&bytes).await.map_err(|e| format!("origin: {e}"))
+        encode(&Message::Propose { proposal_id, changes }, &mut bytes)
+            .map_err(|e| format!("cannot encode proposal {proposal_id}: {e}"))?;
+        self.connection()
+            .await?
+            .write_all(&bytes)
+            .await
+            .map_err(|e| format!("cannot send proposal {proposal_id} to the origin: {e}"))
     }
 
-    /// Waits until every proposal has been answered.
-    pub async fn answered(&self) -> Result<(), String> {
-        let latest = Instant::now() + Duration::from_secs(10);
-        while !self.log().open.is_empty() {
-            if Instant::now() > latest {
-                return Err("origin: a proposal was not answered within 10 s".into());
+    /// Waits until the origin has answered every proposal.
+    ///
+    /// # Errors
+    /// A proposal that is still unanswered after 10 s.
+    pub async fn wait_for_answers(&self) -> Result<(), String> {
+        let deadline = Instant::now() + Duration::from_secs(10);
+        while !self.log().pending.is_empty() {
+            if Instant::now() > deadline {
+                return Err("the origin did not answer a proposal within 10 s".into());
             }
             sleep(Duration::from_millis(5)).await;
         }
         Ok(())
     }
 
-    /// Takes in what became of another's proposals, which touched other entries.
-    pub fn take_in(&self, other: &mut Proposer) {
-        let mut theirs = other.log();
-        let mut ours = self.log();
-        ours.left.append(&mut theirs.left);
-        ours.accepted.append(&mut theirs.accepted);
-        ours.accepted.sort_by_key(|(_, at_us)| *at_us);
-        ours.refused.append(&mut theirs.refused);
+    /// Moves the results of another proposer's proposals into this log. The other proposer must have changed other entries.
+    pub fn take_results_of(&self, other: &mut Proposer) {
+        let mut other_log = other.log();
+        let mut own_log = self.log();
+        own_log.changed_entries.append(&mut other_log.changed_entries);
+        own_log.accepted.append(&mut other_log.accepted);
+        own_log.accepted.sort_by_key(|(_, at_us)| *at_us);
+        own_log.rejected.append(&mut other_log.rejected);
     }
 
-    /// What became of the proposals.
-    pub fn log(&self) -> MutexGuard<'_, Log> {
+    /// Locks and returns the log of proposals.
+    pub fn log(&self) -> MutexGuard<'_, ProposalLog> {
         self.log.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
 
 impl Drop for Proposer {
     fn drop(&mut self) {
-        self.line.iter().for_each(|(_, reading)| reading.abort());
+        self.connection.iter().for_each(|(_, reader)| reader.abort());
     }
 }
 
-impl Log {
-    /// The last accepted version; 0 where there is none.
-    pub fn last(&self) -> Revision {
-        self.accepted.iter().map(|(number, _)| *number).max().unwrap_or(0)
+impl ProposalLog {
+    /// Returns the highest accepted revision; 0 if there is none.
+    pub fn last_revision(&self) -> Revision {
+        self.accepted.iter().map(|(revision, _)| *revision).max().unwrap_or(0)
     }
 
-    /// The accepted versions that were proposed from `from_us` on, before `to_us`.
-    pub fn between(&self, from_us: u64, to_us: u64) -> Vec<(Revision, u64)> {
+    /// Returns the accepted revisions that were proposed at `from_us` or later and before `to_us`.
+    pub fn accepted_between(&self, from_us: u64, to_us: u64) -> Vec<(Revision, u64)> {
         self.accepted.iter().copied().filter(|(_, at)| (from_us..to_us).contains(at)).collect()
     }
 
-    fn answered(&mut self, answer: u64, version: Result<Revision, String>) {
-        let Some(at) = self.open.iter().position(|(number, ..)| *number == answer) else { return };
-        let Some((_, proposed_us, changes)) = self.open.remove(at) else { return };
-        match version {
-            Ok(number) => {
-                self.accepted.push((number, proposed_us));
-                self.left.extend(changes.into_iter().map(|c| ((c.scope, c.key), c.entry)));
+    fn record_answer(&mut self, proposal_id: u64, result: Result<Revision, String>) {
+        let Some(index) = self.pending.iter().position(|(id, ..)| *id == proposal_id) else { return };
+        let Some((_, proposed_us, changes)) = self.pending.remove(index) else { return };
+        match result {
+            Ok(revision) => {
+                self.accepted.push((revision, proposed_us));
+                self.changed_entries.extend(changes.into_iter().map(|c| ((c.scope, c.key), c.entry)));
             }
-            Err(why) => self.refused.push(why),
+            Err(reason) => self.rejected.push(reason),
         }
     }
 
-    /// What each scope has to sum up to: the installation as drawn, and what was accepted since.
-    pub fn digests(&self, world: &World) -> BTreeMap<Scope, Digest> {
+    /// Returns the digest that each scope must have: the initial installation with all accepted changes applied.
+    pub fn expected_digests(&self, installation: &Installation) -> BTreeMap<Scope, Digest> {
         let mut digests: BTreeMap<Scope, Digest> = BTreeMap::new();
-        let mut set = |scope, key, entry: &Entry| digests.entry(scope).or_default().add(scope, key, entry);
-        for (scope, key, entry) in world.entries() {
-            if !self.left.contains_key(&(scope, key)) {
-                set(scope, key, &entry);
+        let mut add = |scope, key, entry: &Entry| digests.entry(scope).or_default().add(scope, key, entry);
+        for (scope, key, entry) in installation.initial_entries() {
+            if !self.changed_entries.contains_key(&(scope, key)) {
+                add(scope, key, &entry);
             }
         }
-        for ((scope, key), entry) in &self.left {
+        for ((scope, key), entry) in &self.changed_entries {
             if let Some(entry) = entry {
-                set(*scope, *key, entry);
+                add(*scope, *key, entry);
             }
         }
         digests
     }
 }
 
-async fn read_all(mut read: OwnedReadHalf, log: Arc<Mutex<Log>>) {
+async fn read_answers(mut read: OwnedReadHalf, log: Arc<Mutex<ProposalLog>>) {
     let mut buffer = Vec::new();
-    // Ends with the connection; what is not answered then stays open, which the run finds.
+    // Returns when the connection closes. Unanswered proposals stay pending, and `wait_for_answers` reports them.
     while read.read_buf(&mut buffer).await.is_ok_and(|n| n > 0) {
         while let Ok(Some((message, used))) = decode(&buffer) {
             buffer.drain(..used);
-            if let Message::Proposed { proposal_id: number, revision: version } = message {
-                log.lock().unwrap_or_else(PoisonError::into_inner).answered(number, version);
+            if let Message::Proposed { proposal_id, revision } = message {
+                log.lock().unwrap_or_else(PoisonError::into_inner).record_answer(proposal_id, revision);
             }
         }
     }
--- a/scale-tests/src/run.rs
+++ b/scale-tests/src/run.rs
@@ -1,15 +1,16 @@
-//! Plays a plan: start, quiet, changes, ten times the changes, faults; measures each, and has the end judged.
+//! Executes a plan: starts the fleet, plays its phases (quiet, changes, ten times the changes, faults), measures each phase,
+//! and checks the invariants at the end.
 use crate::faults::Fault;
-use crate::fleet::{look, Fleet};
-use crate::full_state_cost::{self, Before};
-use crate::installation::{Stream, World};
-use crate::invariants::{judge, longest_contradiction, Drain, Evidence, Held, Offence};
+use crate::fleet::{fetch_status, Fleet};
+use crate::full_state_cost::{self, FullStateCost};
+use crate::installation::{ChangeStream, Installation};
+use crate::invariants::{check_invariants, longest_conflict, DrainEvidence, Evidence, HeldScope, Violation};
 use crate::options::Plan;
-use crate::phase_result::{Mark, Row};
+use crate::phase_result::{PhaseResult, Sample};
 use crate::proposer::Proposer;
-use crate::real_gateways::{Pair, Seen};
+use crate::real_gateways::{ClientResults, RealGateways};
 use crate::usage::now_us;
-use crate::worker_process::{Order, Report};
+use crate::worker_process::{WorkerCommand, WorkerReport};
 use rustix::process::Signal;
 use serde::Serialize;
 use std::time::Duration;
@@ -18,311 +19,355 @@
 use ternstack_replication::scope::{Change, Entry, Key, Revision, Scope};
 use tokio::time::{sleep, sleep_until, Instant};
 
-/// The operators' bound on a change, in force everywhere: a drain that was told is obeyed within it.
-const DRAIN_WITHIN: Duration = Duration::from_secs(5);
-/// The drain is told so long after its fault begins.
-const DRAIN_AFTER: Duration = Duration::from_millis(500);
-/// Changes go on for so long after a fault is over.
-const AFTER_FAULT: Duration = Duration::from_secs(2);
-/// Control machines have all within this, or the run is void.
-const MACHINES_WITHIN: Duration = Duration::from_secs(300);
-/// Gateways that have not all by then are told of as such.
-const GATEWAYS_WITHIN: Duration = Duration::from_secs(180);
-/// After changes, all have to be at the last version within this, or the judge is told.
-const SETTLED_WITHIN: Duration = Duration::from_secs(120);
+/// The operators' bound on a change: within this time, a drain is in force at every gateway.
+const DRAIN_BOUND: Duration = Duration::from_secs(5);
+/// Time from the beginning of a fault until a host is drained.
+const DRAIN_DELAY: Duration = Duration::from_millis(500);
+/// How long changes continue after the end of a fault.
+const CHANGES_AFTER_FAULT: Duration = Duration::from_secs(2);
+/// The time for all distributors to get the origin's state, after which the run fails.
+const DISTRIBUTOR_SYNC_TIMEOUT: Duration = Duration::from_secs(300);
+/// The time for all gateways to get their scopes at the start. The run continues afterwards, and the report shows how many
+/// gateways lack scopes.
+const GATEWAY_START_TIMEOUT: Duration = Duration::from_secs(180);
+/// The time after changes for all gateways to get the last revision. The run continues afterwards; gateways that still lack
+/// the last revision at the end of the run violate an invariant.
+const SETTLE_TIMEOUT: Duration = Duration::from_secs(120);
 
-/// How the start went.
+/// How the fleet started.
 #[derive(Clone, Debug, Default, Serialize)]
-pub struct Start {
-    /// Until every distributor had all the state, in ms.
+pub struct StartResult {
+    /// Time until every distributor had the full state, in ms.
     pub distributors_ms: f64,
-    /// Gateways started at once.
+    /// Number of hollow gateways, all started at once.
     pub gateways: u64,
-    /// Those that had all their scopes within the time given.
-    pub whole: u64,
-    /// From the begin of a gateway's life until it had, in ms: half of them.
+    /// Number of gateways that got all their scopes before the timeout.
+    #[serde(rename = "whole")]
+    pub complete: u64,
+    /// Time from the start of a gateway until all its scopes were there, in ms: median.
     pub p50_ms: f64,
-    /// Nine in ten.
+    /// Time from the start of a gateway until all its scopes were there, in ms: 90th percentile.
     pub p90_ms: f64,
-    /// The last.
-    pub last_ms: f64,
-    /// Followers of everything, and those that had all.
+    /// Time from the start of a gateway until all its scopes were there, in ms: maximum.
+    #[serde(rename = "last_ms")]
+    pub max_ms: f64,
+    /// Number of followers of everything, and number of those that got all scopes before the timeout.
     pub everything: (u64, u64),
 }
 
-/// A drain that was told during a phase.
+/// The result of draining a host during a phase.
 #[derive(Clone, Debug, Serialize)]
-pub struct Told {
-    /// The phase.
+pub struct DrainResult {
+    /// The phase's name in reports.
     pub phase: String,
-    /// Followers of its service, once its bound was over.
-    pub asked: u64,
-    /// How many of them still gave it work.
-    pub still: u64,
-    /// Whether the judge counts it: not where a region was cut off meanwhile.
+    /// Number of followers of the host's service that were probed after the bound on a drain had passed.
+    #[serde(rename = "asked")]
+    pub probed: u64,
+    /// Number of probed followers that still sent new requests to the host.
+    #[serde(rename = "still")]
+    pub still_sending: u64,
+    /// Whether the invariants are checked for this drain. Drains while a region is cut off are not checked, because the
+    /// region's gateways can't learn of the drain.
     pub judged: bool,
 }
 
-/// What a run gave.
+/// The results of a run.
 #[derive(Clone, Debug, Serialize)]
 pub struct Outcome {
-    /// What was played.
+    /// The plan that was executed.
     pub plan: Plan,
-    /// How the start went.
-    pub start: Start,
-    /// A row for each phase.
-    pub rows: Vec<Row>,
-    /// Drains.
-    pub drains: Vec<Told>,
-    /// Proposals that were accepted.
+    /// How the fleet started.
+    pub start: StartResult,
+    /// The result of each phase, in order.
+    #[serde(rename = "rows")]
+    pub phases: Vec<PhaseResult>,
+    /// The results of all drains, in order.
+    pub drains: Vec<DrainResult>,
+    /// Number of accepted proposals.
     pub accepted: usize,
-    /// The longest time that two acted on different versions, in ms, and what is promised.
-    pub contradiction_ms: (f64, f64),
-    /// What a change costs when a version is the whole state.
-    pub before: Option<Before>,
-    /// What clients of the real gateways saw, if there were any.
-    pub real: Vec<Seen>,
-    /// Requests to a drained server of the one that follows control, once the bound was over, and to all of its servers.
+    /// The longest time for which two followers acted on different revisions, and the bound on it, in ms.
+    #[serde(rename = "contradiction_ms")]
+    pub conflict_ms: (f64, f64),
+    /// The cost of a change when a version is the full state; `None` if not measured.
+    #[serde(rename = "before")]
+    pub full_state_cost: Option<FullStateCost>,
+    /// What the clients of the real gateways observed; empty for a run without real gateways.
+    pub real: Vec<ClientResults>,
+    /// For the real gateway that follows the control servers: requests to a drained server after the bound on a drain, and
+    /// requests to all servers in the same time.
     pub real_drain: Option<(u64, u64)>,
-    /// What the judge holds against it.
-    pub offences: Vec<Offence>,
+    /// The violated invariants; empty for a run that passes.
+    #[serde(rename = "offences")]
+    pub violations: Vec<Violation>,
 }
 
-/// What real gateways' clients saw, and what still came to a drained server.
-type RealSeen = (Vec<Seen>, Option<(u64, u64)>);
+/// The values of [`Outcome::real`] and [`Outcome::real_drain`].
+type RealGatewayResults = (Vec<ClientResults>, Option<(u64, u64)>);
 
-/// A run under way.
+/// A run in progress.
 struct Run<'a> {
     plan: &'a Plan,
-    world: &'a World,
+    installation: &'a Installation,
     fleet: Fleet,
-    staff: Proposer,
-    stream: Stream<'a>,
-    drained: u32,
-    drains: Vec<Told>,
+    proposer: Proposer,
+    changes: ChangeStream<'a>,
+    drain_count: u32,
+    drains: Vec<DrainResult>,
 }
 
-/// How processes are started.
+/// The commands that start processes.
 #[derive(Clone, Debug)]
 pub struct LaunchCommands {
-    /// A part of a fleet.
+    /// Starts a worker process of the fleet.
     pub worker: Launch,
-    /// A real gateway; `None` where there is none.
+    /// Starts a real gateway; `None` if the program can't start one.
     pub gateway: Option<Launch>,
 }
 
-/// Plays a plan. `say` is told of each step.
-pub async fn play(
-    launches: &LaunchCommands, plan: &Plan, with_before: bool, say: &dyn Fn(String),
+/// Executes a plan. `report_progress` is called with a line of text after each step.
+///
+/// # Errors
+/// A process that can't be started or doesn't answer. Violated invariants are part of the outcome instead.
+pub async fn execute(
+    launch_commands: &LaunchCommands, plan: &Plan, with_full_state_cost: bool,
+    report_progress: &dyn Fn(String),
 ) -> Result<Outcome, String> {
-    let launch = &launches.worker;
-    let world = World::draw(plan.size)?;
-    let before = with_before.then(|| full_state_cost::measure(&world));
-    say(format!("{} gateways, {} hosts: starting", plan.size.gateways, plan.size.hosts));
-    let began = Instant::now();
-    let fleet = Fleet::start(launch, plan, &world).await?;
-    let staff = Proposer::new(fleet.origin.at);
-    let stream = Stream::new(&world, plan.size.seed);
-    let mut run = Run { plan, world: &world, fleet, staff, stream, drained: 0, drains: Vec::new() };
-    run.machines_whole().await?;
-    let mut start = Start { distributors_ms: began.elapsed().as_secs_f64() * 1e3, ..Start::default() };
-    say(format!("{} distributors have all after {:.0} ms", plan.distributors, start.distributors_ms));
-    let mut rows = vec![run.start(&mut start).await?];
-    say(format!(
-        "{} of {} gateways have all; the last after {:.0} ms",
-        start.whole, start.gateways, start.last_ms
+    let launch = &launch_commands.worker;
+    let installation = Installation::generate(plan.size)?;
+    let full_state_cost = with_full_state_cost.then(|| full_state_cost::measure(&installation));
+    report_progress(format!(
+        "starting a fleet of {} gateways and {} hosts",
+        plan.size.gateways, plan.size.hosts
     ));
-    let begin = run.mark().await?;
+    let started = Instant::now();
+    let fleet = Fleet::start(launch, plan, &installation).await?;
+    let proposer = Proposer::new(fleet.origin.address);
+    let changes = ChangeStream::new(&installation, plan.size.seed);
+    let mut run = Run {
+        plan,
+        installation: &installation,
+        fleet,
+        proposer,
+        changes,
+        drain_count: 0,
+        drains: Vec::new(),
+    };
+    run.wait_for_distributors().await?;
+    let mut start =
+        StartResult { distributors_ms: started.elapsed().as_secs_f64() * 1e3, ..StartResult::default() };
+    report_progress(format!(
+        "{} distributors have the full state after {:.0} ms",
+        plan.distributors, start.distributors_ms
+    ));
+    let mut phases = vec![run.start_gateways(&mut start).await?];
+    report_progress(format!(
+        "{} of {} gateways have all their scopes, the last one after {:.0} ms",
+        start.complete, start.gateways, start.max_ms
+    ));
+    let begin = run.sample().await?;
     sleep(Duration::from_secs(plan.quiet_s)).await;
-    rows.push(run.row("quiet", &begin, &[]).await?);
-    let phases = [("changes", 1.0), ("ten times the changes", 10.0)];
-    for (name, times) in phases.into_iter().take(if plan.tenfold { 2 } else { 1 }) {
-        rows.push(run.changing(name, times).await?);
-        say(rows.last().map_or(String::new(), Row::line));
+    phases.push(run.phase_result("quiet", &begin, &[]).await?);
+    let change_phases = [("changes", 1.0), ("ten times the changes", 10.0)];
+    for (name, factor) in change_phases.into_iter().take(if plan.tenfold { 2 } else { 1 }) {
+        phases.push(run.run_changes(name, factor).await?);
+        report_progress(phases.last().map_or(String::new(), PhaseResult::summary));
     }
     for fault in &plan.faults {
-        rows.push(run.fault(*fault).await?);
-        say(rows.last().map_or(String::new(), Row::line));
+        phases.push(run.run_fault(*fault).await?);
+        report_progress(phases.last().map_or(String::new(), PhaseResult::summary));
     }
-    let (real, real_drain) = match (&launches.gateway, plan.real) {
-        (Some(gateway), true) => run.real(gateway, say).await?,
+    let (real, real_drain) = match (&launch_commands.gateway, plan.real) {
+        (Some(gateway), true) => run.run_real_gateways(gateway, report_progress).await?,
         _ => Default::default(),
     };
-    let (evidence, drains) = run.evidence().await?;
-    let (_, longest_us) = longest_contradiction(&evidence.spans);
-    let accepted = run.staff.log().accepted.len();
-    run.fleet.end().await;
+    let (evidence, drains) = run.collect_evidence().await?;
+    let (_, longest_us) = longest_conflict(&evidence.spans);
+    let accepted = run.proposer.log().accepted.len();
+    run.fleet.shut_down().await;
     Ok(Outcome {
         plan: plan.clone(),
         start,
-        rows,
+        phases,
         drains,
         accepted,
-        contradiction_ms: (longest_us as f64 / 1e3, plan.terms.max_conflict_ms()),
-        before,
+        conflict_ms: (longest_us as f64 / 1e3, plan.lease.max_conflict_ms()),
+        full_state_cost,
         real,
         real_drain,
-        offences: judge(&evidence, &plan.terms),
+        violations: check_invariants(&evidence, &plan.lease),
     })
 }
 
 impl Run<'_> {
-    async fn mark(&mut self) -> Result<Mark, String> {
-        Mark::of(&mut self.fleet).await
+    async fn sample(&mut self) -> Result<Sample, String> {
+        Sample::take(&mut self.fleet).await
     }
 
-    /// Waits until every distributor has what the origin has.
-    async fn machines_whole(&mut self) -> Result<(), String> {
-        let latest = Instant::now() + MACHINES_WITHIN;
+    /// Waits until every distributor has the origin's state.
+    async fn wait_for_distributors(&mut self) -> Result<(), String> {
+        let deadline = Instant::now() + DISTRIBUTOR_SYNC_TIMEOUT;
         loop {
-            let origin = look(self.fleet.origin.at).await?;
+            let origin = fetch_status(self.fleet.origin.address).await?;
             let mut behind = 0;
-            for part in &self.fleet.distributors {
-                let status = look(part.at).await?;
+            for process in &self.fleet.distributors {
+                let status = fetch_status(process.address).await?;
                 behind += usize::from(status.digest != origin.digest || status.in_force != origin.in_force);
             }
             if behind == 0 {
                 return Ok(());
             }
-            if Instant::now() > latest {
-                return Err(format!("{behind} distributors are not whole within {MACHINES_WITHIN:?}"));
+            if Instant::now() > deadline {
+                return Err(format!(
+                    "{behind} distributors lack the origin's state after {DISTRIBUTOR_SYNC_TIMEOUT:?}"
+                ));
             }
             sleep(Duration::from_millis(200)).await;
         }
     }
 
-    /// Starts all gateways at once.
-    async fn start(&mut self, start: &mut Start) -> Result<Row, String> {
-        let begin = self.mark().await?;
-        self.fleet.start_hollows(self.plan, self.world).await?;
-        let latest = Instant::now() + GATEWAYS_WITHIN;
+    /// Starts all gateways at once, and waits until they have their scopes or the timeout passes.
+    async fn start_gateways(&mut self, start: &mut StartResult) -> Result<PhaseResult, String> {
+        let begin = self.sample().await?;
+        self.fleet.start_hollow_gateways(self.plan, self.installation).await?;
+        let deadline = Instant::now() + GATEWAY_START_TIMEOUT;
         let (report, everything) = loop {
             let report = self.fleet.report(&[]).await?;
             let everything = self.fleet.report_everything(&[]).await?;
-            let is_whole = |r: &Report| r.whole == r.followers;
-            let whole = is_whole(&report) && everything.as_ref().is_none_or(is_whole);
-            if whole || Instant::now() > latest {
+            let is_complete = |r: &WorkerReport| r.complete == r.followers;
+            let all_complete = is_complete(&report) && everything.as_ref().is_none_or(is_complete);
+            if all_complete || Instant::now() > deadline {
                 break (report, everything);
             }
             sleep(Duration::from_millis(250)).await;
         };
-        (start.gateways, start.whole) = (report.followers, report.whole);
-        start.p50_ms = report.start.quantile_ms(0.5);
-        start.p90_ms = report.start.quantile_ms(0.9);
-        start.last_ms = report.start.longest_ms();
-        start.everything = everything.map_or((0, 0), |r| (r.followers, r.whole));
-        self.row("start, all at once", &begin, &[]).await
+        (start.gateways, start.complete) = (report.followers, report.complete);
+        start.p50_ms = report.startup_times.quantile_ms(0.5);
+        start.p90_ms = report.startup_times.quantile_ms(0.9);
+        start.max_ms = report.startup_times.max_ms();
+        start.everything = everything.map_or((0, 0), |r| (r.followers, r.complete));
+        self.phase_result("start, all at once", &begin, &[]).await
     }
 
-    /// Lets changes come until `end`.
-    async fn changes(&mut self, end: Instant, configuration: f64, hosts: f64) -> Result<(), String> {
-        let pace = |rate: f64| (rate > 0.0).then(|| Duration::from_secs_f64(1.0 / rate));
-        let (pace_c, pace_h) = (pace(configuration), pace(hosts));
+    /// Proposes changes until `end`, at the given rates a second for configuration and for hosts.
+    async fn propose_changes(
+        &mut self, end: Instant, configuration_per_s: f64, hosts_per_s: f64,
+    ) -> Result<(), String> {
+        let interval = |rate: f64| (rate > 0.0).then(|| Duration::from_secs_f64(1.0 / rate));
+        let (configuration_interval, host_interval) = (interval(configuration_per_s), interval(hosts_per_s));
         let start = Instant::now();
-        let mut next_c = pace_c.map(|p| start + p / 2);
-        let mut next_h = pace_h.map(|p| start + p / 3);
+        let mut next_configuration = configuration_interval.map(|i| start + i / 2);
+        let mut next_host = host_interval.map(|i| start + i / 3);
         loop {
-            let next = [next_c, next_h].into_iter().flatten().min().filter(|next| *next < end);
+            let next = [next_configuration, next_host].into_iter().flatten().min().filter(|next| *next < end);
             let Some(next) = next else { break };
             sleep_until(next).await;
-            let change = if next_c == Some(next) {
-                next_c = pace_c.map(|p| next + p);
-                self.stream.configuration()
+            let change = if next_configuration == Some(next) {
+                next_configuration = configuration_interval.map(|i| next + i);
+                self.changes.next_configuration_change()
             } else {
-                next_h = pace_h.map(|p| next + p);
-                self.stream.host()
+                next_host = host_interval.map(|i| next + i);
+                self.changes.next_host_change()
             };
-            self.staff.propose(vec![change]).await?;
+            self.proposer.propose(vec![change]).await?;
         }
         sleep_until(end).await;
         Ok(())
     }
 
-    /// Waits until all hold the last version and have all their scopes; how long that took, in ms.
-    async fn settled(&mut self) -> Result<(f64, Report), String> {
+    /// Waits until all followers have the last revision and all their scopes, or the timeout passes. Returns the time that
+    /// this took, in ms, and the last report.
+    async fn wait_until_settled(&mut self) -> Result<(f64, WorkerReport), String> {
         let start = Instant::now();
-        self.staff.answered().await?;
-        let last = self.staff.log().last();
+        self.proposer.wait_for_answers().await?;
+        let last_revision = self.proposer.log().last_revision();
         loop {
             let report = self.fleet.report(&[]).await?;
-            let all = self.fleet.report_everything(&[]).await?;
-            let is_there = |r: &Report| r.least >= last && r.whole == r.followers;
-            let there = is_there(&report) && all.as_ref().is_none_or(is_there);
-            if there || start.elapsed() > SETTLED_WITHIN {
+            let everything = self.fleet.report_everything(&[]).await?;
+            let is_settled = |r: &WorkerReport| r.min_revision >= last_revision && r.complete == r.followers;
+            let all_settled = is_settled(&report) && everything.as_ref().is_none_or(is_settled);
+            if all_settled || start.elapsed() > SETTLE_TIMEOUT {
                 return Ok((start.elapsed().as_secs_f64() * 1e3, report));
             }
             sleep(Duration::from_millis(100)).await;
         }
     }
 
-    async fn row(&mut self, name: &str, begin: &Mark, versions: &[(Revision, u64)]) -> Result<Row, String> {
-        let end = self.mark().await?;
-        let mut row = Row::between(name, begin, &end, self.plan);
-        if !versions.is_empty() {
-            row.reached(&self.fleet.report(versions).await?.reached, versions.len());
+    async fn phase_result(
+        &mut self, name: &str, begin: &Sample, proposals: &[(Revision, u64)],
+    ) -> Result<PhaseResult, String> {
+        let end = self.sample().await?;
+        let mut result = PhaseResult::between(name, begin, &end, self.plan);
+        if !proposals.is_empty() {
+            result.set_propagation_times(&self.fleet.report(proposals).await?.propagation, proposals.len());
         }
-        Ok(row)
+        Ok(result)
     }
 
-    async fn changing(&mut self, name: &str, times: f64) -> Result<Row, String> {
-        let (begin, from_us) = (self.mark().await?, now_us());
+    /// Runs a phase of changes at `factor` times the plan's rate of configuration changes, with a drain from its beginning.
+    async fn run_changes(&mut self, name: &str, factor: f64) -> Result<PhaseResult, String> {
+        let (begin, from_us) = (self.sample().await?, now_us());
         let end = Instant::now() + Duration::from_secs(self.plan.seconds);
-        let (scope, key) = self.drain().await?;
-        let bound = Instant::now() + DRAIN_WITHIN;
-        let probe = bound.min(end);
-        self.changes(probe, times * self.plan.changes_per_s, self.plan.host_changes_per_s).await?;
-        self.look_after(name, scope, key, bound <= end).await?;
-        self.changes(end, times * self.plan.changes_per_s, self.plan.host_changes_per_s).await?;
-        let end = self.mark().await?;
-        let (settled_ms, _) = self.settled().await?;
-        let versions = self.staff.log().between(from_us, now_us());
-        let mut row = Row::between(name, &begin, &end, self.plan);
-        row.reached(&self.fleet.report(&versions).await?.reached, versions.len());
-        row.settled_ms = settled_ms;
-        Ok(row)
+        let (scope, key) = self.drain_next_host().await?;
+        let bound = Instant::now() + DRAIN_BOUND;
+        let probe_at = bound.min(end);
+        self.propose_changes(probe_at, factor * self.plan.changes_per_s, self.plan.host_changes_per_s)
+            .await?;
+        self.probe_drain(name, scope, key, bound <= end).await?;
+        self.propose_changes(end, factor * self.plan.changes_per_s, self.plan.host_changes_per_s).await?;
+        let end = self.sample().await?;
+        let (settled_ms, _) = self.wait_until_settled().await?;
+        let proposals = self.proposer.log().accepted_between(from_us, now_us());
+        let mut result = PhaseResult::between(name, &begin, &end, self.plan);
+        result.set_propagation_times(&self.fleet.report(&proposals).await?.propagation, proposals.len());
+        result.settled_ms = settled_ms;
+        Ok(result)
     }
 
-    /// Tells a host of the largest service to drain; another one each time.
-    async fn drain(&mut self) -> Result<(Scope, Key), String> {
-        // Hosts of the first service are numbered from 0 on.
-        let number = self.drained % self.world.spared().min(self.world.hosts_of(0));
-        self.drained += 1;
-        let (scope, key, host) = self.world.host(number);
+    /// Drains a reserved host of the largest service, a different one each time until all have been drained.
+    async fn drain_next_host(&mut self) -> Result<(Scope, Key), String> {
+        // The largest service is service 0, whose hosts are numbered from 0.
+        let number = self.drain_count % self.installation.reserved_hosts().min(self.installation.hosts_of(0));
+        self.drain_count += 1;
+        let (scope, key, host) = self.installation.host(number);
         let entry = Some(Entry::Host(ternstack_replication::scope::Host { draining: true, ..host }));
-        self.staff.propose(vec![Change { scope, key, entry }]).await?;
+        self.proposer.propose(vec![Change { scope, key, entry }]).await?;
         Ok((scope, key))
     }
 
-    async fn look_after(&mut self, phase: &str, scope: Scope, key: Key, judged: bool) -> Result<(), String> {
-        let (asked, still) = self.fleet.probe(scope, key).await?;
-        self.drains.push(Told { phase: phase.into(), asked, still, judged });
+    /// Counts the followers that still send requests to a draining host, and records the result.
+    async fn probe_drain(&mut self, phase: &str, scope: Scope, key: Key, judged: bool) -> Result<(), String> {
+        let (probed, still_sending) = self.fleet.probe(scope, key).await?;
+        self.drains.push(DrainResult { phase: phase.into(), probed, still_sending, judged });
         Ok(())
     }
 
     async fn begin_fault(&mut self, fault: Fault) -> Result<(), String> {
-        let held = DirectionFaults { stalled: true, ..DirectionFaults::default() };
-        let there = LinkFaults { forward: held, ..LinkFaults::default() };
-        let back = LinkFaults { reverse: held, ..LinkFaults::default() };
+        let stalled = DirectionFaults { stalled: true, ..DirectionFaults::default() };
+        let forward_stalled = LinkFaults { forward: stalled, ..LinkFaults::default() };
+        let reverse_stalled = LinkFaults { reverse: stalled, ..LinkFaults::default() };
         let last = self.fleet.distributors.len() - 1;
         match fault {
             Fault::Kill => self.fleet.distributors[last].kill().await?,
-            Fault::Stop => self.fleet.distributors[last].signal(Signal::STOP)?,
-            Fault::CutThere => self.fleet.single[0].set(there),
-            Fault::CutBack => self.fleet.single[0].set(back),
-            Fault::DistributorCutThere => self.fleet.set_to_origin(|n| n == last, there),
-            Fault::DistributorCutBack => self.fleet.set_to_origin(|n| n == last, back),
+            Fault::Stop => self.fleet.distributors[last].send_signal(Signal::STOP)?,
+            Fault::CutThere => self.fleet.first_gateway_links[0].set(forward_stalled),
+            Fault::CutBack => self.fleet.first_gateway_links[0].set(reverse_stalled),
+            Fault::DistributorCutThere => self.fleet.set_origin_link_faults(|n| n == last, forward_stalled),
+            Fault::DistributorCutBack => self.fleet.set_origin_link_faults(|n| n == last, reverse_stalled),
             Fault::Region => {
-                let world = self.world;
-                self.fleet.set_to_origin(|n| world.region_of(world.zone_of(n)) == 0, LinkFaults::cut());
+                let installation = self.installation;
+                self.fleet.set_origin_link_faults(
+                    |n| installation.region_of(installation.zone_of(n)) == 0,
+                    LinkFaults::cut(),
+                );
             }
-            Fault::ZoneLost => self.zone(false).await?,
-            Fault::RestartTenth => self.restart(10, false).await?,
-            Fault::RestartTenthKept => self.restart(10, true).await?,
-            Fault::RestartAll => self.restart(1, false).await?,
+            Fault::ZoneLost => self.set_zone_serving(false).await?,
+            Fault::RestartTenth => self.restart_gateways(10, false).await?,
+            Fault::RestartTenthKept => self.restart_gateways(10, true).await?,
+            Fault::RestartAll => self.restart_gateways(1, false).await?,
             Fault::SlowReader => {
                 let slow = DirectionFaults { bytes_per_s: Some(500), ..DirectionFaults::default() };
                 let faults = LinkFaults { reverse: slow, ..LinkFaults::default() };
-                self.fleet.single.iter().for_each(|link| link.set(faults));
+                self.fleet.first_gateway_links.iter().for_each(|link| link.set(faults));
             }
             Fault::Burst => {}
         }
@@ -333,108 +378,115 @@
         let last = self.fleet.distributors.len() - 1;
         match fault {
             Fault::Kill => self.fleet.restart_distributor(last).await?,
-            Fault::Stop => self.fleet.distributors[last].signal(Signal::CONT)?,
-            Fault::ZoneLost => self.zone(true).await?,
+            Fault::Stop => self.fleet.distributors[last].send_signal(Signal::CONT)?,
+            Fault::ZoneLost => self.set_zone_serving(true).await?,
             _ => {
-                self.fleet.single.iter().for_each(|link| link.set(LinkFaults::default()));
-                self.fleet.set_to_origin(|_| true, LinkFaults::default());
+                self.fleet.first_gateway_links.iter().for_each(|link| link.set(LinkFaults::default()));
+                self.fleet.set_origin_link_faults(|_| true, LinkFaults::default());
             }
         }
         Ok(())
     }
 
-    async fn restart(&mut self, every: usize, kept: bool) -> Result<(), String> {
-        self.fleet.order(&Order::Restart { every, kept }, false).await.map(drop)
+    async fn restart_gateways(&mut self, every: usize, from_snapshot: bool) -> Result<(), String> {
+        self.fleet.send_command(&WorkerCommand::Restart { every, from_snapshot }, false).await.map(drop)
     }
 
-    async fn zone(&mut self, serves: bool) -> Result<(), String> {
+    async fn set_zone_serving(&mut self, serves: bool) -> Result<(), String> {
         let entry = Some(Entry::Zone(serves));
-        self.staff.propose(vec![Change { scope: Scope::Zones, key: Key::from_number(0), entry }]).await
+        self.proposer.propose(vec![Change { scope: Scope::Zones, key: Key::from_number(0), entry }]).await
     }
 
-    /// A fault with changes all through it, a drain in it, and what comes after it until all are there again.
-    async fn fault(&mut self, fault: Fault) -> Result<Row, String> {
-        let (begin, from_us, start) = (self.mark().await?, now_us(), Instant::now());
-        let lasts = Duration::from_secs_f64(fault.lasts_s());
+    /// Runs a phase with a fault: changes continue during and after the fault, a host is drained shortly after its beginning,
+    /// and the phase ends when all followers have settled.
+    async fn run_fault(&mut self, fault: Fault) -> Result<PhaseResult, String> {
+        let (begin, from_us, start) = (self.sample().await?, now_us(), Instant::now());
+        let duration = Duration::from_secs_f64(fault.duration_s());
         self.begin_fault(fault).await?;
-        let (mut rate, hosts) = (self.plan.changes_per_s, self.plan.host_changes_per_s);
+        let (mut configuration_per_s, hosts_per_s) = (self.plan.changes_per_s, self.plan.host_changes_per_s);
         if fault == Fault::Burst {
-            rate = 100.0;
+            configuration_per_s = 100.0;
         }
-        let drained = start + DRAIN_AFTER;
-        self.changes(drained, rate, hosts).await?;
-        let (scope, key) = self.drain().await?;
-        // The drain's bound may be over before the fault is, or after it.
-        let (mut over, mut probed) = (false, false);
-        let (over_at, probe_at) = (start + lasts, Instant::now() + DRAIN_WITHIN);
-        let end = probe_at.max(over_at + AFTER_FAULT);
-        while !(over && probed) {
-            if !over && (probed || over_at <= probe_at) {
-                self.changes(over_at, rate, hosts).await?;
+        let drain_at = start + DRAIN_DELAY;
+        self.propose_changes(drain_at, configuration_per_s, hosts_per_s).await?;
+        let (scope, key) = self.drain_next_host().await?;
+        // The bound on the drain may pass before the end of the fault or after it.
+        let (mut ended, mut probed) = (false, false);
+        let (end_fault_at, probe_at) = (start + duration, Instant::now() + DRAIN_BOUND);
+        let end = probe_at.max(end_fault_at + CHANGES_AFTER_FAULT);
+        while !(ended && probed) {
+            if !ended && (probed || end_fault_at <= probe_at) {
+                self.propose_changes(end_fault_at, configuration_per_s, hosts_per_s).await?;
                 self.end_fault(fault).await?;
-                (over, rate) = (true, self.plan.changes_per_s);
+                (ended, configuration_per_s) = (true, self.plan.changes_per_s);
             } else {
-                self.changes(probe_at, rate, hosts).await?;
-                self.look_after(fault.name(), scope, key, fault != Fault::Region).await?;
+                self.propose_changes(probe_at, configuration_per_s, hosts_per_s).await?;
+                self.probe_drain(fault.name(), scope, key, fault != Fault::Region).await?;
                 probed = true;
             }
         }
-        self.changes(end, rate, hosts).await?;
+        self.propose_changes(end, configuration_per_s, hosts_per_s).await?;
         if fault == Fault::Kill {
-            self.machines_whole().await?;
+            self.wait_for_distributors().await?;
         }
-        let (settled_ms, report) = self.settled().await?;
-        let end = self.mark().await?;
-        let versions = self.staff.log().between(from_us, now_us());
-        let mut row = Row::between(fault.name(), &begin, &end, self.plan);
-        row.reached(&self.fleet.report(&versions).await?.reached, versions.len());
-        row.settled_ms = settled_ms;
+        let (settled_ms, report) = self.wait_until_settled().await?;
+        let end = self.sample().await?;
+        let proposals = self.proposer.log().accepted_between(from_us, now_us());
+        let mut result = PhaseResult::between(fault.name(), &begin, &end, self.plan);
+        result.set_propagation_times(&self.fleet.report(&proposals).await?.propagation, proposals.len());
+        result.settled_ms = settled_ms;
         if matches!(fault, Fault::RestartTenth | Fault::RestartTenthKept | Fault::RestartAll) {
-            row.ready_ms = Some((report.start.quantile_ms(0.5), report.start.quantile_ms(0.9)));
+            result.ready_ms =
+                Some((report.startup_times.quantile_ms(0.5), report.startup_times.quantile_ms(0.9)));
         }
-        Ok(row)
+        Ok(result)
     }
 
-    /// Real gateways beside the fleet: quiet, and at ten times the changes.
-    async fn real(&mut self, gateway: &Launch, say: &dyn Fn(String)) -> Result<RealSeen, String> {
-        let pair = Pair::start(gateway, &self.fleet, self.plan, self.world, &mut self.staff).await?;
-        say("real gateways are there".into());
+    /// Runs two real gateways beside the fleet: a quiet phase, a phase with ten times the changes, and a drain.
+    async fn run_real_gateways(
+        &mut self, gateway: &Launch, report_progress: &dyn Fn(String),
+    ) -> Result<RealGatewayResults, String> {
+        let gateways =
+            RealGateways::start(gateway, &self.fleet, self.plan, self.installation, &mut self.proposer)
+                .await?;
+        report_progress("started the real gateways".into());
         let length = Duration::from_secs(self.plan.seconds);
-        let mut seen = pair.phase("quiet", length, None).await?;
-        let mut own = Proposer::new(self.fleet.origin.at);
-        let (rate, hosts) = (10.0 * self.plan.changes_per_s, self.plan.host_changes_per_s);
-        let (changed, stirred) = tokio::join!(
-            self.changes(Instant::now() + length, rate, hosts),
-            pair.phase("ten times the changes", length, Some(&mut own))
+        let mut results = gateways.run_phase("quiet", length, None).await?;
+        let mut server_proposer = Proposer::new(self.fleet.origin.address);
+        let (configuration_per_s, hosts_per_s) =
+            (10.0 * self.plan.changes_per_s, self.plan.host_changes_per_s);
+        let (proposed, phase_results) = tokio::join!(
+            self.propose_changes(Instant::now() + length, configuration_per_s, hosts_per_s),
+            gateways.run_phase("ten times the changes", length, Some(&mut server_proposer))
         );
-        changed?;
-        seen.extend(stirred?);
-        let drained = pair.drain(&mut own, DRAIN_WITHIN).await?;
-        own.answered().await?;
-        // What the pair's own staff changed counts at the end as well.
-        self.staff.take_in(&mut own);
-        Ok((seen, Some(drained)))
+        proposed?;
+        results.extend(phase_results?);
+        let drain = gateways.drain(&mut server_proposer, DRAIN_BOUND).await?;
+        server_proposer.wait_for_answers().await?;
+        // The expected state at the end includes the accepted changes to the gateways' servers.
+        self.proposer.take_results_of(&mut server_proposer);
+        Ok((results, Some(drain)))
     }
 
-    /// What the judge is shown at the end.
-    async fn evidence(&mut self) -> Result<(Evidence, Vec<Told>), String> {
-        let (_, report) = self.settled().await?;
-        let distributors_keep_all = self.machines_whole().await.is_ok();
-        let digests = self.staff.log().digests(self.world);
-        let origin = look(self.fleet.origin.at).await?;
-        let mut sum = ternstack_replication::scope::Digest::default();
-        digests.values().for_each(|d| sum.join(*d));
+    /// Collects the evidence for the invariants at the end of the run, and returns the results of all drains.
+    async fn collect_evidence(&mut self) -> Result<(Evidence, Vec<DrainResult>), String> {
+        let (_, report) = self.wait_until_settled().await?;
+        let distributors_have_all_changes = self.wait_for_distributors().await.is_ok();
+        let digests = self.proposer.log().expected_digests(self.installation);
+        let origin = fetch_status(self.fleet.origin.address).await?;
+        let mut expected_digest = ternstack_replication::scope::Digest::default();
+        digests.values().for_each(|d| expected_digest.join(*d));
         let mut evidence = Evidence {
-            followers: (report.followers, report.whole),
-            went_back: report.went_back,
+            followers: (report.followers, report.complete),
+            rollbacks: report.rollbacks,
             spans: self.fleet.spans().await?,
-            ended: self.fleet.ended(),
+            exited_processes: self.fleet.exited_processes(),
             drains: Vec::new(),
-            origin_keeps_all: origin.digest == sum,
-            distributors_keep_all,
+            origin_has_all_changes: origin.digest == expected_digest,
+            distributors_have_all_changes,
             ..Evidence::default()
         };
-        if report.least < self.staff.log().last() {
+        if report.min_revision < self.proposer.log().last_revision() {
             evidence.followers.1 = evidence.followers.1.min(report.followers - 1);
         }
         evidence.held = self
@@ -442,17 +494,17 @@
             .holdings()
             .await?
             .into_iter()
-            .map(|((scope, digest), followers)| Held { scope, digest, followers })
+            .map(|((scope, digest), followers)| HeldScope { scope, digest, followers })
             .collect();
-        evidence.agreed = digests;
+        evidence.expected_digests = digests;
         let drains = std::mem::take(&mut self.drains);
         evidence.drains = drains
             .iter()
             .filter(|d| d.judged)
-            .map(|d| Drain {
-                host: format!("the host drained in {}", d.phase),
-                asked: d.asked,
-                still: d.still,
+            .map(|d| DrainEvidence {
+                host: format!("the host drained in phase {}", d.phase),
+                probed: d.probed,
+                still_sending: d.still_sending,
             })
             .collect();
         Ok((evidence, drains))
--- a/scale-tests/src/timeline.rs
+++ b/scale-tests/src/timeline.rs
@@ -1,162 +1,176 @@
-//! What a process of hollow gateways keeps of when each acted on which version, and what it tells of that.
-use crate::histogram::Times;
+//! Timelines of hollow gateways: during which periods a gateway acted on which revision.
+use crate::histogram::DurationHistogram;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 use ternstack_replication::scope::Revision;
 
-/// A follower acted on a version from one moment to another, in us.
+/// A period during which a follower acted on one revision: the revision was in force and the follower held a lease.
 #[derive(Clone, Copy, Debug, PartialEq)]
-struct Period {
-    number: Revision,
+struct ActivePeriod {
+    revision: Revision,
     from_us: u64,
     to_us: u64,
 }
 
-/// One life of a follower.
+/// The timeline of one incarnation of a follower. All times are in us of the monotonic clock.
 #[derive(Clone, Debug, Default)]
-pub struct Track {
-    began_us: u64,
-    ended_us: Option<u64>,
-    over: Vec<Period>,
-    /// Since when it has acted on the version that is in force here, if it holds a lease.
-    since_us: Option<u64>,
-    in_force: Revision,
-    went_back: u64,
-    whole_us: Option<u64>,
+pub struct Timeline {
+    started_us: u64,
+    stopped_us: Option<u64>,
+    past_periods: Vec<ActivePeriod>,
+    /// When the current period began; `None` while the follower holds no lease.
+    active_since_us: Option<u64>,
+    revision_in_force: Revision,
+    rollbacks: u64,
+    complete_us: Option<u64>,
 }
 
-/// From when to when anybody acted on a version, in us of the monotonic clock.
+/// The time, in us of the monotonic clock, during which any follower acted on a revision.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Span {
-    /// The first moment.
+pub struct RevisionSpan {
+    /// When the first follower began to act on the revision.
     pub first_us: u64,
-    /// The last one.
+    /// When the last follower stopped acting on the revision.
     pub last_us: u64,
-    /// The number of the gateway that acted on it last.
-    pub last_by: usize,
+    /// The number of the gateway that acted on the revision last.
+    #[serde(rename = "last_by")]
+    pub last_gateway: usize,
 }
 
-impl Span {
-    /// Takes another one in.
-    pub fn join(&mut self, other: Span) {
+impl RevisionSpan {
+    /// Extends the span to cover another span of the same revision.
+    pub fn merge(&mut self, other: RevisionSpan) {
         self.first_us = self.first_us.min(other.first_us);
         if other.last_us > self.last_us {
-            (self.last_us, self.last_by) = (other.last_us, other.last_by);
+            (self.last_us, self.last_gateway) = (other.last_us, other.last_gateway);
         }
     }
 }
 
-impl Track {
-    /// A life that begins at `at_us`.
-    pub fn begins(at_us: u64) -> Track {
-        Track { began_us: at_us, ..Track::default() }
+impl Timeline {
+    /// Creates the timeline of an incarnation that starts at `at_us`.
+    pub fn starting_at(at_us: u64) -> Timeline {
+        Timeline { started_us: at_us, ..Timeline::default() }
     }
 
-    /// A version came into force here.
-    pub fn in_force(&mut self, at_us: u64, number: Revision) {
-        self.went_back += u64::from(number < self.in_force);
-        let acts = self.since_us.is_some();
-        self.lost(at_us);
-        self.in_force = number;
-        if acts {
-            self.leased(at_us);
+    /// Records that a revision came into force at the follower.
+    pub fn record_in_force(&mut self, at_us: u64, revision: Revision) {
+        self.rollbacks += u64::from(revision < self.revision_in_force);
+        let is_leased = self.active_since_us.is_some();
+        self.record_lease_expired(at_us);
+        self.revision_in_force = revision;
+        if is_leased {
+            self.record_lease_acquired(at_us);
         }
     }
 
-    /// It holds a lease from now on.
-    pub fn leased(&mut self, at_us: u64) {
-        self.since_us = Some(at_us);
+    /// Records that the follower acquired a lease.
+    pub fn record_lease_acquired(&mut self, at_us: u64) {
+        self.active_since_us = Some(at_us);
     }
 
-    /// Its lease has run out.
-    pub fn lost(&mut self, at_us: u64) {
-        if let Some(from_us) = self.since_us.take() {
-            // Who gets a lease and a later version with one answer has not acted on the one before.
-            if self.in_force > 0 && at_us > from_us {
-                self.over.push(Period { number: self.in_force, from_us, to_us: at_us });
+    /// Records that the follower's lease expired.
+    pub fn record_lease_expired(&mut self, at_us: u64) {
+        if let Some(from_us) = self.active_since_us.take() {
+            // A follower that gets a lease and a later revision in one response has never acted on the earlier revision.
+            if self.revision_in_force > 0 && at_us > from_us {
+                self.past_periods.push(ActivePeriod {
+                    revision: self.revision_in_force,
+                    from_us,
+                    to_us: at_us,
+                });
             }
         }
     }
 
-    /// All it wants is there.
-    pub fn whole(&mut self, at_us: u64) {
-        self.whole_us.get_or_insert(at_us);
+    /// Records that the follower has all scopes it follows; only the first such time is kept.
+    pub fn record_complete(&mut self, at_us: u64) {
+        self.complete_us.get_or_insert(at_us);
     }
 
-    /// Whether all it wants has been there.
-    pub fn is_whole(&self) -> bool {
-        self.whole_us.is_some()
+    /// Returns whether the follower has had all scopes it follows at some time.
+    pub fn has_been_complete(&self) -> bool {
+        self.complete_us.is_some()
     }
 
-    /// The life ends.
-    pub fn ends(&mut self, at_us: u64) {
-        self.lost(at_us);
-        self.ended_us.get_or_insert(at_us);
+    /// Records that the incarnation stopped; only the first such time is kept.
+    pub fn record_stopped(&mut self, at_us: u64) {
+        self.record_lease_expired(at_us);
+        self.stopped_us.get_or_insert(at_us);
     }
 
-    /// How often a version older than the last came into force.
-    pub fn went_back(&self) -> u64 {
-        self.went_back
+    /// Returns how often a revision older than the previous one came into force.
+    pub fn rollbacks(&self) -> u64 {
+        self.rollbacks
     }
 
-    /// When the life began, in us.
-    pub fn began_us(&self) -> u64 {
-        self.began_us
+    /// Returns when the incarnation started, in us.
+    pub fn started_us(&self) -> u64 {
+        self.started_us
     }
 
-    /// The version it acts on; 0 where it acts on none.
-    pub fn number(&self) -> Revision {
-        self.since_us.map_or(0, |_| self.in_force)
+    /// Returns the revision that the follower acts on; 0 while the follower holds no lease.
+    pub fn active_revision(&self) -> Revision {
+        self.active_since_us.map_or(0, |_| self.revision_in_force)
     }
 
-    /// From the begin of its life until all was there, in us.
-    pub fn took_us(&self) -> Option<u64> {
-        Some(self.whole_us?.saturating_sub(self.began_us))
+    /// Returns the time from the start of the incarnation until all followed scopes were there, in us.
+    pub fn time_to_complete_us(&self) -> Option<u64> {
+        Some(self.complete_us?.saturating_sub(self.started_us))
     }
 
-    fn periods(&self, now_us: u64) -> impl Iterator<Item = Period> + '_ {
-        let open = self.since_us.filter(|_| self.in_force > 0);
-        let open = open.map(|from_us| Period { number: self.in_force, from_us, to_us: now_us.max(from_us) });
-        self.over.iter().copied().chain(open)
+    /// Returns the past periods, and the current one as ending at `now_us`.
+    fn active_periods(&self, now_us: u64) -> impl Iterator<Item = ActivePeriod> + '_ {
+        let current = self.active_since_us.filter(|_| self.revision_in_force > 0);
+        let current = current.map(|from_us| ActivePeriod {
+            revision: self.revision_in_force,
+            from_us,
+            to_us: now_us.max(from_us),
+        });
+        self.past_periods.iter().copied().chain(current)
     }
 
-    /// When this version or a later one was first acted on here.
-    fn reached(&self, number: Revision) -> Option<u64> {
-        let at = self.over.partition_point(|p| p.number < number);
-        let open = || self.since_us.filter(|_| self.in_force >= number);
-        self.over.get(at).map(|p| p.from_us).or_else(open)
+    /// Returns when the follower first acted on this revision or a later one, in us.
+    fn reached_us(&self, revision: Revision) -> Option<u64> {
+        let index = self.past_periods.partition_point(|p| p.revision < revision);
+        let current = || self.active_since_us.filter(|_| self.revision_in_force >= revision);
+        self.past_periods.get(index).map(|p| p.from_us).or_else(current)
     }
 }
 
-/// From when to when anybody of these acted on each version; each with its gateway's number.
-pub fn spans<'a>(tracks: impl Iterator<Item = (usize, &'a Track)>, now_us: u64) -> BTreeMap<Revision, Span> {
-    let mut all = BTreeMap::new();
-    for (gateway, period) in tracks.flat_map(|(n, t)| t.periods(now_us).map(move |p| (n, p))) {
-        let span = Span { first_us: period.from_us, last_us: period.to_us, last_by: gateway };
-        all.entry(period.number).and_modify(|s: &mut Span| s.join(span)).or_insert(span);
-    }
-    all
+/// Returns the span of each revision over all given timelines. Each timeline comes with the number of its gateway; a
+/// period that still lasts ends at `now_us`.
+pub fn revision_spans<'a>(
+    timelines: impl Iterator<Item = (usize, &'a Timeline)>, now_us: u64,
+) -> BTreeMap<Revision, RevisionSpan> {
+    let mut spans = BTreeMap::new();
+    for (gateway, period) in timelines.flat_map(|(n, t)| t.active_periods(now_us).map(move |p| (n, p))) {
+        let span = RevisionSpan { first_us: period.from_us, last_us: period.to_us, last_gateway: gateway };
+        spans.entry(period.revision).and_modify(|s: &mut RevisionSpan| s.merge(span)).or_insert(span);
+    }
+    spans
 }
 
-/// Times from a proposal to in force, over followers that lived through it.
+/// Times from the proposal of a revision until the revision is in force at a follower. Only followers that were already
+/// running when the revision was proposed are counted.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
-pub struct Reached {
+pub struct PropagationTimes {
     /// The times, in us.
-    pub times: Times,
-    /// How many have not got there yet, over all versions.
+    pub times: DurationHistogram,
+    /// Number of pairs of a revision and a running follower that the revision hasn't reached yet.
     pub missing: u64,
 }
 
-impl Reached {
-    /// Takes in the times from each `(version, proposed at)` to in force at one follower in one of its lives.
-    pub fn take(&mut self, track: &Track, versions: &[(Revision, u64)]) {
-        for (number, proposed_us) in versions {
-            if track.began_us > *proposed_us {
+impl PropagationTimes {
+    /// Adds the propagation times of `(revision, proposed at, in us)` to one incarnation of a follower.
+    pub fn record(&mut self, timeline: &Timeline, proposals: &[(Revision, u64)]) {
+        for (revision, proposed_us) in proposals {
+            if timeline.started_us > *proposed_us {
                 continue;
             }
-            match track.reached(*number) {
+            match timeline.reached_us(*revision) {
                 Some(at_us) => self.times.record(at_us.saturating_sub(*proposed_us)),
-                None if track.ended_us.is_none() => self.missing += 1,
+                None if timeline.stopped_us.is_none() => self.missing += 1,
                 None => {}
             }
         }
--- a/scale-tests/src/traffic.rs
+++ b/scale-tests/src/traffic.rs
@@ -1,67 +1,79 @@
-//! Messages and bytes by cause.
+//! Counts of replication messages and bytes, by cause.
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// Messages and their bytes.
+/// A number of messages and their bytes. Both are fractional because they are also used as rates and means.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct Sum {
-    /// Messages.
+pub struct MessageTotals {
+    /// Number of messages.
     pub messages: f64,
-    /// Bytes of their frames.
+    /// Bytes of the messages' frames.
     pub bytes: f64,
 }
 
-/// By cause, what was read and what was written.
+/// The messages that one or several processes read and wrote, by the cause of a message.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Traffic {
-    /// From others.
-    pub read: BTreeMap<String, Sum>,
-    /// To others.
-    pub written: BTreeMap<String, Sum>,
+    /// Messages read from peers, by cause.
+    pub read: BTreeMap<String, MessageTotals>,
+    /// Messages written to peers, by cause.
+    pub written: BTreeMap<String, MessageTotals>,
 }
 
 impl Traffic {
-    fn each(&self, other: &Traffic, with: impl Fn(f64, f64) -> f64) -> Traffic {
-        let one = |a: &BTreeMap<String, Sum>, b: &BTreeMap<String, Sum>| {
-            let causes = a.keys().chain(b.keys());
-            let sums = causes.map(|cause| {
-                let of = |m: &BTreeMap<String, Sum>| m.get(cause).copied().unwrap_or_default();
-                let (a, b) = (of(a), of(b));
-                let sum = Sum { messages: with(a.messages, b.messages), bytes: with(a.bytes, b.bytes) };
-                (cause.clone(), sum)
+    /// Combines the totals of each cause; a cause that one side lacks counts as 0 there.
+    fn combine(&self, other: &Traffic, operation: impl Fn(f64, f64) -> f64) -> Traffic {
+        let combine_maps = |left: &BTreeMap<String, MessageTotals>,
+                            right: &BTreeMap<String, MessageTotals>| {
+            let causes = left.keys().chain(right.keys());
+            let totals = causes.map(|cause| {
+                let totals_in =
+                    |map: &BTreeMap<String, MessageTotals>| map.get(cause).copied().unwrap_or_default();
+                let (left, right) = (totals_in(left), totals_in(right));
+                let combined = MessageTotals {
+                    messages: operation(left.messages, right.messages),
+                    bytes: operation(left.bytes, right.bytes),
+                };
+                (cause.clone(), combined)
             });
-            sums.collect()
+            totals.collect()
         };
-        Traffic { read: one(&self.read, &other.read), written: one(&self.written, &other.written) }
+        Traffic {
+            read: combine_maps(&self.read, &other.read),
+            written: combine_maps(&self.written, &other.written),
+        }
     }
 
-    /// Both together.
+    /// Returns the sum of two traffics, cause by cause.
     pub fn plus(&self, other: &Traffic) -> Traffic {
-        self.each(other, |a, b| a + b)
+        self.combine(other, |a, b| a + b)
     }
 
-    /// What came since `before`. Whoever was started anew has counted from zero: that counts as nothing less.
+    /// Returns the increase since an earlier reading. A process restarted in between counts from 0 again, so a decrease is
+    /// taken as 0.
     pub fn since(&self, before: &Traffic) -> Traffic {
-        self.each(before, |a, b| (a - b).max(0.0))
+        self.combine(before, |a, b| (a - b).max(0.0))
     }
 
-    /// A part of it.
-    pub fn over(&self, by: f64) -> Traffic {
-        self.each(&Traffic::default(), |a, _| a / by)
+    /// Returns the traffic with all totals divided by `divisor`, as for a rate or a mean.
+    pub fn divided_by(&self, divisor: f64) -> Traffic {
+        self.combine(&Traffic::default(), |a, _| a / divisor)
     }
 
-    /// All that was read.
-    pub fn all_read(&self) -> Sum {
-        all(&self.read)
+    /// Returns the totals of all messages read.
+    pub fn total_read(&self) -> MessageTotals {
+        total(&self.read)
     }
 
-    /// All that was written.
-    pub fn all_written(&self) -> Sum {
-        all(&self.written)
+    /// Returns the totals of all messages written.
+    pub fn total_written(&self) -> MessageTotals {
+        total(&self.written)
     }
 }
 
-fn all(sums: &BTreeMap<String, Sum>) -> Sum {
-    sums.values()
-        .fold(Sum::default(), |a, b| Sum { messages: a.messages + b.messages, bytes: a.bytes + b.bytes })
+fn total(by_cause: &BTreeMap<String, MessageTotals>) -> MessageTotals {
+    by_cause.values().fold(MessageTotals::default(), |a, b| MessageTotals {
+        messages: a.messages + b.messages,
+        bytes: a.bytes + b.bytes,
+    })
 }
--- a/scale-tests/src/worker.rs
+++ b/scale-tests/src/worker.rs
@@ -1,10 +1,13 @@
-//! What happens inside the processes of a fleet: the origin, a distributor, or many hollow gateways.
-use crate::fleet::hollow;
-use crate::installation::World;
-use crate::timeline::{spans, Track};
+//! The code that runs in a worker process of a fleet: the origin, a distributor, or many hollow gateways.
+use crate::fleet::gateway_name;
+use crate::installation::Installation;
+use crate::timeline::{revision_spans, Timeline};
 use crate::traffic::Traffic;
 use crate::usage::now_us;
-use crate::worker_process::{Common, Hollow, MachineAt, Order, Report, Role, Spec, Told};
+use crate::worker_process::{
+    DistributorAddress, FleetSpec, HollowGateway, WorkerCommand, WorkerReply, WorkerReport, WorkerRole,
+    WorkerSpec,
+};
 use std::collections::{BTreeSet, HashMap};
 use std::io::{BufRead, Write};
 use std::net::SocketAddr;
@@ -26,330 +29,391 @@
 use ternstack_replication::wire::Member;
 use tokio::sync::mpsc;
 
-/// A distributor, as the choice among them sees it.
-pub fn placed(machine: &MachineAt) -> placement::ReplicaLocation {
+/// Returns the location of a distributor, as input for the order in which a gateway prefers distributors.
+pub fn replica_location(distributor: &DistributorAddress) -> placement::ReplicaLocation {
     placement::ReplicaLocation {
-        name: machine.name.clone(),
-        zone: machine.zone.clone(),
-        region: machine.region.clone(),
+        name: distributor.name.clone(),
+        zone: distributor.zone.clone(),
+        region: distributor.region.clone(),
     }
 }
 
-/// A process of a fleet, as a child of a run: it ends with its parent, and when its standard input does.
+/// Runs a worker process until its standard input closes. The process also exits with its parent, so that no worker
+/// outlives the run.
 pub fn run_worker() -> ExitCode {
-    let worked = if ternstack_fault_tests::process::exit_with_parent() {
-        work()
+    let result = if ternstack_fault_tests::process::exit_with_parent() {
+        serve_commands()
     } else {
-        Err("the run that started this process is gone".into())
+        Err("the run that started this worker has exited".into())
     };
-    match worked {
+    match result {
         Ok(()) => ExitCode::SUCCESS,
-        Err(problem) => {
-            eprintln!("ternstack-scale-tests: {problem}");
+        Err(error) => {
+            eprintln!("ternstack-scale-tests: {error}");
             ExitCode::FAILURE
         }
     }
 }
 
-fn work() -> Result<(), String> {
+fn serve_commands() -> Result<(), String> {
     let mut line = String::new();
-    std::io::stdin().lock().read_line(&mut line).map_err(|e| e.to_string())?;
-    let spec: Spec = serde_json::from_str(&line).map_err(|e| format!("no specification: {e}"))?;
-    let (orders, mut taken) = mpsc::channel::<Order>(1);
-    // Reads where it may wait; the runtime does not.
+    std::io::stdin()
+        .lock()
+        .read_line(&mut line)
+        .map_err(|e| format!("cannot read the worker's specification: {e}"))?;
+    let spec: WorkerSpec =
+        serde_json::from_str(&line).map_err(|e| format!("invalid worker specification: {e}"))?;
+    let (command_sender, mut commands) = mpsc::channel::<WorkerCommand>(1);
+    // Standard input is read on a thread of its own, so that a blocking read doesn't stall the single-threaded runtime.
     std::thread::spawn(move || {
         for line in std::io::stdin().lock().lines().map_while(Result::ok) {
-            let Ok(order) = serde_json::from_str(&line) else { return };
-            if orders.blocking_send(order).is_err() {
+            let Ok(command) = serde_json::from_str(&line) else { return };
+            if command_sender.blocking_send(command).is_err() {
                 return;
             }
         }
     });
-    let runtime =
-        tokio::runtime::Builder::new_current_thread().enable_all().build().map_err(|e| e.to_string())?;
+    let runtime = tokio::runtime::Builder::new_current_thread()
+        .enable_all()
+        .build()
+        .map_err(|e| format!("cannot create the runtime: {e}"))?;
     runtime.block_on(async {
-        let mut gateways = begin(&spec).await?;
-        while let Some(order) = taken.recv().await {
-            tell(&gateways.obey(order))?;
+        let mut gateways = start_role(&spec).await?;
+        while let Some(command) = commands.recv().await {
+            write_reply(&gateways.execute(command))?;
         }
         Ok(())
     })
 }
 
-fn tell(told: &Told) -> Result<(), String> {
-    let mut line = serde_json::to_vec(told).map_err(|e| e.to_string())?;
+fn write_reply(reply: &WorkerReply) -> Result<(), String> {
+    let mut line = serde_json::to_vec(reply).map_err(|e| format!("cannot encode a reply: {e}"))?;
     line.push(b'\n');
     let mut out = std::io::stdout().lock();
-    out.write_all(&line).and_then(|()| out.flush()).map_err(|e| e.to_string())
+    out.write_all(&line).and_then(|()| out.flush()).map_err(|e| format!("cannot write a reply: {e}"))
 }
 
-/// Begins what the process is, and says so; the hollow gateways in it, if any.
-async fn begin(spec: &Spec) -> Result<Gateways, String> {
-    let bind = |at: SocketAddr| async move {
-        tokio::net::TcpListener::bind(at).await.map_err(|e| format!("{at}: {e}"))
+/// Starts the worker's role and replies that the worker has started. Returns the worker's hollow gateways; there are none
+/// for the origin and for distributors.
+async fn start_role(spec: &WorkerSpec) -> Result<HollowGateways, String> {
+    let bind = |address: SocketAddr| async move {
+        tokio::net::TcpListener::bind(address).await.map_err(|e| format!("cannot listen on {address}: {e}"))
+    };
+    let fleet = &spec.fleet;
+    let local_addr = |listener: &tokio::net::TcpListener| {
+        listener.local_addr().map_err(|e| format!("cannot read the listener's address: {e}"))
     };
-    let common = &spec.common;
-    let local = |l: &tokio::net::TcpListener| l.local_addr().map_err(|e| e.to_string());
-    let mut gateways = Gateways::default();
-    let at = match &spec.role {
-        Role::Origin => {
+    let mut hollow_gateways = HollowGateways::default();
+    let address = match &spec.role {
+        WorkerRole::Origin => {
             let mut store = Store::new();
-            for (scope, key, entry) in World::draw(common.size)?.entries() {
+            for (scope, key, entry) in Installation::generate(fleet.size)?.initial_entries() {
                 store.load(scope, key, 1, Some(entry));
             }
             store.advance_to(1);
             let listener = bind(SocketAddr::from(([127, 0, 0, 1], 0))).await?;
-            let at = local(&listener)?;
-            let machine = ControlServer::<Primary>::primary("origin", common.terms, store);
-            tokio::spawn(machine.run(listener));
-            at
+            let address = local_addr(&listener)?;
+            let server = ControlServer::<Primary>::primary("origin", fleet.lease, store);
+            tokio::spawn(server.run(listener));
+            address
         }
-        Role::Distributor { name, listen, origin } => {
+        WorkerRole::Distributor { name, listen, origin } => {
             let listener = bind(*listen).await?;
-            let at = local(&listener)?;
+            let address = local_addr(&listener)?;
             let member = Member { name: name.clone(), incarnation: now_us() };
-            let machine = ControlServer::<Replica>::replica(member, common.terms);
-            tokio::spawn(machine.run(listener, vec![*origin], common.terms));
-            at
+            let server = ControlServer::<Replica>::replica(member, fleet.lease);
+            tokio::spawn(server.run(listener, vec![*origin], fleet.lease));
+            address
         }
-        Role::Hollows { lists, gateways: all, follow, snapshot, folder } => {
-            gateways = Gateways::start(common, lists, all, *follow, snapshot.as_deref(), folder)?;
+        WorkerRole::Hollows { distributor_lists, gateways, follow, snapshot, folder } => {
+            hollow_gateways = HollowGateways::start(
+                fleet,
+                distributor_lists,
+                gateways,
+                *follow,
+                snapshot.as_deref(),
+                folder,
+            )?;
             SocketAddr::from(([127, 0, 0, 1], 0))
         }
     };
-    tell(&Told::Begun(at))?;
-    Ok(gateways)
+    write_reply(&WorkerReply::Started(address))?;
+    Ok(hollow_gateways)
 }
 
-/// What is kept of a follower's life.
+/// The record of one incarnation of a hollow gateway.
 #[derive(Debug)]
-struct Kept {
-    track: Track,
-    missing: BTreeSet<Scope>, // Of what it wants.
-    /// The last moment told of by the drive, by its clock and by the machine's.
-    last: (f64, u64),
+struct IncarnationRecord {
+    timeline: Timeline,
+    missing_scopes: BTreeSet<Scope>, // Followed scopes that are not complete.
+    /// The moment of the latest event: by the gateway client's clock, and in us of the monotonic clock.
+    last_moment: (f64, u64),
 }
 
-impl Kept {
-    /// Takes in what its drive tells, now. What it tells of one moment is of one moment here: who gets a lease and a later
-    /// version with one answer never acts on the one before.
-    fn hear(&mut self, moment: f64, heard: ClientEvent) {
-        if self.last.0 != moment {
-            self.last = (moment, now_us());
+impl IncarnationRecord {
+    /// Records an event of the gateway client. All events of one moment of the client's clock get the same time, because a
+    /// follower that gets a lease and a later revision in one response never acts on the earlier revision.
+    fn record_event(&mut self, moment: f64, event: ClientEvent) {
+        if self.last_moment.0 != moment {
+            self.last_moment = (moment, now_us());
         }
-        let at_us = self.last.1;
-        match heard {
-            ClientEvent::LeaseAcquired => self.track.leased(at_us),
-            ClientEvent::LeaseExpired => self.track.lost(at_us),
-            ClientEvent::Follower(FollowerEvent::InForce(number)) => self.track.in_force(at_us, number),
-            ClientEvent::Follower(FollowerEvent::Complete(scope)) => drop(self.missing.remove(&scope)),
+        let at_us = self.last_moment.1;
+        match event {
+            ClientEvent::LeaseAcquired => self.timeline.record_lease_acquired(at_us),
+            ClientEvent::LeaseExpired => self.timeline.record_lease_expired(at_us),
+            ClientEvent::Follower(FollowerEvent::InForce(revision)) => {
+                self.timeline.record_in_force(at_us, revision)
+            }
+            ClientEvent::Follower(FollowerEvent::Complete(scope)) => drop(self.missing_scopes.remove(&scope)),
             ClientEvent::Follower(FollowerEvent::Stale(scope) | FollowerEvent::Restarted(scope)) => {
-                self.missing.insert(scope);
+                self.missing_scopes.insert(scope);
             }
             ClientEvent::Follower(_) => {}
         }
-        if self.missing.is_empty() && self.track.number() > 0 {
-            self.track.whole(at_us);
+        if self.missing_scopes.is_empty() && self.timeline.active_revision() > 0 {
+            self.timeline.record_complete(at_us);
         }
     }
 }
 
-/// A life: the real program's end towards control, and what is kept of it.
-struct Life {
+/// One incarnation of a hollow gateway: the gateway's client of the control servers, and the record of its events.
+struct Incarnation {
     client: Arc<GatewayClient>,
-    kept: Arc<Mutex<Kept>>,
+    record: Arc<Mutex<IncarnationRecord>>,
     task: tokio::task::JoinHandle<()>,
 }
 
-fn lock(kept: &Mutex<Kept>) -> MutexGuard<'_, Kept> {
-    kept.lock().unwrap_or_else(PoisonError::into_inner)
+fn lock(record: &Mutex<IncarnationRecord>) -> MutexGuard<'_, IncarnationRecord> {
+    record.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-/// A hollow gateway through its lives.
-struct Seat {
-    hollow: Hollow,
-    machines: Vec<MachineAt>,
-    life: Life,
-    past: Vec<Track>,
-    spent: Traffic, // In past lives.
+/// A hollow gateway with its current incarnation and what is kept of the past ones.
+struct GatewaySlot {
+    gateway: HollowGateway,
+    distributors: Vec<DistributorAddress>,
+    incarnation: Incarnation,
+    past_timelines: Vec<Timeline>,
+    past_traffic: Traffic, // Of all past incarnations together.
 }
 
-/// The hollow gateways of a process.
+/// The hollow gateways of a worker.
 #[derive(Default)]
-struct Gateways {
-    common: Option<Common>,
-    world: Option<World>,
+struct HollowGateways {
+    fleet: Option<FleetSpec>,
+    installation: Option<Installation>,
+    /// Number of services and number of tenant shards that each gateway follows; `None` to follow everything.
     follow: Option<(usize, usize)>,
     folder: PathBuf,
-    seats: Vec<Seat>,
-    restarted_us: u64,
+    slots: Vec<GatewaySlot>,
+    last_restart_us: u64,
 }
 
-/// No snapshot is written by itself while a run lasts.
-const NEVER: Duration = Duration::from_secs(86_400);
+/// Longer than any run, so that the gateway clients write no snapshots during a run.
+const SNAPSHOT_WRITE_INTERVAL: Duration = Duration::from_secs(86_400);
 
-impl Gateways {
+impl HollowGateways {
     fn start(
-        common: &Common, lists: &[Vec<MachineAt>], all: &[Hollow], follow: Option<(usize, usize)>,
-        snapshot: Option<&Path>, folder: &Path,
-    ) -> Result<Gateways, String> {
-        let world = World::draw(common.size)?;
-        let (common, folder) = (Some(common.clone()), folder.to_path_buf());
-        let mut gateways = Gateways { common, world: Some(world), follow, folder, ..Gateways::default() };
-        for hollow in all {
-            let machines = lists.get(hollow.list).ok_or("no list of that number")?.clone();
-            let beside = snapshot.map(|file| (file.to_path_buf(), BTreeSet::new()));
-            if let Some(life) = gateways.live(hollow, &machines, beside) {
-                let (hollow, past, spent) = (hollow.clone(), Vec::new(), Traffic::default());
-                gateways.seats.push(Seat { hollow, machines, life, past, spent });
+        fleet: &FleetSpec, distributor_lists: &[Vec<DistributorAddress>], gateways: &[HollowGateway],
+        follow: Option<(usize, usize)>, snapshot: Option<&Path>, folder: &Path,
+    ) -> Result<HollowGateways, String> {
+        let installation = Installation::generate(fleet.size)?;
+        let (fleet, folder) = (Some(fleet.clone()), folder.to_path_buf());
+        let mut hollow_gateways = HollowGateways {
+            fleet,
+            installation: Some(installation),
+            follow,
+            folder,
+            ..HollowGateways::default()
+        };
+        for gateway in gateways {
+            let distributors = distributor_lists
+                .get(gateway.list_index)
+                .ok_or("a gateway's list index is out of range of the distributor lists")?
+                .clone();
+            let snapshot = snapshot.map(|file| (file.to_path_buf(), BTreeSet::new()));
+            if let Some(incarnation) = hollow_gateways.start_incarnation(gateway, &distributors, snapshot) {
+                let (gateway, past_timelines, past_traffic) =
+                    (gateway.clone(), Vec::new(), Traffic::default());
+                hollow_gateways.slots.push(GatewaySlot {
+                    gateway,
+                    distributors,
+                    incarnation,
+                    past_timelines,
+                    past_traffic,
+                });
             }
         }
-        Ok(gateways)
+        Ok(hollow_gateways)
     }
 
-    /// The scopes that a gateway follows, hottest first.
-    fn wanted(&self, gateway: usize) -> Vec<Scope> {
-        match (&self.world, self.follow) {
-            (Some(world), Some((services, shards))) => world.followed(gateway, services, shards),
+    /// Returns the scopes that a gateway follows, highest priority first; empty for a follower of everything.
+    fn followed_scopes(&self, gateway: usize) -> Vec<Scope> {
+        match (&self.installation, self.follow) {
+            (Some(installation), Some((services, shards))) => {
+                installation.followed_scopes(gateway, services, shards)
+            }
             _ => Vec::new(),
         }
     }
 
-    /// Begins a life: with nothing, or beside a snapshot that lacks some scopes.
-    fn live(
-        &self, seat: &Hollow, machines: &[MachineAt], beside: Option<(PathBuf, BTreeSet<Scope>)>,
-    ) -> Option<Life> {
-        let wanted = self.wanted(seat.number);
-        let (snapshot, missing) = match beside {
-            Some((path, missing)) => {
-                let config = SnapshotConfig { path, write_interval: NEVER, on_blocking_thread: false };
-                (Some(config), missing)
+    /// Starts an incarnation of a gateway, either without any state or from a snapshot file. The snapshot comes with the
+    /// followed scopes that it lacks.
+    fn start_incarnation(
+        &self, gateway: &HollowGateway, distributors: &[DistributorAddress],
+        snapshot: Option<(PathBuf, BTreeSet<Scope>)>,
+    ) -> Option<Incarnation> {
+        let followed = self.followed_scopes(gateway.number);
+        let (snapshot, missing_scopes) = match snapshot {
+            Some((path, missing_scopes)) => {
+                let config = SnapshotConfig {
+                    path,
+                    write_interval: SNAPSHOT_WRITE_INTERVAL,
+                    on_blocking_thread: false,
+                };
+                (Some(config), missing_scopes)
             }
-            None => (None, wanted.iter().copied().chain([Scope::Zones, Scope::Fleet]).collect()),
+            None => (None, followed.iter().copied().chain([Scope::Zones, Scope::Fleet]).collect()),
         };
-        let endpoint = |at: &MachineAt| ServerEndpoint {
-            name: at.name.clone(),
-            address: at.at,
-            zone: at.zone.clone(),
-            region: at.region.clone(),
+        let endpoint = |distributor: &DistributorAddress| ServerEndpoint {
+            name: distributor.name.clone(),
+            address: distributor.address,
+            zone: distributor.zone.clone(),
+            region: distributor.region.clone(),
         };
         let prioritized = |(n, scope): (usize, Scope)| ScopePriority { scope, priority: -(n as f64) };
         let client = GatewayClient::new(GatewayClientConfig {
-            member: Member { name: hollow(seat.number), incarnation: now_us() },
-            zone: seat.zone.clone(),
-            region: seat.region.clone(),
-            servers: machines.iter().map(endpoint).collect(),
-            lease: self.common.as_ref()?.terms,
+            member: Member { name: gateway_name(gateway.number), incarnation: now_us() },
+            zone: gateway.zone.clone(),
+            region: gateway.region.clone(),
+            servers: distributors.iter().map(endpoint).collect(),
+            lease: self.fleet.as_ref()?.lease,
             snapshot,
-            scopes: wanted.into_iter().enumerate().map(prioritized).collect(),
+            scopes: followed.into_iter().enumerate().map(prioritized).collect(),
         });
-        let kept = Arc::new(Mutex::new(Kept {
-            track: Track::begins(now_us()),
-            missing,
-            last: (f64::NEG_INFINITY, 0),
+        let record = Arc::new(Mutex::new(IncarnationRecord {
+            timeline: Timeline::starting_at(now_us()),
+            missing_scopes,
+            last_moment: (f64::NEG_INFINITY, 0),
         }));
-        let (runs, heard) = (client.clone(), kept.clone());
+        let (running_client, event_record) = (client.clone(), record.clone());
         let task = tokio::spawn(async move {
-            runs.run(move |moment, told| lock(&heard).hear(moment, told)).await;
+            running_client.run(move |moment, event| lock(&event_record).record_event(moment, event)).await;
         });
-        Some(Life { client, kept, task })
+        Some(Incarnation { client, record, task })
     }
 
-    /// Writes what a gateway would have kept; where, and what it lacks.
-    fn keep(&self, seat: &Seat) -> Option<(PathBuf, BTreeSet<Scope>)> {
-        let snapshot = seat.life.client.with_core(|core, _| core.snapshot());
-        let there: BTreeSet<Scope> = snapshot.tables.scopes().collect();
-        let file = self.folder.join(hollow(seat.hollow.number));
+    /// Writes the snapshot of a gateway's state to a file. Returns the file and the followed scopes that the snapshot lacks;
+    /// `None` if the file can't be written.
+    fn write_snapshot(&self, slot: &GatewaySlot) -> Option<(PathBuf, BTreeSet<Scope>)> {
+        let snapshot = slot.incarnation.client.with_core(|core, _| core.snapshot());
+        let contained: BTreeSet<Scope> = snapshot.tables.scopes().collect();
+        let file = self.folder.join(gateway_name(slot.gateway.number));
         std::fs::write(&file, snapshot.encode().ok()?).ok()?;
-        Some((file, self.wanted(seat.hollow.number).into_iter().filter(|s| !there.contains(s)).collect()))
+        Some((
+            file,
+            self.followed_scopes(slot.gateway.number)
+                .into_iter()
+                .filter(|s| !contained.contains(s))
+                .collect(),
+        ))
     }
 
-    fn obey(&mut self, order: Order) -> Told {
-        match order {
-            Order::Report(versions) => Told::Report(Box::new(self.report(&versions))),
-            Order::Restart { every, kept } => {
-                self.restart(every.max(1), kept);
-                Told::Done
+    fn execute(&mut self, command: WorkerCommand) -> WorkerReply {
+        match command {
+            WorkerCommand::Report(proposals) => WorkerReply::Report(Box::new(self.report(&proposals))),
+            WorkerCommand::Restart { every, from_snapshot } => {
+                self.restart(every.max(1), from_snapshot);
+                WorkerReply::Done
             }
-            Order::Spans => {
-                let lives: Vec<_> =
-                    self.seats.iter().map(|s| (s.hollow.number, lock(&s.life.kept))).collect();
-                let past = self.seats.iter().flat_map(|s| s.past.iter().map(|t| (s.hollow.number, t)));
-                let all = lives.iter().map(|(n, l)| (*n, &l.track)).chain(past);
-                Told::Spans(spans(all, now_us()).into_iter().collect())
+            WorkerCommand::Spans => {
+                let records: Vec<_> =
+                    self.slots.iter().map(|s| (s.gateway.number, lock(&s.incarnation.record))).collect();
+                let past =
+                    self.slots.iter().flat_map(|s| s.past_timelines.iter().map(|t| (s.gateway.number, t)));
+                let timelines = records.iter().map(|(n, record)| (*n, &record.timeline)).chain(past);
+                WorkerReply::Spans(revision_spans(timelines, now_us()).into_iter().collect())
             }
-            Order::Holdings => Told::Holdings(self.holdings()),
-            Order::Probe(scope, key) => self.probe(scope, key),
+            WorkerCommand::Holdings => WorkerReply::Holdings(self.holdings()),
+            WorkerCommand::Probe(scope, key) => self.probe(scope, key),
         }
     }
 
-    fn restart(&mut self, every: usize, kept: bool) {
-        let mut seats = std::mem::take(&mut self.seats);
-        self.restarted_us = now_us();
-        for seat in seats.iter_mut().filter(|s| s.hollow.number % every == 0) {
-            let beside = if kept { self.keep(seat) } else { None };
-            let Some(life) = self.live(&seat.hollow, &seat.machines, beside) else { continue };
-            let last = std::mem::replace(&mut seat.life, life);
-            last.task.abort();
-            let mut kept = lock(&last.kept);
-            kept.track.ends(now_us());
-            seat.past.push(std::mem::take(&mut kept.track));
-            seat.spent = seat.spent.plus(&Traffic::of(&last.client.counts()));
+    /// Restarts the gateways whose number is divisible by `every`.
+    fn restart(&mut self, every: usize, from_snapshot: bool) {
+        let mut slots = std::mem::take(&mut self.slots);
+        self.last_restart_us = now_us();
+        for slot in slots.iter_mut().filter(|s| s.gateway.number % every == 0) {
+            let snapshot = if from_snapshot { self.write_snapshot(slot) } else { None };
+            let Some(incarnation) = self.start_incarnation(&slot.gateway, &slot.distributors, snapshot)
+            else {
+                continue;
+            };
+            let past = std::mem::replace(&mut slot.incarnation, incarnation);
+            past.task.abort();
+            let mut record = lock(&past.record);
+            record.timeline.record_stopped(now_us());
+            slot.past_timelines.push(std::mem::take(&mut record.timeline));
+            slot.past_traffic = slot.past_traffic.plus(&Traffic::from_counts(&past.client.counts()));
         }
-        self.seats = seats;
+        self.slots = slots;
     }
 
-    fn report(&self, versions: &[(u64, u64)]) -> Report {
-        let mut report = Report { least: u64::MAX, ..Report::default() };
-        for seat in &self.seats {
-            let client = &seat.life.client;
-            let (whole, bytes) =
+    fn report(&self, proposals: &[(u64, u64)]) -> WorkerReport {
+        let mut report = WorkerReport { min_revision: u64::MAX, ..WorkerReport::default() };
+        for slot in &self.slots {
+            let client = &slot.incarnation.client;
+            let (is_complete, state_bytes) =
                 client.with_core(|core, _| (core.is_complete(), core.storage().memory_bytes()));
-            let kept = lock(&seat.life.kept);
+            let record = lock(&slot.incarnation.record);
             report.followers += 1;
-            report.whole += u64::from(whole);
-            report.leased += u64::from(kept.track.number() > 0);
-            report.least = report.least.min(kept.track.number());
-            report.state_bytes += bytes as u64;
-            if let Some(took_us) = kept.track.took_us().filter(|_| kept.track.began_us() >= self.restarted_us)
+            report.complete += u64::from(is_complete);
+            report.leased += u64::from(record.timeline.active_revision() > 0);
+            report.min_revision = report.min_revision.min(record.timeline.active_revision());
+            report.state_bytes += state_bytes as u64;
+            if let Some(time_us) = record
+                .timeline
+                .time_to_complete_us()
+                .filter(|_| record.timeline.started_us() >= self.last_restart_us)
             {
-                report.start.record(took_us);
+                report.startup_times.record(time_us);
             }
-            for track in std::iter::once(&kept.track).chain(&seat.past) {
-                report.went_back += track.went_back();
-                report.reached.take(track, versions);
+            for timeline in std::iter::once(&record.timeline).chain(&slot.past_timelines) {
+                report.rollbacks += timeline.rollbacks();
+                report.propagation.record(timeline, proposals);
             }
-            let traffic = seat.spent.plus(&Traffic::of(&client.counts()));
-            report.most_bytes = report.most_bytes.max(traffic.all_read().bytes as u64);
+            let traffic = slot.past_traffic.plus(&Traffic::from_counts(&client.counts()));
+            report.max_bytes_read = report.max_bytes_read.max(traffic.total_read().bytes as u64);
             report.traffic = report.traffic.plus(&traffic);
         }
         report
     }
 
+    /// Returns the digests of all complete scopes, each with the number of gateways that have this digest.
     fn holdings(&self) -> Vec<(Scope, Digest, u64)> {
-        let mut all: HashMap<(Scope, Digest), u64> = HashMap::new();
-        for seat in &self.seats {
-            seat.life.client.with_core(|core, _| {
+        let mut followers: HashMap<(Scope, Digest), u64> = HashMap::new();
+        for slot in &self.slots {
+            slot.incarnation.client.with_core(|core, _| {
                 for (scope, _) in core.complete_scopes() {
-                    *all.entry((scope, core.storage().digest(scope))).or_insert(0) += 1;
+                    *followers.entry((scope, core.storage().digest(scope))).or_insert(0) += 1;
                 }
             });
         }
-        all.into_iter().map(|((scope, digest), n)| (scope, digest, n)).collect()
+        followers.into_iter().map(|((scope, digest), n)| (scope, digest, n)).collect()
     }
 
-    /// Who has the scope, whole or behind, and would give this host new work now. By its zone it may be lost, too.
-    fn probe(&self, scope: Scope, key: Key) -> Told {
-        let (mut asked, mut still) = (0, 0);
-        for seat in &self.seats {
-            let client = &seat.life.client;
+    /// Counts the gateways that have the scope, complete or stale, and those of them that would send new requests to the
+    /// host. A lost zone isn't considered here: a host in a lost zone counts as used.
+    fn probe(&self, scope: Scope, key: Key) -> WorkerReply {
+        let (mut probed, mut still_sending) = (0, 0);
+        for slot in &self.slots {
+            let client = &slot.incarnation.client;
             if client.scope_mode(scope) == ScopeMode::Unknown {
                 continue;
             }
-            asked += 1;
+            probed += 1;
             let entry = client.entry(scope, key);
-            still += u64::from(matches!(entry, Some(Entry::Host(host)) if !host.draining));
+            still_sending += u64::from(matches!(entry, Some(Entry::Host(host)) if !host.draining));
         }
-        Told::Probe { asked, still }
+        WorkerReply::Probe { probed, still_sending }
     }
 }
--- a/scale-tests/tests/fleet.rs
+++ b/scale-tests/tests/fleet.rs
@@ -1,10 +1,10 @@
-//! The scale run's twin: a small fleet of real processes through changes and a killed distributor, judged by counts and
-//! digests. What the judge says of times depends on the machine, so that is left to the run itself.
+//! A small fleet of real processes keeps the invariants on state through changes, a killed distributor and restarted
+//! gateways. The invariants on time are not checked here, because they depend on the load of the machine.
 use clap::Parser;
 use ternstack_fault_tests::process::Launch;
-use ternstack_scale_tests::invariants::Promise;
+use ternstack_scale_tests::invariants::Invariant;
 use ternstack_scale_tests::options::Options;
-use ternstack_scale_tests::run::{play, LaunchCommands};
+use ternstack_scale_tests::run::{execute, LaunchCommands};
 
 #[derive(Parser)]
 struct Cli {
@@ -12,32 +12,33 @@
     options: Options,
 }
 
-const SMALL: &str =
+const SMALL_RUN: &str =
     "scale --quick --gateways 24 --hosts 120 --services 6 --tenants 200 --seconds 1 --fault kill \
                      restart-tenth-kept";
 
 #[test]
-fn a_small_fleet_holds_the_same_state_through_a_kill() -> Result<(), String> {
-    let options = Cli::try_parse_from(SMALL.split_whitespace()).map_err(|e| e.to_string())?.options;
+fn small_fleet_keeps_its_state_when_a_distributor_is_killed_and_gateways_restart() -> Result<(), String> {
+    let options = Cli::try_parse_from(SMALL_RUN.split_whitespace()).map_err(|e| e.to_string())?.options;
     let plans = options.plans()?;
     let worker = Launch {
         program: env!("CARGO_BIN_EXE_ternstack-scale-worker").into(),
         args: Vec::new(),
         variables: Vec::new(),
     };
-    let launches = LaunchCommands { worker, gateway: None };
+    let launch_commands = LaunchCommands { worker, gateway: None };
     let runtime =
         tokio::runtime::Builder::new_current_thread().enable_all().build().map_err(|e| e.to_string())?;
-    let outcome = runtime.block_on(play(&launches, &plans[0], false, &|_| {}))?;
-    let timed = [Promise::OneVersion, Promise::Drains];
-    let broken: Vec<_> = outcome.offences.iter().filter(|o| !timed.contains(&o.promise)).collect();
-    assert!(broken.is_empty(), "{broken:?}");
-    assert_eq!((outcome.start.gateways, outcome.start.whole), (24, 24));
+    let outcome = runtime.block_on(execute(&launch_commands, &plans[0], false, &|_| {}))?;
+    let time_invariants = [Invariant::OneVersion, Invariant::Drains];
+    let violations: Vec<_> =
+        outcome.violations.iter().filter(|v| !time_invariants.contains(&v.invariant)).collect();
+    assert!(violations.is_empty(), "expected no violation of the invariants on state: {violations:?}");
+    assert_eq!((outcome.start.gateways, outcome.start.complete), (24, 24));
     assert_eq!(outcome.start.everything, (1, 1));
-    assert!(outcome.accepted > 10, "{} proposals accepted", outcome.accepted);
-    let names: Vec<_> = outcome.rows.iter().map(|r| r.phase.as_str()).collect();
-    assert_eq!(names, ["start, all at once", "quiet", "changes", "kill", "restart-tenth-kept"]);
-    assert!(outcome.rows.iter().all(|r| r.missing == 0));
-    assert!(outcome.drains.iter().all(|d| d.asked > 0));
+    assert!(outcome.accepted > 10, "expected more than 10 accepted proposals, got {}", outcome.accepted);
+    let phases: Vec<_> = outcome.phases.iter().map(|r| r.phase.as_str()).collect();
+    assert_eq!(phases, ["start, all at once", "quiet", "changes", "kill", "restart-tenth-kept"]);
+    assert!(outcome.phases.iter().all(|p| p.missing == 0));
+    assert!(outcome.drains.iter().all(|d| d.probed > 0));
     Ok(())
 }
--- a/scale-tests/tests/invariants.rs
+++ b/scale-tests/tests/invariants.rs
@@ -1,171 +1,203 @@
-//! The judge catches each planted offender, and holds nothing against a sound run.
+//! Each violation planted in the evidence is found, and evidence without violations passes.
 use std::collections::BTreeMap;
 use ternstack_replication::lease::LeaseConfig;
 use ternstack_replication::scope::{Digest, Entry, Key, Scope};
-use ternstack_scale_tests::invariants::{judge, longest_contradiction, Drain, Evidence, Held, Promise};
-use ternstack_scale_tests::timeline::{spans, Reached, Track};
+use ternstack_scale_tests::invariants::{
+    check_invariants, longest_conflict, DrainEvidence, Evidence, HeldScope, Invariant,
+};
+use ternstack_scale_tests::timeline::{revision_spans, PropagationTimes, Timeline};
 
-/// Of these the judge takes the promise of 1,919 ms.
-fn terms() -> LeaseConfig {
+/// Returns a lease configuration with a bound on conflicts of 1,919 ms, with the drift of 1 %.
+fn lease_config() -> LeaseConfig {
     LeaseConfig { lease_ms: 1900.0, clock_drift_ratio: 0.01, ..LeaseConfig::default() }
 }
 
-/// What befalls a follower, at which ms.
+/// An event in the timeline of a follower.
 #[derive(Clone, Copy)]
-enum Step {
+enum TimelineEvent {
     InForce(u64),
-    Leased,
-    Lost,
-}
-use Step::{InForce, Leased, Lost};
-
-fn track(steps: &[(u64, Step)]) -> Track {
-    let mut track = Track::begins(0);
-    for (at_ms, step) in steps {
-        match step {
-            InForce(number) => track.in_force(at_ms * 1000, *number),
-            Leased => track.leased(at_ms * 1000),
-            Lost => track.lost(at_ms * 1000),
+    LeaseAcquired,
+    LeaseExpired,
+}
+use TimelineEvent::{InForce, LeaseAcquired, LeaseExpired};
+
+/// Returns the timeline of a follower that starts at 0, with each event at a time in ms.
+fn timeline(events: &[(u64, TimelineEvent)]) -> Timeline {
+    let mut timeline = Timeline::starting_at(0);
+    for (at_ms, event) in events {
+        match event {
+            InForce(revision) => timeline.record_in_force(at_ms * 1000, *revision),
+            LeaseAcquired => timeline.record_lease_acquired(at_ms * 1000),
+            LeaseExpired => timeline.record_lease_expired(at_ms * 1000),
         }
     }
-    track
+    timeline
 }
 
-fn sound() -> Evidence {
+/// Returns evidence of two followers without any violation.
+fn evidence_without_violations() -> Evidence {
     let mut digest = Digest::default();
     digest.add(Scope::Zones, Key::from_number(1), &Entry::Zone(true));
-    let tracks = [
-        track(&[(0, Leased), (0, InForce(1)), (800, InForce(2))]),
-        track(&[(100, Leased), (100, InForce(1)), (900, InForce(2))]),
+    let timelines = [
+        timeline(&[(0, LeaseAcquired), (0, InForce(1)), (800, InForce(2))]),
+        timeline(&[(100, LeaseAcquired), (100, InForce(1)), (900, InForce(2))]),
     ];
     Evidence {
-        agreed: BTreeMap::from([(Scope::Zones, digest)]),
-        held: vec![Held { scope: Scope::Zones, digest, followers: 2 }],
+        expected_digests: BTreeMap::from([(Scope::Zones, digest)]),
+        held: vec![HeldScope { scope: Scope::Zones, digest, followers: 2 }],
         followers: (2, 2),
-        spans: spans(tracks.iter().enumerate(), 1_000_000),
-        went_back: 0,
-        drains: vec![Drain { host: "host-0".into(), asked: 2, still: 0 }],
-        origin_keeps_all: true,
-        distributors_keep_all: true,
-        ended: Vec::new(),
+        spans: revision_spans(timelines.iter().enumerate(), 1_000_000),
+        rollbacks: 0,
+        drains: vec![DrainEvidence { host: "host-0".into(), probed: 2, still_sending: 0 }],
+        origin_has_all_changes: true,
+        distributors_have_all_changes: true,
+        exited_processes: Vec::new(),
     }
 }
 
-fn broken(evidence: &Evidence) -> Vec<Promise> {
-    judge(evidence, &terms()).into_iter().map(|o| o.promise).collect()
+fn violated(evidence: &Evidence) -> Vec<Invariant> {
+    check_invariants(evidence, &lease_config()).into_iter().map(|v| v.invariant).collect()
 }
 
 #[test]
-fn a_sound_run_is_sound() {
-    assert_eq!(judge(&sound(), &terms()), []);
+fn evidence_without_violations_passes() {
+    assert_eq!(check_invariants(&evidence_without_violations(), &lease_config()), []);
 }
 
 #[test]
-fn one_that_holds_another_state_is_caught() {
-    let mut evidence = sound();
-    let mut other = Digest::default();
-    other.add(Scope::Zones, Key::from_number(1), &Entry::Zone(false));
-    evidence.held.push(Held { scope: Scope::Zones, digest: other, followers: 1 });
-    assert_eq!(broken(&evidence), [Promise::SameState]);
+fn follower_with_different_state_violates_same_state() {
+    let mut evidence = evidence_without_violations();
+    let mut other_digest = Digest::default();
+    other_digest.add(Scope::Zones, Key::from_number(1), &Entry::Zone(false));
+    evidence.held.push(HeldScope { scope: Scope::Zones, digest: other_digest, followers: 1 });
+    assert_eq!(violated(&evidence), [Invariant::SameState]);
 }
 
 #[test]
-fn one_that_holds_a_scope_that_is_gone_is_caught() {
-    let mut evidence = sound();
-    evidence.held.push(Held { scope: Scope::Hosts(7), digest: Digest(1), followers: 1 });
-    assert_eq!(broken(&evidence), [Promise::SameState]);
+fn follower_with_entries_in_an_empty_scope_violates_same_state() {
+    let mut evidence = evidence_without_violations();
+    evidence.held.push(HeldScope { scope: Scope::Hosts(7), digest: Digest(1), followers: 1 });
+    assert_eq!(violated(&evidence), [Invariant::SameState]);
 }
 
 #[test]
-fn one_that_never_gets_there_is_caught() {
-    let evidence = Evidence { followers: (2, 1), ..sound() };
-    assert_eq!(broken(&evidence), [Promise::SameState]);
+fn follower_that_stays_incomplete_violates_same_state() {
+    let evidence = Evidence { followers: (2, 1), ..evidence_without_violations() };
+    assert_eq!(violated(&evidence), [Invariant::SameState]);
 }
 
 #[test]
-fn one_that_goes_back_is_caught() {
-    let back = track(&[(0, Leased), (0, InForce(1)), (400, InForce(2)), (800, InForce(1))]);
-    assert_eq!(back.went_back(), 1);
-    let evidence = Evidence { went_back: back.went_back(), ..sound() };
-    assert_eq!(broken(&evidence), [Promise::NeverBack]);
+fn follower_that_returns_to_an_older_revision_violates_never_back() {
+    let rolled_back = timeline(&[(0, LeaseAcquired), (0, InForce(1)), (400, InForce(2)), (800, InForce(1))]);
+    assert_eq!(rolled_back.rollbacks(), 1);
+    let evidence = Evidence { rollbacks: rolled_back.rollbacks(), ..evidence_without_violations() };
+    assert_eq!(violated(&evidence), [Invariant::NeverBack]);
 }
 
 #[test]
-fn one_that_stays_behind_with_a_lease_is_caught() {
-    // It keeps its lease on version 1 long after the other acts on 2.
-    let tracks = [
-        track(&[(0, Leased), (0, InForce(1)), (800, InForce(2))]),
-        track(&[(0, Leased), (0, InForce(1)), (3900, Lost)]),
+fn follower_that_keeps_its_lease_on_an_old_revision_violates_one_version() {
+    // Follower 1 keeps its lease on revision 1 long after follower 0 acts on revision 2.
+    let timelines = [
+        timeline(&[(0, LeaseAcquired), (0, InForce(1)), (800, InForce(2))]),
+        timeline(&[(0, LeaseAcquired), (0, InForce(1)), (3900, LeaseExpired)]),
     ];
-    let evidence = Evidence { spans: spans(tracks.iter().enumerate(), 4_000_000), ..sound() };
-    assert_eq!(longest_contradiction(&evidence.spans), (1, 3_100_000));
-    assert_eq!(evidence.spans[&1].last_by, 1);
-    assert_eq!(broken(&evidence), [Promise::OneVersion]);
-    // The same while it goes on.
-    let tracks = [&tracks[0], &track(&[(0, Leased), (0, InForce(1))])];
-    assert_eq!(longest_contradiction(&spans(tracks.into_iter().enumerate(), 4_000_000)), (1, 3_200_000));
+    let evidence = Evidence {
+        spans: revision_spans(timelines.iter().enumerate(), 4_000_000),
+        ..evidence_without_violations()
+    };
+    assert_eq!(longest_conflict(&evidence.spans), (1, 3_100_000));
+    assert_eq!(evidence.spans[&1].last_gateway, 1);
+    assert_eq!(violated(&evidence), [Invariant::OneVersion]);
+    // A period that still lasts counts up to now.
+    let timelines = [&timelines[0], &timeline(&[(0, LeaseAcquired), (0, InForce(1))])];
+    assert_eq!(
+        longest_conflict(&revision_spans(timelines.into_iter().enumerate(), 4_000_000)),
+        (1, 3_200_000)
+    );
 }
 
 #[test]
-fn one_that_skips_versions_is_measured_against_the_first_later_one() {
-    let tracks = [
-        track(&[(0, Leased), (0, InForce(1)), (800, InForce(2)), (900, InForce(3))]),
-        track(&[(0, Leased), (0, InForce(1)), (2500, InForce(3))]),
+fn conflict_is_measured_from_the_first_later_revision_even_if_skipped() {
+    let timelines = [
+        timeline(&[(0, LeaseAcquired), (0, InForce(1)), (800, InForce(2)), (900, InForce(3))]),
+        timeline(&[(0, LeaseAcquired), (0, InForce(1)), (2500, InForce(3))]),
     ];
-    assert_eq!(longest_contradiction(&spans(tracks.iter().enumerate(), 4_000_000)), (1, 1_700_000));
+    assert_eq!(longest_conflict(&revision_spans(timelines.iter().enumerate(), 4_000_000)), (1, 1_700_000));
 }
 
 #[test]
-fn a_lease_that_ends_by_itself_is_no_act() {
-    // Cut off: its lease ends at 1900; at 9000 one answer brings a lease and version 2.
-    let tracks = [
-        track(&[(0, Leased), (0, InForce(1)), (800, InForce(2))]),
-        track(&[(0, Leased), (0, InForce(1)), (1900, Lost), (9000, Leased), (9000, InForce(2))]),
+fn follower_does_not_act_on_a_revision_without_a_lease() {
+    // Follower 1 is cut off: its lease expires at 1900 ms, and at 9000 ms one response brings a lease and revision 2.
+    let timelines = [
+        timeline(&[(0, LeaseAcquired), (0, InForce(1)), (800, InForce(2))]),
+        timeline(&[
+            (0, LeaseAcquired),
+            (0, InForce(1)),
+            (1900, LeaseExpired),
+            (9000, LeaseAcquired),
+            (9000, InForce(2)),
+        ]),
     ];
-    assert_eq!(longest_contradiction(&spans(tracks.iter().enumerate(), 10_000_000)), (1, 1_100_000));
-    assert_eq!(tracks[1].number(), 2);
-    // News without a lease is not acted on.
-    let told = track(&[(0, Leased), (0, InForce(1)), (1900, Lost), (3000, InForce(2))]);
-    assert_eq!((told.number(), spans([told].iter().enumerate(), 4_000_000).len()), (0, 1));
+    assert_eq!(longest_conflict(&revision_spans(timelines.iter().enumerate(), 10_000_000)), (1, 1_100_000));
+    assert_eq!(timelines[1].active_revision(), 2);
+    // A revision that comes into force without a lease is not acted on.
+    let without_lease =
+        timeline(&[(0, LeaseAcquired), (0, InForce(1)), (1900, LeaseExpired), (3000, InForce(2))]);
+    assert_eq!(
+        (
+            without_lease.active_revision(),
+            revision_spans([without_lease].iter().enumerate(), 4_000_000).len()
+        ),
+        (0, 1)
+    );
 }
 
 #[test]
-fn what_a_life_acted_on_ends_with_it() {
-    let mut over = track(&[(0, Leased), (0, InForce(1))]);
-    over.ends(500_000);
-    assert_eq!(spans([over].iter().enumerate(), 4_000_000)[&1].last_us, 500_000);
+fn active_period_ends_when_the_follower_stops() {
+    let mut stopped = timeline(&[(0, LeaseAcquired), (0, InForce(1))]);
+    stopped.record_stopped(500_000);
+    assert_eq!(revision_spans([stopped].iter().enumerate(), 4_000_000)[&1].last_us, 500_000);
 }
 
 #[test]
-fn a_drain_that_is_not_obeyed_is_caught() {
-    let mut evidence = sound();
-    evidence.drains[0].still = 1;
-    assert_eq!(broken(&evidence), [Promise::Drains]);
+fn follower_that_sends_to_a_drained_host_violates_drains() {
+    let mut evidence = evidence_without_violations();
+    evidence.drains[0].still_sending = 1;
+    assert_eq!(violated(&evidence), [Invariant::Drains]);
 }
 
 #[test]
-fn a_loss_is_caught_at_the_origin_and_behind_it() {
-    assert_eq!(broken(&Evidence { origin_keeps_all: false, ..sound() }), [Promise::NothingLost]);
-    assert_eq!(broken(&Evidence { distributors_keep_all: false, ..sound() }), [Promise::NothingLost]);
+fn lost_change_at_the_origin_or_a_distributor_violates_nothing_lost() {
+    assert_eq!(
+        violated(&Evidence { origin_has_all_changes: false, ..evidence_without_violations() }),
+        [Invariant::NothingLost]
+    );
+    assert_eq!(
+        violated(&Evidence { distributors_have_all_changes: false, ..evidence_without_violations() }),
+        [Invariant::NothingLost]
+    );
 }
 
 #[test]
-fn a_process_that_ends_by_itself_is_caught() {
-    assert_eq!(broken(&Evidence { ended: vec!["hollows-0".into()], ..sound() }), [Promise::Alive]);
+fn process_that_exits_early_violates_alive() {
+    assert_eq!(
+        violated(&Evidence { exited_processes: vec!["hollows-0".into()], ..evidence_without_violations() }),
+        [Invariant::Alive]
+    );
 }
 
 #[test]
-fn times_count_those_who_lived_through_it() {
-    let mut late = Track::begins(700_000);
-    late.leased(900_000);
-    late.in_force(900_000, 2);
-    let tracks = [
-        track(&[(0, Leased), (0, InForce(1)), (800, InForce(2))]),
-        track(&[(0, Leased), (0, InForce(1))]),
+fn propagation_times_count_only_followers_running_at_the_proposal() {
+    let mut late = Timeline::starting_at(700_000);
+    late.record_lease_acquired(900_000);
+    late.record_in_force(900_000, 2);
+    let timelines = [
+        timeline(&[(0, LeaseAcquired), (0, InForce(1)), (800, InForce(2))]),
+        timeline(&[(0, LeaseAcquired), (0, InForce(1))]),
         late,
     ];
-    let mut reached = Reached::default();
-    tracks.iter().for_each(|track| reached.take(track, &[(2, 500_000)]));
-    assert_eq!((reached.times.count(), reached.missing), (1, 1));
-    assert!((reached.times.longest_ms() - 300.0).abs() < 1.0);
+    let mut propagation = PropagationTimes::default();
+    timelines.iter().for_each(|timeline| propagation.record(timeline, &[(2, 500_000)]));
+    assert_eq!((propagation.times.count(), propagation.missing), (1, 1));
+    assert!((propagation.times.max_ms() - 300.0).abs() < 1.0);
 }
--- a/scale-tests/tests/options.rs
+++ b/scale-tests/tests/options.rs
@@ -1,4 +1,4 @@
-//! What a run is told: defaults, steps, and faults of the command line by name.
+//! Command-line options: defaults, steps, fault names, and rejected values.
 use clap::Parser;
 use ternstack_scale_tests::faults::Fault;
 use ternstack_scale_tests::options::{Options, Plan};
@@ -9,25 +9,25 @@
     options: Options,
 }
 
-fn plans(line: &str) -> Result<Vec<Plan>, String> {
-    let words = std::iter::once("scale").chain(line.split_whitespace());
-    Cli::try_parse_from(words).map_err(|e| e.to_string())?.options.plans()
+fn parse_plans(arguments: &str) -> Result<Vec<Plan>, String> {
+    let arguments = std::iter::once("scale").chain(arguments.split_whitespace());
+    Cli::try_parse_from(arguments).map_err(|e| e.to_string())?.options.plans()
 }
 
 #[test]
-fn without_flags_it_is_the_full_size() -> Result<(), String> {
-    let plan = &plans("")?[0];
+fn plan_has_full_size_without_options() -> Result<(), String> {
+    let plan = &parse_plans("")?[0];
     let size = plan.size;
     assert_eq!((size.gateways, size.hosts, size.services), (8900, 200_000, 3700));
     assert_eq!((size.routes, size.tenants, size.regions, size.zones), (41_000, 670_000, 6, 15));
-    assert_eq!((plan.distributors, plan.hollow_processes()), (30, 10));
+    assert_eq!((plan.distributors, plan.hollow_workers()), (30, 10));
     assert!((plan.host_changes_per_s - 2.156).abs() < 0.01);
     Ok(())
 }
 
 #[test]
-fn steps_keep_the_proportion_and_the_changes() -> Result<(), String> {
-    let plans = plans("--steps 89,890,8900")?;
+fn steps_scale_the_installation_and_keep_the_rates_of_changes() -> Result<(), String> {
+    let plans = parse_plans("--steps 89,890,8900")?;
     let sizes: Vec<_> = plans.iter().map(|p| (p.size.gateways, p.size.hosts, p.size.services)).collect();
     assert_eq!(sizes, [(89, 2000, 37), (890, 20_000, 370), (8900, 200_000, 3700)]);
     assert!(plans
@@ -38,17 +38,17 @@
 }
 
 #[test]
-fn faults_go_by_name() -> Result<(), String> {
-    assert_eq!(plans("--fault all")?[0].faults, Fault::ALL);
+fn faults_are_selected_by_name() -> Result<(), String> {
+    assert_eq!(parse_plans("--fault all")?[0].faults, Fault::ALL);
     for fault in Fault::ALL {
-        assert_eq!(plans(&format!("--fault {}", fault.name()))?[0].faults, [fault]);
+        assert_eq!(parse_plans(&format!("--fault {}", fault.name()))?[0].faults, [fault]);
     }
     Ok(())
 }
 
 #[test]
-fn what_is_wrong_is_named() {
-    for (line, name) in [
+fn invalid_options_are_rejected_with_the_flag_or_value_at_fault() {
+    for (arguments, expected) in [
         ("--gateways many", "--gateways"),
         ("--gatways 9", "--gatways"),
         ("--gateways 0", "--gateways"),
@@ -63,7 +63,10 @@
         ("--distributors 0", "--distributors"),
         ("--steps 1,2 --host-steps 3", "--host-steps"),
     ] {
-        let why = plans(line).err().unwrap_or_default();
-        assert!(why.contains(name), "{line}: {why}");
+        let error = parse_plans(arguments).err().unwrap_or_default();
+        assert!(
+            error.contains(expected),
+            "{arguments}: expected an error that names {expected}, got {error:?}"
+        );
     }
 }
