--- a/scale-tests/src/command.rs
+++ b/scale-tests/src/command.rs
@@ -1,4 +1,5 @@
-//! The `scale` subcommand: executes the plans that the options describe, one after another, and writes the results.
+//! The `scale` subcommand: executes the plans that the options describe, one after another, and writes the
+//! results.
 use crate::options::Options;
 use crate::report;
 use crate::run::{execute, LaunchCommands, Outcome};
--- a/scale-tests/src/faults.rs
+++ b/scale-tests/src/faults.rs
@@ -9,9 +9,11 @@
     Kill,
     /// Stops a distributor with SIGSTOP, and resumes the distributor when the fault ends.
     Stop,
-    /// Stalls the link between the first hollow gateway and its distributor: the gateway's messages don't arrive.
+    /// Stalls the link between the first hollow gateway and its distributor: the gateway's messages don't
+    /// arrive.
     CutThere,
-    /// Stalls the link between the first hollow gateway and its distributor: the distributor's messages don't arrive.
+    /// Stalls the link between the first hollow gateway and its distributor: the distributor's messages don't
+    /// arrive.
     CutBack,
     /// Stalls the link between a distributor and the origin: the distributor's messages don't arrive.
     DistributorCutThere,
--- a/scale-tests/src/fleet.rs
+++ b/scale-tests/src/fleet.rs
@@ -1,5 +1,5 @@
-//! All processes of a run: the origin, the distributors and the workers of hollow gateways, with the links between them
-//! that faults are injected into.
+//! All processes of a run: the origin, the distributors and the workers of hollow gateways, with the links
+//! between them that faults are injected into.
 use crate::installation::Installation;
 use crate::options::Plan;
 use crate::timeline::RevisionSpan;
@@ -43,7 +43,8 @@
     pub everything: Option<WorkerProcess>,
     /// The links from the distributors to the origin, by the distributor's number.
     pub origin_links: Vec<Link>,
-    /// The links from the first hollow gateway to the distributors that the gateway may connect to, in order of preference.
+    /// The links from the first hollow gateway to the distributors that the gateway may connect to, in order
+    /// of preference.
     pub first_gateway_links: Vec<Link>,
 }
 
@@ -95,7 +96,8 @@
             let process = fleet.start_distributor(number, ANY_PORT).await?;
             fleet.distributors.push(process);
         }
-        // Only the first hollow gateway connects to its distributors over links, so that a fault can hit one gateway alone.
+        // Only the first hollow gateway connects to its distributors over links, so that a fault can hit one
+        // gateway alone.
         let (distributors, order) = fleet.distributors_for_gateway(installation, 0);
         for index in order {
             fleet.first_gateway_links.push(
@@ -113,15 +115,15 @@
         WorkerProcess::start(&self.launch, &name, &WorkerSpec { fleet: self.spec.clone(), role }).await
     }
 
-    /// Starts a distributor that was killed again, on the address it listened on before.
+    /// Restarts a killed distributor on the address that the distributor listened on before.
     pub async fn restart_distributor(&mut self, number: usize) -> Result<(), String> {
         let process = self.start_distributor(number, self.distributors[number].address).await?;
         self.distributors[number] = process;
         Ok(())
     }
 
-    /// Returns the distributors that gateways of a region may connect to: the region's own ones, or all distributors if the
-    /// region has fewer than two.
+    /// Returns the distributors that gateways of a region may connect to: the region's own ones, or all
+    /// distributors if the region has fewer than two.
     fn distributors_for_region(&self, installation: &Installation, region: usize) -> Vec<DistributorAddress> {
         let region_of = |number: usize| installation.region_of(installation.zone_of(number));
         let mut numbers: Vec<usize> =
@@ -138,8 +140,8 @@
         numbers.into_iter().map(distributor).collect()
     }
 
-    /// Returns the distributors that a hollow gateway may connect to, and the gateway's order of preference as indexes into
-    /// them.
+    /// Returns the distributors that a hollow gateway may connect to, and the gateway's order of preference
+    /// as indexes into them.
     fn distributors_for_gateway(
         &self, installation: &Installation, gateway: usize,
     ) -> (Vec<DistributorAddress>, Vec<usize>) {
@@ -162,7 +164,8 @@
     ) -> Result<(), String> {
         let mut distributor_lists: Vec<_> =
             (0..plan.size.regions).map(|r| self.distributors_for_region(installation, r)).collect();
-        // The first hollow gateway has a list of its own: the same distributors, with the addresses of its links.
+        // The first hollow gateway has a list of its own: the same distributors, with the addresses of its
+        // links.
         let (mut distributors, order) = self.distributors_for_gateway(installation, 0);
         for (index, link) in order.iter().zip(&self.first_gateway_links) {
             distributors[*index].address = link.address;
@@ -218,8 +221,8 @@
         Ok(())
     }
 
-    /// Sends a command to all workers of hollow gateways in turn, with or without the followers of everything. Returns the
-    /// replies in the same order.
+    /// Sends a command to all workers of hollow gateways in turn, with or without the followers of
+    /// everything. Returns the replies in the same order.
     pub async fn send_command(
         &mut self, command: &WorkerCommand, include_everything: bool,
     ) -> Result<Vec<WorkerReply>, String> {
@@ -232,8 +235,8 @@
         Ok(replies)
     }
 
-    /// Returns the state of all hollow gateways together, without the followers of everything, and the propagation times of
-    /// `(revision, proposed at, in us)`.
+    /// Returns the state of all hollow gateways together, without the followers of everything, and the
+    /// propagation times of `(revision, proposed at, in us)`.
     pub async fn report(&mut self, proposals: &[(Revision, u64)]) -> Result<WorkerReport, String> {
         let replies = self.send_command(&WorkerCommand::Report(proposals.to_vec()), false).await?;
         let mut all = WorkerReport { min_revision: Revision::MAX, ..WorkerReport::default() };
@@ -256,8 +259,8 @@
         Ok(all)
     }
 
-    /// Returns the state of the followers of everything, as [`Fleet::report`] does for the others; `None` if the fleet has
-    /// none.
+    /// Returns the state of the followers of everything, as [`Fleet::report`] does for the others; `None` if
+    /// the fleet has none.
     pub async fn report_everything(
         &mut self, proposals: &[(Revision, u64)],
     ) -> Result<Option<WorkerReport>, String> {
@@ -296,7 +299,8 @@
         Ok(all)
     }
 
-    /// Returns the number of followers of a host's scope, and how many of them would send new requests to the host.
+    /// Returns the number of followers of a host's scope, and how many of them would send new requests to the
+    /// host.
     pub async fn probe(&mut self, scope: Scope, key: Key) -> Result<(u64, u64), String> {
         let mut all = (0, 0);
         for reply in self.send_command(&WorkerCommand::Probe(scope, key), true).await? {
@@ -340,9 +344,9 @@
     }
 }
 
-/// Writes a snapshot of the whole installation, which the followers of everything start from. These followers follow only
-/// the scopes in the snapshot. A scope without entries is not in the snapshot, but no generated change adds the first entry
-/// of a scope.
+/// Writes a snapshot of the whole installation, which the followers of everything start from. These followers
+/// follow only the scopes in the snapshot. A scope without entries is not in the snapshot, but no generated
+/// change adds the first entry of a scope.
 fn write_full_snapshot(installation: &Installation, file: PathBuf) -> Result<PathBuf, String> {
     let mut tables = Tables::new();
     installation.initial_entries().for_each(|(scope, key, entry)| tables.set(scope, key, 1, Some(entry)));
--- a/scale-tests/src/full_state_cost.rs
+++ b/scale-tests/src/full_state_cost.rs
@@ -1,5 +1,6 @@
 //! Compares the cost of one change for two designs: each version of the configuration holds the full state
-//! ([`ternstack_replication::rules`]), or a revision holds only its changes ([`ternstack_replication::scope`]).
+//! ([`ternstack_replication::rules`]), or a revision holds only its changes
+//! ([`ternstack_replication::scope`]).
 use crate::installation::Installation;
 use serde::{Deserialize, Serialize};
 use std::time::Instant;
--- a/scale-tests/src/histogram.rs
+++ b/scale-tests/src/histogram.rs
@@ -37,8 +37,8 @@
         self.0.len()
     }
 
-    /// Returns the duration, in ms, that a share (0 to 1) of the recorded durations doesn't exceed; 0 for an empty
-    /// histogram.
+    /// Returns the duration, in ms, that a share (0 to 1) of the recorded durations doesn't exceed; 0 for an
+    /// empty histogram.
     pub fn quantile_ms(&self, share: f64) -> f64 {
         self.0.value_at_quantile(share) as f64 / 1e3
     }
--- a/scale-tests/src/installation.rs
+++ b/scale-tests/src/installation.rs
@@ -1,4 +1,5 @@
-//! The installation of a run and its changes, generated from a seed: every process that generates them gets the same ones.
+//! The installation of a run and its changes, generated from a seed: every process that generates them gets
+//! the same ones.
 use rand::{Rng, RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use serde::{Deserialize, Serialize};
@@ -118,8 +119,8 @@
         (scope, Key::of(&format!("host-{host}")), entry)
     }
 
-    /// Returns the number of reserved hosts, which are the first ones by number. [`ChangeStream`] doesn't change them, so
-    /// that a run can drain one and observe the effect of the drain alone.
+    /// Returns the number of reserved hosts, which are the first ones by number. [`ChangeStream`] doesn't
+    /// change them, so that a run can drain one and observe the effect of the drain alone.
     pub fn reserved_hosts(&self) -> u32 {
         MAX_RESERVED_HOSTS.min(self.size.hosts as u32 / 2).max(1)
     }
@@ -154,8 +155,8 @@
         hosts.chain(routes).chain(tenants).chain(zones).chain(fleet)
     }
 
-    /// Returns the zone of a gateway or a distributor, given by its number. Members of each role are assigned to zones
-    /// round-robin.
+    /// Returns the zone of a gateway or a distributor, given by its number. Members of each role are assigned
+    /// to zones round-robin.
     pub fn zone_of(&self, member: usize) -> usize {
         member % self.size.zones
     }
@@ -165,9 +166,9 @@
         zone % self.size.regions
     }
 
-    /// Returns the scopes that a gateway follows, highest priority first: hosts and routes of `services` services, chosen
-    /// at random in proportion to their shares, and `shards` shards of tenants. If fewer services or shards exist, the
-    /// gateway follows all of them.
+    /// Returns the scopes that a gateway follows, highest priority first: hosts and routes of `services`
+    /// services, chosen at random in proportion to their shares, and `shards` shards of tenants. If fewer
+    /// services or shards exist, the gateway follows all of them.
     pub fn followed_scopes(&self, gateway: usize, services: usize, shards: usize) -> Vec<Scope> {
         let mut rng = ChaCha8Rng::seed_from_u64(self.size.seed ^ (gateway as u64 + 1) << 20);
         let mut scopes = Vec::new();
@@ -230,8 +231,8 @@
         }
     }
 
-    /// Returns the next change of configuration: 60 % change a tenant's quota, 30 % a route, and 10 % the retry policy of a
-    /// class in the whole fleet.
+    /// Returns the next change of configuration: 60 % change a tenant's quota, 30 % a route, and 10 % the
+    /// retry policy of a class in the whole fleet.
     pub fn next_configuration_change(&mut self) -> Change {
         let retry_policy = RetryPolicy::Within(self.rng.random_range(100..10_000));
         match self.rng.random_range(0..10) {
--- a/scale-tests/src/invariants.rs
+++ b/scale-tests/src/invariants.rs
@@ -1,5 +1,5 @@
-//! Checks the invariants of a run against evidence collected from the outside: the checks use only what the processes
-//! reported, and none of the code that distributes changes.
+//! Checks the invariants of a run against evidence collected from the outside: the checks use only what the
+//! processes reported, and none of the code that distributes changes.
 use crate::timeline::RevisionSpan;
 use serde::Serialize;
 use std::collections::BTreeMap;
@@ -35,7 +35,8 @@
     pub expected_digests: BTreeMap<Scope, Digest>,
     /// The digests that followers have at the end.
     pub held: Vec<HeldScope>,
-    /// Number of followers, and number of those that have all their scopes at the origin's revision at the end.
+    /// Number of followers, and number of those that have all their scopes at the origin's revision at the
+    /// end.
     pub followers: (u64, u64),
     /// When any follower acted on each revision.
     pub spans: BTreeMap<Revision, RevisionSpan>,
@@ -80,8 +81,8 @@
     pub description: String,
 }
 
-/// Returns the longest conflict as the earlier revision and a time in us: from the first action on any later revision to
-/// the last action on the earlier one. Both are 0 if no two revisions overlap.
+/// Returns the longest conflict as the earlier revision and a time in us: from the first action on any later
+/// revision to the last action on the earlier one. Both are 0 if no two revisions overlap.
 pub fn longest_conflict(spans: &BTreeMap<Revision, RevisionSpan>) -> (Revision, u64) {
     let mut longest = (0, 0);
     let mut first_later_us = u64::MAX;
--- a/scale-tests/src/options.rs
+++ b/scale-tests/src/options.rs
@@ -70,14 +70,15 @@
     /// Seed of the installation and of its changes.
     #[arg(long, default_value_t = 1)]
     pub seed: u64,
-    /// One run for each of these numbers of gateways, with hosts, services, routes and tenants in proportion and the same
-    /// rates of changes.
+    /// One run for each of these numbers of gateways, with hosts, services, routes and tenants in proportion
+    /// and the same rates of changes.
     #[arg(long, value_delimiter = ',', value_name = "N,N,...")]
     pub steps: Vec<usize>,
     /// One run for each of these numbers of hosts; all other options stay the same.
     #[arg(long, value_delimiter = ',', value_name = "N,N,...")]
     pub host_steps: Vec<usize>,
-    /// Also run two real gateways with upstream servers and load: one follows the control servers, the other doesn't.
+    /// Also run two real gateways with upstream servers and load: one follows the control servers, the other
+    /// doesn't.
     #[arg(long)]
     pub real: bool,
     /// Don't measure the cost of a change when a version is the full state.
@@ -240,8 +241,8 @@
     /// Checks that the plan can be executed.
     ///
     /// # Errors
-    /// A value that is out of range, or a plan that needs more processes or file descriptors than allowed; the message names
-    /// the flag.
+    /// A value that is out of range, or a plan that needs more processes or file descriptors than allowed;
+    /// the message names the flag.
     pub fn validate(&self) -> Result<(), String> {
         crate::installation::Installation::generate(self.size)?;
         for (name, rate) in
@@ -269,7 +270,8 @@
         let descriptors = self.per_process.max(self.size.gateways.div_ceil(self.distributors) * 3) * 2 + 100;
         if descriptors as u64 > limit {
             return Err(format!(
-                "--per-process, --distributors: {descriptors} file descriptors in a process, expected at most {limit}"
+                "--per-process, --distributors: {descriptors} file descriptors in a process, \
+                 expected at most {limit}"
             ));
         }
         Ok(())
--- a/scale-tests/src/phase_result.rs
+++ b/scale-tests/src/phase_result.rs
@@ -1,4 +1,5 @@
-//! The results of a phase: what the members of each role used between two samples, and how fast changes came into force.
+//! The results of a phase: what the members of each role used between two samples, and how fast changes came
+//! into force.
 use crate::fleet::{fetch_status, Fleet};
 use crate::options::Plan;
 use crate::timeline::PropagationTimes;
@@ -43,8 +44,8 @@
     /// Number of revisions proposed during the phase.
     #[serde(rename = "versions")]
     pub revisions: usize,
-    /// Time from the proposal of a change until the change was in force at a gateway, in ms: median, 99th percentile and
-    /// maximum.
+    /// Time from the proposal of a change until the change was in force at a gateway, in ms: median, 99th
+    /// percentile and maximum.
     pub in_force_ms: [f64; 3],
     /// Histogram of the times from proposal to in force: `(ms, count)`.
     #[serde(rename = "in_force")]
@@ -53,16 +54,16 @@
     pub missing: u64,
     /// Time from the end of the phase until all gateways had the last revision and all their scopes, in ms.
     pub settled_ms: f64,
-    /// Time from the start of a restarted gateway until all its scopes were there, in ms: median and 90th percentile.
-    /// `None` for phases that restart no gateways.
+    /// Time from the start of a restarted gateway until all its scopes were there, in ms: median and 90th
+    /// percentile. `None` for phases that restart no gateways.
     pub ready_ms: Option<(f64, f64)>,
     /// Usage of a hollow gateway.
     pub gateway: MemberUsage,
     /// Bytes of replicated state in a hollow gateway, by the gateway's own count.
     #[serde(rename = "gateway_state")]
     pub gateway_state_bytes: f64,
-    /// Increase of the bytes read by the gateway that has read most, in bytes a second. For the first phase, the increase
-    /// is counted from the start of the gateways.
+    /// Increase of the bytes read by the gateway that has read most, in bytes a second. For the first phase,
+    /// the increase is counted from the start of the gateways.
     #[serde(rename = "most_bytes_per_s")]
     pub max_bytes_per_s: f64,
     /// Usage of a follower of everything, including its process; `None` if the fleet has none.
--- a/scale-tests/src/proposer.rs
+++ b/scale-tests/src/proposer.rs
@@ -16,8 +16,8 @@
 /// The proposals of a [`Proposer`] and their results.
 #[derive(Debug, Default)]
 pub struct ProposalLog {
-    /// The accepted proposals in order: the revision that a proposal is part of, and when it was proposed, in us of the
-    /// monotonic clock.
+    /// The accepted proposals in order: the revision that a proposal is part of, and the time of the proposal
+    /// in us of the monotonic clock.
     pub accepted: Vec<(Revision, u64)>,
     /// The last accepted entry of each changed key; `None` for a removed key.
     pub changed_entries: BTreeMap<(Scope, Key), Option<Entry>>,
@@ -26,7 +26,8 @@
     pending: VecDeque<(u64, u64, Vec<Change>)>, // Proposal id, when proposed in us, changes.
 }
 
-/// Proposes changes to the origin over one connection. The connection is opened again if the origin has closed it as idle.
+/// Proposes changes to the origin over one connection. The connection is opened again if the origin has
+/// closed it as idle.
 #[derive(Debug)]
 pub struct Proposer {
     origin: SocketAddr,
@@ -88,7 +89,8 @@
         Ok(())
     }
 
-    /// Moves the results of another proposer's proposals into this log. The other proposer must have changed other entries.
+    /// Moves the results of another proposer's proposals into this log. The other proposer must have changed
+    /// other entries.
     pub fn take_results_of(&self, other: &mut Proposer) {
         let mut other_log = other.log();
         let mut own_log = self.log();
@@ -133,7 +135,8 @@
         }
     }
 
-    /// Returns the digest that each scope must have: the initial installation with all accepted changes applied.
+    /// Returns the digest that each scope must have: the initial installation with all accepted changes
+    /// applied.
     pub fn expected_digests(&self, installation: &Installation) -> BTreeMap<Scope, Digest> {
         let mut digests: BTreeMap<Scope, Digest> = BTreeMap::new();
         let mut add = |scope, key, entry: &Entry| digests.entry(scope).or_default().add(scope, key, entry);
@@ -153,7 +156,8 @@
 
 async fn read_answers(mut read: OwnedReadHalf, log: Arc<Mutex<ProposalLog>>) {
     let mut buffer = Vec::new();
-    // Returns when the connection closes. Unanswered proposals stay pending, and `wait_for_answers` reports them.
+    // Returns when the connection closes. Unanswered proposals stay pending, and `wait_for_answers` reports
+    // them.
     while read.read_buf(&mut buffer).await.is_ok_and(|n| n > 0) {
         while let Ok(Some((message, used))) = decode(&buffer) {
             buffer.drain(..used);
--- a/scale-tests/src/real_gateways.rs
+++ b/scale-tests/src/real_gateways.rs
@@ -1,6 +1,6 @@
-//! Two real gateways beside a fleet, each with upstream servers and load of its own: one follows the fleet's control
-//! servers, the other runs without control. Both are measured at the same time, so that other work on the machine affects
-//! both alike.
+//! Two real gateways beside a fleet, each with upstream servers and load of its own: one follows the fleet's
+//! control servers, the other runs without control. Both are measured at the same time, so that other work on
+//! the machine affects both alike.
 use crate::fleet::{region_name, zone_name, Fleet};
 use crate::histogram::DurationHistogram;
 use crate::installation::Installation;
@@ -135,8 +135,8 @@
         Change { scope, key, entry: Some(Entry::Host(host)) }
     }
 
-    /// Sends load to both gateways for `length`. With `server_changes`, that proposer also changes the weight of one server
-    /// every 500 ms, in addition to the fleet's other changes.
+    /// Sends load to both gateways for `length`. With `server_changes`, that proposer also changes the weight
+    /// of one server every 500 ms, in addition to the fleet's other changes.
     pub async fn run_phase(
         &self, phase: &str, length: Duration, server_changes: Option<&mut Proposer>,
     ) -> Result<Vec<ClientResults>, String> {
@@ -195,8 +195,8 @@
         Ok(results)
     }
 
-    /// Drains server 0 of the gateway with control. Returns the number of requests that arrived at the drained server after
-    /// `bound`, and the number that arrived at all servers in the same time.
+    /// Drains server 0 of the gateway with control. Returns the number of requests that arrived at the
+    /// drained server after `bound`, and the number that arrived at all servers in the same time.
     pub async fn drain(&self, proposer: &mut Proposer, bound: Duration) -> Result<(u64, u64), String> {
         let count_arrivals = |events: Vec<ternstack_fault_tests::history::Event>| {
             let hosts = events.into_iter().filter_map(|e| match e.kind {
--- a/scale-tests/src/report.rs
+++ b/scale-tests/src/report.rs
@@ -12,7 +12,8 @@
 /// A metric that is plotted against the size of the fleet: its label, and how to read it from an outcome.
 type SlopeMetric = (&'static str, fn(&Outcome) -> f64);
 
-/// The metrics that are plotted against the size of the fleet. All but the origin's CPU time should stay flat.
+/// The metrics that are plotted against the size of the fleet. All but the origin's CPU time should stay
+/// flat.
 const SLOPE_METRICS: [SlopeMetric; 9] = [
     ("gateway: bytes a second in and out, quiet", |o| total_bytes_per_s(&phase_result(o, "quiet").gateway)),
     ("gateway: bytes a second in and out, changes", |o| {
@@ -84,8 +85,8 @@
     let start = &outcome.start;
     let _ = writeln!(
         text,
-        "start: distributors whole after {:.0} ms; {} of {} gateways whole, half after {:.0} ms, nine in ten after {:.0} \
-         ms, the last after {:.0} ms; {} of {} followers of everything whole\n",
+        "start: distributors complete after {:.0} ms; {} of {} gateways complete, half after {:.0} ms, nine in ten after \
+         {:.0} ms, the last after {:.0} ms; {} of {} followers of everything complete\n",
         start.distributors_ms,
         start.complete,
         start.gateways,
@@ -143,7 +144,8 @@
     let (longest_ms, max_ms) = outcome.conflict_ms;
     let _ = writeln!(
         text,
-        "\n{} proposals accepted; two followers acted on different revisions for at most {longest_ms:.0} ms, allowed {max_ms:.0} ms",
+        "\n{} proposals accepted; two followers acted on different revisions for at most {longest_ms:.0} \
+         ms, allowed {max_ms:.0} ms",
         outcome.accepted
     );
     for drain in &outcome.drains {
@@ -292,8 +294,8 @@
     markdown_table(&headers, &rows)
 }
 
-/// Renders the slope metrics over runs of several sizes as a Markdown table; empty for a single run. `size` is the size that
-/// differs between the runs: its label, and how to read it from an outcome.
+/// Renders the slope metrics over runs of several sizes as a Markdown table; empty for a single run. `size`
+/// is the size that differs between the runs: its label, and how to read it from an outcome.
 pub fn slope_table(outcomes: &[Outcome], size: (&str, fn(&Outcome) -> f64)) -> String {
     if outcomes.len() < 2 {
         return String::new();
--- a/scale-tests/src/run.rs
+++ b/scale-tests/src/run.rs
@@ -1,5 +1,5 @@
-//! Executes a plan: starts the fleet, plays its phases (quiet, changes, ten times the changes, faults), measures each phase,
-//! and checks the invariants at the end.
+//! Executes a plan: starts the fleet, plays its phases (quiet, changes, ten times the changes, faults),
+//! measures each phase, and checks the invariants at the end.
 use crate::faults::Fault;
 use crate::fleet::{fetch_status, Fleet};
 use crate::full_state_cost::{self, FullStateCost};
@@ -27,11 +27,11 @@
 const CHANGES_AFTER_FAULT: Duration = Duration::from_secs(2);
 /// The time for all distributors to get the origin's state, after which the run fails.
 const DISTRIBUTOR_SYNC_TIMEOUT: Duration = Duration::from_secs(300);
-/// The time for all gateways to get their scopes at the start. The run continues afterwards, and the report shows how many
-/// gateways lack scopes.
+/// The time for all gateways to get their scopes at the start. The run continues afterwards, and the report
+/// shows how many gateways lack scopes.
 const GATEWAY_START_TIMEOUT: Duration = Duration::from_secs(180);
-/// The time after changes for all gateways to get the last revision. The run continues afterwards; gateways that still lack
-/// the last revision at the end of the run violate an invariant.
+/// The time after changes for all gateways to get the last revision. The run continues afterwards; gateways
+/// that still lack the last revision at the end of the run violate an invariant.
 const SETTLE_TIMEOUT: Duration = Duration::from_secs(120);
 
 /// How the fleet started.
@@ -66,8 +66,8 @@
     /// Number of probed followers that still sent new requests to the host.
     #[serde(rename = "still")]
     pub still_sending: u64,
-    /// Whether the invariants are checked for this drain. Drains while a region is cut off are not checked, because the
-    /// region's gateways can't learn of the drain.
+    /// Whether the invariants are checked for this drain. Drains while a region is cut off are not checked,
+    /// because the region's gateways can't learn of the drain.
     pub judged: bool,
 }
 
@@ -93,8 +93,8 @@
     pub full_state_cost: Option<FullStateCost>,
     /// What the clients of the real gateways observed; empty for a run without real gateways.
     pub real: Vec<ClientResults>,
-    /// For the real gateway that follows the control servers: requests to a drained server after the bound on a drain, and
-    /// requests to all servers in the same time.
+    /// For the real gateway that follows the control servers: requests to a drained server after the bound on
+    /// a drain, and requests to all servers in the same time.
     pub real_drain: Option<(u64, u64)>,
     /// The violated invariants; empty for a run that passes.
     #[serde(rename = "offences")]
@@ -274,8 +274,8 @@
         Ok(())
     }
 
-    /// Waits until all followers have the last revision and all their scopes, or the timeout passes. Returns the time that
-    /// this took, in ms, and the last report.
+    /// Waits until all followers have the last revision and all their scopes, or the timeout passes. Returns
+    /// the time that this took, in ms, and the last report.
     async fn wait_until_settled(&mut self) -> Result<(f64, WorkerReport), String> {
         let start = Instant::now();
         self.proposer.wait_for_answers().await?;
@@ -303,7 +303,8 @@
         Ok(result)
     }
 
-    /// Runs a phase of changes at `factor` times the plan's rate of configuration changes, with a drain from its beginning.
+    /// Runs a phase of changes at `factor` times the plan's rate of configuration changes, with a drain from
+    /// its beginning.
     async fn run_changes(&mut self, name: &str, factor: f64) -> Result<PhaseResult, String> {
         let (begin, from_us) = (self.sample().await?, now_us());
         let end = Instant::now() + Duration::from_secs(self.plan.seconds);
@@ -397,8 +398,8 @@
         self.proposer.propose(vec![Change { scope: Scope::Zones, key: Key::from_number(0), entry }]).await
     }
 
-    /// Runs a phase with a fault: changes continue during and after the fault, a host is drained shortly after its beginning,
-    /// and the phase ends when all followers have settled.
+    /// Runs a phase with a fault: changes continue during and after the fault, a host is drained shortly
+    /// after its beginning, and the phase ends when all followers have settled.
     async fn run_fault(&mut self, fault: Fault) -> Result<PhaseResult, String> {
         let (begin, from_us, start) = (self.sample().await?, now_us(), Instant::now());
         let duration = Duration::from_secs_f64(fault.duration_s());
@@ -442,7 +443,8 @@
         Ok(result)
     }
 
-    /// Runs two real gateways beside the fleet: a quiet phase, a phase with ten times the changes, and a drain.
+    /// Runs two real gateways beside the fleet: a quiet phase, a phase with ten times the changes, and a
+    /// drain.
     async fn run_real_gateways(
         &mut self, gateway: &Launch, report_progress: &dyn Fn(String),
     ) -> Result<RealGatewayResults, String> {
--- a/scale-tests/src/timeline.rs
+++ b/scale-tests/src/timeline.rs
@@ -4,7 +4,8 @@
 use std::collections::BTreeMap;
 use ternstack_replication::scope::Revision;
 
-/// A period during which a follower acted on one revision: the revision was in force and the follower held a lease.
+/// A period during which a follower acted on one revision: the revision was in force and the follower held a
+/// lease.
 #[derive(Clone, Copy, Debug, PartialEq)]
 struct ActivePeriod {
     revision: Revision,
@@ -72,7 +73,8 @@
     /// Records that the follower's lease expired.
     pub fn record_lease_expired(&mut self, at_us: u64) {
         if let Some(from_us) = self.active_since_us.take() {
-            // A follower that gets a lease and a later revision in one response has never acted on the earlier revision.
+            // A follower that gets a lease and a later revision in one response has never acted on the
+            // earlier revision.
             if self.revision_in_force > 0 && at_us > from_us {
                 self.past_periods.push(ActivePeriod {
                     revision: self.revision_in_force,
@@ -138,8 +140,8 @@
     }
 }
 
-/// Returns the span of each revision over all given timelines. Each timeline comes with the number of its gateway; a
-/// period that still lasts ends at `now_us`.
+/// Returns the span of each revision over all given timelines. Each timeline comes with the number of its
+/// gateway; a period that still lasts ends at `now_us`.
 pub fn revision_spans<'a>(
     timelines: impl Iterator<Item = (usize, &'a Timeline)>, now_us: u64,
 ) -> BTreeMap<Revision, RevisionSpan> {
@@ -151,8 +153,8 @@
     spans
 }
 
-/// Times from the proposal of a revision until the revision is in force at a follower. Only followers that were already
-/// running when the revision was proposed are counted.
+/// Times from the proposal of a revision until the revision is in force at a follower. Only followers that
+/// were already running when the revision was proposed are counted.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct PropagationTimes {
     /// The times, in us.
@@ -162,7 +164,8 @@
 }
 
 impl PropagationTimes {
-    /// Adds the propagation times of `(revision, proposed at, in us)` to one incarnation of a follower.
+    /// Records how long revisions, given as `(revision, proposed at, in us)`, took to reach one incarnation of
+    /// a follower.
     pub fn record(&mut self, timeline: &Timeline, proposals: &[(Revision, u64)]) {
         for (revision, proposed_us) in proposals {
             if timeline.started_us > *proposed_us {
--- a/scale-tests/src/traffic.rs
+++ b/scale-tests/src/traffic.rs
@@ -49,8 +49,8 @@
         self.combine(other, |a, b| a + b)
     }
 
-    /// Returns the increase since an earlier reading. A process restarted in between counts from 0 again, so a decrease is
-    /// taken as 0.
+    /// Returns the increase since an earlier reading. A process restarted in between counts from 0 again, so
+    /// a decrease is taken as 0.
     pub fn since(&self, before: &Traffic) -> Traffic {
         self.combine(before, |a, b| (a - b).max(0.0))
     }
--- a/scale-tests/src/usage.rs
+++ b/scale-tests/src/usage.rs
@@ -7,7 +7,8 @@
 /// The size of a memory page in bytes: `/proc` gives resident memory in pages.
 const PAGE_BYTES: u64 = 4096;
 
-/// Returns the monotonic clock in us. All processes of a machine share this clock, so their times can be compared.
+/// Returns the monotonic clock in us. All processes of a machine share this clock, so their times can be
+/// compared.
 pub fn now_us() -> u64 {
     let now = clock_gettime(ClockId::Monotonic);
     now.tv_sec as u64 * 1_000_000 + now.tv_nsec as u64 / 1000
--- a/scale-tests/src/worker.rs
+++ b/scale-tests/src/worker.rs
@@ -38,8 +38,8 @@
     }
 }
 
-/// Runs a worker process until its standard input closes. The process also exits with its parent, so that no worker
-/// outlives the run.
+/// Runs a worker process until its standard input closes. The process also exits with its parent, so that no
+/// worker outlives the run.
 pub fn run_worker() -> ExitCode {
     let result = if ternstack_fault_tests::process::exit_with_parent() {
         serve_commands()
@@ -64,7 +64,8 @@
     let spec: WorkerSpec =
         serde_json::from_str(&line).map_err(|e| format!("invalid worker specification: {e}"))?;
     let (command_sender, mut commands) = mpsc::channel::<WorkerCommand>(1);
-    // Standard input is read on a thread of its own, so that a blocking read doesn't stall the single-threaded runtime.
+    // Standard input is read on a thread of its own, so that a blocking read doesn't stall the
+    // single-threaded runtime.
     std::thread::spawn(move || {
         for line in std::io::stdin().lock().lines().map_while(Result::ok) {
             let Ok(command) = serde_json::from_str(&line) else { return };
@@ -93,8 +94,8 @@
     out.write_all(&line).and_then(|()| out.flush()).map_err(|e| format!("cannot write a reply: {e}"))
 }
 
-/// Starts the worker's role and replies that the worker has started. Returns the worker's hollow gateways; there are none
-/// for the origin and for distributors.
+/// Starts the worker's role and replies that the worker has started. Returns the worker's hollow gateways;
+/// there are none for the origin and for distributors.
 async fn start_role(spec: &WorkerSpec) -> Result<HollowGateways, String> {
     let bind = |address: SocketAddr| async move {
         tokio::net::TcpListener::bind(address).await.map_err(|e| format!("cannot listen on {address}: {e}"))
@@ -151,8 +152,9 @@
 }
 
 impl IncarnationRecord {
-    /// Records an event of the gateway client. All events of one moment of the client's clock get the same time, because a
-    /// follower that gets a lease and a later revision in one response never acts on the earlier revision.
+    /// Records an event of the gateway client. All events of one moment of the client's clock get the same
+    /// time, because a follower that gets a lease and a later revision in one response never acts on the
+    /// earlier revision.
     fn record_event(&mut self, moment: f64, event: ClientEvent) {
         if self.last_moment.0 != moment {
             self.last_moment = (moment, now_us());
@@ -176,7 +178,8 @@
     }
 }
 
-/// One incarnation of a hollow gateway: the gateway's client of the control servers, and the record of its events.
+/// One incarnation of a hollow gateway: the gateway's client of the control servers, and the record of its
+/// events.
 struct Incarnation {
     client: Arc<GatewayClient>,
     record: Arc<Mutex<IncarnationRecord>>,
@@ -256,8 +259,8 @@
         }
     }
 
-    /// Starts an incarnation of a gateway, either without any state or from a snapshot file. The snapshot comes with the
-    /// followed scopes that it lacks.
+    /// Starts an incarnation of a gateway, either without any state or from a snapshot file. The snapshot
+    /// comes with the followed scopes that it lacks.
     fn start_incarnation(
         &self, gateway: &HollowGateway, distributors: &[DistributorAddress],
         snapshot: Option<(PathBuf, BTreeSet<Scope>)>,
@@ -302,8 +305,8 @@
         Some(Incarnation { client, record, task })
     }
 
-    /// Writes the snapshot of a gateway's state to a file. Returns the file and the followed scopes that the snapshot lacks;
-    /// `None` if the file can't be written.
+    /// Writes the snapshot of a gateway's state to a file. Returns the file and the followed scopes that the
+    /// snapshot lacks; `None` if the file can't be written.
     fn write_snapshot(&self, slot: &GatewaySlot) -> Option<(PathBuf, BTreeSet<Scope>)> {
         let snapshot = slot.incarnation.client.with_core(|core, _| core.snapshot());
         let contained: BTreeSet<Scope> = snapshot.tables.scopes().collect();
@@ -401,8 +404,8 @@
         followers.into_iter().map(|((scope, digest), n)| (scope, digest, n)).collect()
     }
 
-    /// Counts the gateways that have the scope, complete or stale, and those of them that would send new requests to the
-    /// host. A lost zone isn't considered here: a host in a lost zone counts as used.
+    /// Counts the gateways that have the scope, complete or stale, and those of them that would send new
+    /// requests to the host. A lost zone isn't considered here: a host in a lost zone counts as used.
     fn probe(&self, scope: Scope, key: Key) -> WorkerReply {
         let (mut probed, mut still_sending) = (0, 0);
         for slot in &self.slots {
--- a/scale-tests/src/worker_process.rs
+++ b/scale-tests/src/worker_process.rs
@@ -1,6 +1,6 @@
-//! The run's handle of a worker process, and the protocol between both: the run starts its own program again as a worker,
-//! writes one JSON line per command to the worker's standard input, and reads one JSON line as the reply from the worker's
-//! standard output.
+//! The run's handle of a worker process, and the protocol between both: the run starts its own program again
+//! as a worker, writes one JSON line per command to the worker's standard input, and reads one JSON line as
+//! the reply from the worker's standard output.
 use crate::installation::InstallationSize;
 use crate::timeline::{PropagationTimes, RevisionSpan};
 use crate::traffic::Traffic;
@@ -51,7 +51,8 @@
     pub zone: String,
     /// The name of the zone's region.
     pub region: String,
-    /// Index into the lists of distributors of [`WorkerRole::Hollows`]: the distributors that the gateway may connect to.
+    /// Index into the lists of distributors of [`WorkerRole::Hollows`]: the distributors that the gateway may
+    /// connect to.
     #[serde(rename = "list")]
     pub list_index: usize,
 }
@@ -77,7 +78,8 @@
         distributor_lists: Vec<Vec<DistributorAddress>>,
         /// The gateways of this worker.
         gateways: Vec<HollowGateway>,
-        /// Number of services and number of tenant shards that each gateway follows; `None` to follow everything.
+        /// Number of services and number of tenant shards that each gateway follows; `None` to follow
+        /// everything.
         follow: Option<(usize, usize)>,
         /// The snapshot file that the gateways start from; `None` to start without any state.
         snapshot: Option<PathBuf>,
@@ -105,7 +107,8 @@
     Restart {
         /// Restart the gateways whose number is divisible by this.
         every: usize,
-        /// Whether a gateway restarts from a snapshot of its state; otherwise, a gateway restarts without any state.
+        /// Whether a gateway restarts from a snapshot of its state; otherwise, a gateway restarts without any
+        /// state.
         #[serde(rename = "kept")]
         from_snapshot: bool,
     },
@@ -120,8 +123,8 @@
 /// The reply of a worker to a [`WorkerSpec`] or a [`WorkerCommand`].
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub enum WorkerReply {
-    /// The worker has started and listens on this address. A worker of hollow gateways doesn't listen and replies with
-    /// port 0.
+    /// The worker has started and listens on this address. A worker of hollow gateways doesn't listen and
+    /// replies with port 0.
     #[serde(rename = "Begun")]
     Started(SocketAddr),
     /// A command without a result is done.
@@ -156,7 +159,8 @@
     /// The lowest revision that any gateway acts on.
     #[serde(rename = "least")]
     pub min_revision: Revision,
-    /// Times from the start of a gateway until all its scopes were there, for incarnations since the last restart.
+    /// Times from the start of a gateway until all its scopes were there, for incarnations since the last
+    /// restart.
     #[serde(rename = "start")]
     pub startup_times: crate::histogram::DurationHistogram,
     /// The propagation times of the revisions in the command.
@@ -187,8 +191,8 @@
     replies: Lines<BufReader<ChildStdout>>,
 }
 
-/// The time for a worker to start, after which the run fails. A worker first generates the installation, which takes long
-/// on a busy machine.
+/// The time for a worker to start, after which the run fails. A worker first generates the installation,
+/// which takes long on a busy machine.
 const START_TIMEOUT: Duration = Duration::from_secs(90);
 /// The time for a worker to reply to a command, after which the run fails.
 const REPLY_TIMEOUT: Duration = Duration::from_secs(60);
--- a/scale-tests/tests/fleet.rs
+++ b/scale-tests/tests/fleet.rs
@@ -1,5 +1,6 @@
-//! A small fleet of real processes keeps the invariants on state through changes, a killed distributor and restarted
-//! gateways. The invariants on time are not checked here, because they depend on the load of the machine.
+//! A small fleet of real processes keeps the invariants on state through changes, a killed distributor and
+//! restarted gateways. The invariants on time are not checked here, because they depend on the load of the
+//! machine.
 use clap::Parser;
 use ternstack_fault_tests::process::Launch;
 use ternstack_scale_tests::invariants::Invariant;
--- a/scale-tests/tests/invariants.rs
+++ b/scale-tests/tests/invariants.rs
@@ -7,7 +7,7 @@
 };
 use ternstack_scale_tests::timeline::{revision_spans, PropagationTimes, Timeline};
 
-/// Returns a lease configuration with a bound on conflicts of 1,919 ms, with the drift of 1 %.
+/// Returns a lease configuration whose bound on conflicts is 1,919 ms: the lease plus 1 % clock drift.
 fn lease_config() -> LeaseConfig {
     LeaseConfig { lease_ms: 1900.0, clock_drift_ratio: 0.01, ..LeaseConfig::default() }
 }
@@ -127,7 +127,8 @@
 
 #[test]
 fn follower_does_not_act_on_a_revision_without_a_lease() {
-    // Follower 1 is cut off: its lease expires at 1900 ms, and at 9000 ms one response brings a lease and revision 2.
+    // Follower 1 is cut off: its lease expires at 1900 ms, and at 9000 ms one response brings a lease and
+    // revision 2.
     let timelines = [
         timeline(&[(0, LeaseAcquired), (0, InForce(1)), (800, InForce(2))]),
         timeline(&[
