--- a/scale-tests/src/run.rs
+++ b/scale-tests/src/run.rs
@@ -60,14 +60,15 @@
 pub struct DrainResult {
     /// The phase's name in reports.
     pub phase: String,
-    /// Number of followers of the host's service that were probed after the bound on a drain had passed.
+    /// Number of followers of the host's service that were probed after the bound on a drain had passed, or at
+    /// the end of a phase shorter than the bound.
     #[serde(rename = "asked")]
     pub probed: u64,
     /// Number of probed followers that still sent new requests to the host.
     #[serde(rename = "still")]
     pub still_sending: u64,
-    /// Whether the invariants are checked for this drain. Drains while a region is cut off are not checked,
-    /// because the region's gateways can't learn of the drain.
+    /// Whether the invariants are checked for this drain. A drain is not checked if the phase was shorter than
+    /// the bound, nor while a region is cut off, because the region's gateways can't learn of the drain then.
     pub judged: bool,
 }
 
