--- a/scale-tests/src/installation.rs
+++ b/scale-tests/src/installation.rs
@@ -6,7 +6,7 @@
 use std::collections::VecDeque;
 use std::net::{Ipv4Addr, SocketAddrV4};
 use ternstack_replication::rules::RetryPolicy;
-use ternstack_replication::scope::{Change, Entry, Host, Key, Route, Scope, TENANT_SCOPE_COUNT};
+use ternstack_replication::scope::{Change, Entry, Host, Key, Route, Scope, TENANT_SHARDS};
 
 /// The size of an installation, and the seed that the installation is generated from.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
@@ -180,8 +180,8 @@
             }
         }
         chosen.clear();
-        while chosen.len() < shards.min(TENANT_SCOPE_COUNT as usize) {
-            let shard = rng.random_range(0..TENANT_SCOPE_COUNT);
+        while chosen.len() < shards.min(TENANT_SHARDS as usize) {
+            let shard = rng.random_range(0..TENANT_SHARDS);
             if chosen.insert(shard) {
                 scopes.push(Scope::Tenants(shard));
             }
--- a/scale-tests/src/worker.rs
+++ b/scale-tests/src/worker.rs
@@ -356,7 +356,7 @@
             let mut record = lock(&past.record);
             record.timeline.record_stopped(now_us());
             slot.past_timelines.push(std::mem::take(&mut record.timeline));
-            slot.past_traffic = slot.past_traffic.plus(&Traffic::from_counts(&past.client.counts()));
+            slot.past_traffic = slot.past_traffic.plus(&Traffic::from_counts(&past.client.traffic()));
         }
         self.slots = slots;
     }
@@ -384,7 +384,7 @@
                 report.rollbacks += timeline.rollbacks();
                 report.propagation.record(timeline, proposals);
             }
-            let traffic = slot.past_traffic.plus(&Traffic::from_counts(&client.counts()));
+            let traffic = slot.past_traffic.plus(&Traffic::from_counts(&client.traffic()));
             report.max_bytes_read = report.max_bytes_read.max(traffic.total_read().bytes as u64);
             report.traffic = report.traffic.plus(&traffic);
         }
