--- a/fleet-simulator/benches/decision.rs
+++ b/fleet-simulator/benches/decision.rs
@@ -1,11 +1,11 @@
-//! What one decision costs the module as the fleet grows: a message's arrival and its end, with a report. One
-//! gateway uses all hosts. `cargo bench -p ternstack-fleet-simulator` prints microseconds a message.
+//! Cost of one decision of the balancer by the size of the fleet: arrival and end of a request, with a load
+//! report. One gateway uses all hosts. `cargo bench -p ternstack-fleet-simulator` prints microseconds per request.
 use criterion::{criterion_group, criterion_main, BenchmarkId, Criterion, Throughput};
 use ternstack_balancer::{
     Action, Arrival, AttemptEnd, Balancer, DeduplicationScope, EndpointId, EndpointRecord, Event,
     Idempotency, Outcome, RequestClass, RequestId, Settings, Tenant, UpdateKind,
 };
-use ternstack_fleet_simulator::policy::alone;
+use ternstack_fleet_simulator::policy::single_gateway_settings;
 
 fn settings() -> Settings {
     let class = RequestClass {
@@ -18,59 +18,64 @@
         deduplication_window_ms: 0.0,
     };
     let tenant = Tenant { name: "one".into(), quota_per_s: 0.0 };
-    Settings { max_attempts: 3, ..alone(vec![class], vec![tenant]) }
+    Settings { max_attempts: 3, ..single_gateway_settings(vec![class], vec![tenant]) }
 }
 
-/// A module that has heard from each of its hosts, and a clock.
-struct Warm {
+/// A balancer that has received a response from each of its hosts, with a virtual clock.
+struct WarmBalancer {
     balancer: Balancer,
     now: f64,
     next: u64,
     actions: Vec<Action>,
 }
 
-impl Warm {
+impl WarmBalancer {
     fn new(hosts: u32) -> Self {
-        let balancer = Balancer::new(settings(), 7).expect("sound settings");
-        let mut warm = Warm { balancer, now: 1000.0, next: 0, actions: Vec::new() };
-        let member = |n| EndpointRecord {
+        let balancer = Balancer::new(settings(), 7).expect("the settings are valid");
+        let mut warm = WarmBalancer { balancer, now: 1000.0, next: 0, actions: Vec::new() };
+        let record = |n| EndpointRecord {
             endpoint: EndpointId(n),
             weight: 1.0,
             hash: u64::from(n),
             ..EndpointRecord::default()
         };
-        let members = (0..hosts).map(member).collect();
-        warm.hand(Event::EndpointUpdate { kind: UpdateKind::Cached, endpoints: members });
-        (0..2 * hosts).for_each(|_| warm.message(hosts));
+        let records = (0..hosts).map(record).collect();
+        warm.handle(Event::EndpointUpdate { kind: UpdateKind::Cached, endpoints: records });
+        (0..2 * hosts).for_each(|_| warm.complete_request(hosts));
         warm
     }
 
-    fn hand(&mut self, event: Event) {
+    fn handle(&mut self, event: Event) {
         self.actions.clear();
         self.balancer.handle(self.now, event, &mut self.actions);
     }
 
-    /// A message's arrival and its end. Messages come at the same rate a host whatever the number of hosts.
-    fn message(&mut self, hosts: u32) {
+    /// Completes one request. The rate of requests per host does not depend on the number of hosts.
+    fn complete_request(&mut self, hosts: u32) {
         self.now += 50.0 / f64::from(hosts);
         self.next += 1;
         let request = RequestId(self.next);
-        self.hand(Event::Request(Arrival { request, class: 0, tenant: Some(0), client_timeout_ms: 2500.0 }));
+        self.handle(Event::Request(Arrival {
+            request,
+            class: 0,
+            tenant: Some(0),
+            client_timeout_ms: 2500.0,
+        }));
         let sent = self.actions.iter().find_map(|a| match a {
-            Action::Send { endpoint: server, .. } => Some(*server),
+            Action::Send { endpoint: host, .. } => Some(*host),
             _ => None,
         });
-        let Some(server) = sent else { return };
-        // Figures that change from report to report, as real ones do.
+        let Some(host) = sent else { return };
+        // The values change from report to report, as those of real hosts do.
         let report = ternstack_balancer::LoadReport {
             utilization: Some(0.4 + 0.001 * (self.next % 97) as f64),
             throughput_per_s: Some(18.0 + 0.01 * (self.next % 89) as f64),
             queue_length: None,
         };
-        self.hand(Event::AttemptEnd(AttemptEnd {
+        self.handle(Event::AttemptEnd(AttemptEnd {
             request,
             attempt: 0,
-            endpoint: server,
+            endpoint: host,
             outcome: Outcome::Served,
             latency_ms: 150.0,
             request_complete: true,
@@ -83,8 +88,8 @@
     let mut group = c.benchmark_group("decision");
     group.throughput(Throughput::Elements(1)).sample_size(10);
     for hosts in [10, 100, 1000, 5000] {
-        let mut warm = Warm::new(hosts);
-        group.bench_function(BenchmarkId::from_parameter(hosts), |b| b.iter(|| warm.message(hosts)));
+        let mut warm = WarmBalancer::new(hosts);
+        group.bench_function(BenchmarkId::from_parameter(hosts), |b| b.iter(|| warm.complete_request(hosts)));
     }
     group.finish();
 }
--- a/fleet-simulator/src/capacity.rs
+++ b/fleet-simulator/src/capacity.rs
@@ -1,8 +1,10 @@
-//! The page of sizes: what each role needs at a size, worked out from one file of sizes, budgets and measured slopes.
+//! Capacity planning: what each role needs at a given size, computed from a file of sizes, budgets and
+//! measured slopes.
 //!
-//! A row is `slope x sizes`, beside its budget. A slope is a table of measured points over one size, read between its points
-//! and beyond its last by a power of the size, or one figure. [`tables`] prints the page's tables, [`page`] puts them between
-//! the page's markers, [`limits`] weighs ways to hold a tenant's limit, and [`measure`] measures slopes.
+//! A row is `slope x sizes`, compared with a budget. A slope is a single value, or a table of points measured
+//! over one size, which is interpolated between the points and extrapolated beyond the last by a power of the
+//! size. [`tables`] formats the tables of the page, [`page`] replaces them between the page's markers,
+//! [`limits`] compares ways to enforce a tenant's limit, and [`measure`] measures the slopes.
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 use std::path::Path;
@@ -18,127 +20,128 @@
 pub mod page;
 pub mod tables;
 
-/// A name that is looked up, and where it stands in the file.
-pub type Name = Spanned<String>;
+/// A name that refers to a figure, with its position in the file.
+pub type NameRef = Spanned<String>;
 
-/// Where a row's mechanism is not there yet, this stands in place of its file.
+/// Mechanism of a row that has no implementation yet.
 pub const MISSING: &str = "missing";
 
-/// A figure that is told: a size, a budget or an assumption.
+/// A given figure: a size, a budget or an assumption.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Figure {
-    /// By which rows and other figures name it.
-    pub name: Name,
-    /// How much.
+    /// Name by which rows and other figures refer to the figure.
+    pub name: NameRef,
+    /// Value; must be above 0.
     pub value: f64,
-    /// Of what.
+    /// Unit.
     pub unit: String,
-    /// Who says so.
+    /// Source of the value.
     #[serde(default)]
     pub from: String,
 }
 
-/// A figure that is a product and quotient of others.
+/// A figure computed from other figures.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Derived {
-    /// By which rows and later figures name it.
-    pub name: Name,
-    /// A number in the product.
+    /// Name by which rows and later figures refer to the figure.
+    pub name: NameRef,
+    /// Constant factor.
     #[serde(default = "one")]
     pub factor: f64,
-    /// Figures in the product.
+    /// Figures to multiply by.
     #[serde(default)]
-    pub times: Vec<Name>,
-    /// Figures that divide it.
+    pub times: Vec<NameRef>,
+    /// Figures to divide by.
     #[serde(default)]
-    pub over: Vec<Name>,
-    /// Of what.
+    pub over: Vec<NameRef>,
+    /// Unit.
     pub unit: String,
-    /// Why so.
+    /// Reason for the formula.
     #[serde(default)]
     pub from: String,
 }
 
-/// What something costs by one size.
+/// Measured cost as a function of one size.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Slope {
-    /// By which rows name it.
-    pub name: Name,
+    /// Name by which rows refer to the slope.
+    pub name: NameRef,
     /// What was measured.
     pub what: String,
-    /// The unit of its values.
+    /// Unit of the values.
     pub unit: String,
-    /// The size that it was measured over, in words.
+    /// Size that the points were measured over.
     #[serde(default)]
     pub per: String,
-    /// Measured points, `[size, value]`, in the order of sizes above 0; values above 0.
+    /// Measured points `[size, value]`, by ascending size; all numbers above 0.
     #[serde(default)]
     pub points: Vec<[f64; 2]>,
-    /// One figure in place of points.
+    /// Single value instead of points.
     pub value: Option<f64>,
-    /// The command that gave it.
+    /// Command that measured the values.
     #[serde(default)]
     pub command: String,
-    /// The commit that it ran on.
+    /// Commit that was measured.
     #[serde(default)]
     pub commit: String,
-    /// What a reader has to know beside it.
+    /// Remark for the reader.
     #[serde(default)]
     pub note: String,
 }
 
-/// What a role needs of one resource at one moment.
+/// Need of a role for one resource at one moment.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Row {
-    /// Whose need.
+    /// Role that has the need.
     pub role: String,
-    /// When: `ordinary`, `worst` or `start`.
+    /// Moment of the need: `ordinary`, `worst` or `start`.
     pub moment: Moment,
-    /// Of what, in words.
+    /// Description of the need.
     pub need: String,
-    /// The slope; without one the row is a product of figures.
-    pub slope: Option<Name>,
-    /// The figure at which the slope is read; needed where it has points.
-    pub at: Option<Name>,
-    /// A number in the product.
+    /// Slope; without a slope the row is a product of figures.
+    pub slope: Option<NameRef>,
+    /// Figure at which the slope is evaluated; required if the slope has points.
+    pub at: Option<NameRef>,
+    /// Constant factor.
     #[serde(default = "one")]
     pub factor: f64,
-    /// Figures in the product.
+    /// Figures to multiply by.
     #[serde(default)]
-    pub times: Vec<Name>,
-    /// Figures that divide it.
+    pub times: Vec<NameRef>,
+    /// Figures to divide by.
     #[serde(default)]
-    pub over: Vec<Name>,
-    /// The unit of the product.
+    pub over: Vec<NameRef>,
+    /// Unit of the product.
     pub unit: String,
-    /// The budget that it is held against, in the same unit.
-    pub budget: Option<Name>,
-    /// The file of the mechanism that carries it, or `missing`.
+    /// Budget that the product is compared with, in the same unit.
+    pub budget: Option<NameRef>,
+    /// Source file that implements the mechanism, or `missing`.
     pub mechanism: String,
-    /// Whether it counts in the sum of its role, moment and budget.
+    /// Whether the row counts in the sum of its role, moment and budget.
     #[serde(default)]
     pub adds: bool,
-    /// Whether it is of what a change replaces: shown, and not counted as missing.
+    /// Whether the row describes the mechanism that a change replaces; such rows are shown, but never counted
+    /// as missing.
     #[serde(default)]
     pub before: bool,
-    /// What a reader has to know beside it.
+    /// Remark for the reader.
     #[serde(default)]
     pub note: String,
 }
 
-/// When a need arises.
+/// Moment at which a need arises.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Deserialize, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Moment {
-    /// On any second of the day.
+    /// Any second of normal operation.
     Ordinary,
-    /// When a zone goes, a release runs or a region comes back.
+    /// The loss of a zone, a rollout or the return of a region.
     Worst,
-    /// While it starts.
+    /// The start of the role's process.
     Start,
 }
 
@@ -146,96 +149,96 @@
     1.0
 }
 
-/// The file.
+/// Contents of a capacity file.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Capacity {
-    /// What is told.
+    /// Sizes of the platform.
     pub size: Vec<Figure>,
-    /// What is assumed.
+    /// Assumptions.
     #[serde(default)]
     pub assumed: Vec<Figure>,
-    /// What follows from these.
+    /// Figures computed from the others.
     #[serde(default)]
     pub derived: Vec<Derived>,
-    /// What may be spent.
+    /// Budgets.
     pub budget: Vec<Figure>,
-    /// What was measured.
+    /// Measured costs.
     #[serde(default)]
     pub slope: Vec<Slope>,
-    /// What is needed.
+    /// Needs of the roles.
     pub row: Vec<Row>,
-    /// How a tenant's limit is held.
-    pub limits: limits::Terms,
+    /// Parameters for the enforcement of a tenant's limit.
+    pub limits: limits::LimitTerms,
 }
 
-/// How a cost grows with its size.
+/// Growth of a cost with its size.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize)]
 pub struct Growth {
-    /// The power of the size between the first point and the last.
+    /// Exponent between the first and the last point.
     pub power: f64,
-    /// The same between the last two, where what does not grow weighs least.
+    /// Exponent between the last two points, where constant costs weigh least.
     pub end: f64,
-    /// In words.
+    /// Growth in words, such as `n log n`.
     pub word: &'static str,
 }
 
-/// A row, worked out.
+/// A row with its computed values.
 #[derive(Clone, Debug, Serialize)]
-pub struct Worked {
-    /// Whose need.
+pub struct ComputedRow {
+    /// Role that has the need.
     pub role: String,
-    /// When.
+    /// Moment of the need.
     pub moment: Moment,
-    /// Of what.
+    /// Description of the need.
     pub need: String,
-    /// The slope's value as read, if it is measured, with its unit.
+    /// Value of the slope at the row's size, if the slope is measured.
     pub slope: Option<f64>,
-    /// The slope's unit.
+    /// Unit of the slope.
     pub slope_unit: String,
-    /// What it was multiplied with, in words.
+    /// Description of the size and the factors.
     pub sizes: String,
-    /// The product, if the slope is measured.
+    /// Need in `unit`, if the slope is measured.
     pub product: Option<f64>,
-    /// Its unit.
+    /// Unit of the product.
     pub unit: String,
-    /// The budget's value.
+    /// Value of the budget.
     pub budget: Option<f64>,
-    /// The budget's name.
+    /// Name of the budget.
     pub budget_name: Option<String>,
-    /// The product by the budget.
+    /// Product as a share of the budget.
     pub share: Option<f64>,
-    /// What carries it, or `missing`.
+    /// Source file that implements the mechanism, or `missing`.
     pub mechanism: String,
-    /// Whether it counts in its sum.
+    /// Whether the row counts in the sum of its role, moment and budget.
     pub adds: bool,
-    /// Whether it is of what a change replaces.
+    /// Whether the row describes the mechanism that a change replaces.
     pub before: bool,
-    /// The row's note.
+    /// Remark for the reader.
     pub note: String,
 }
 
-impl Worked {
-    /// What the share says.
+impl ComputedRow {
+    /// Returns the verdict on the share of the budget.
     pub fn verdict(&self) -> String {
         match (self.product, self.share) {
             (None, _) => "not measured yet".into(),
             (_, None) => "no budget told".into(),
             (_, Some(share)) if share <= 1.0 => "holds".into(),
-            (_, Some(share)) => format!("**{} times over**", tables::short(share)),
+            (_, Some(share)) => format!("**{} times over**", tables::format_number(share)),
         }
     }
 
-    /// Whether something has to be built or measured before it holds.
-    pub fn lacks(&self) -> bool {
+    /// Returns whether the need has no implementation, is not measured or exceeds its budget.
+    pub fn is_unmet(&self) -> bool {
         !self.before
             && (self.product.is_none() || self.mechanism == MISSING || self.share.is_some_and(|s| s > 1.0))
     }
 }
 
 impl Slope {
-    /// One that has these points, and no name.
-    pub fn of(points: &[[f64; 2]]) -> Self {
+    /// Creates an unnamed slope with these points.
+    pub fn from_points(points: &[[f64; 2]]) -> Self {
         let text = |text: &str| text.to_string();
         Slope {
             name: Spanned::new(0..0, text("")),
@@ -250,7 +253,7 @@
         }
     }
 
-    /// How it grows, where it has two points.
+    /// Returns the growth; `None` with fewer than two points.
     pub fn growth(&self) -> Option<Growth> {
         let (first, last) = (self.points.first()?, self.points.last()?);
         let before = self.points.len().checked_sub(2).map(|n| self.points[n])?;
@@ -267,8 +270,9 @@
         Some(Growth { power, end, word })
     }
 
-    /// Its value at a size: between two points by a power of the size, beyond the last one by the greater of the last
-    /// two points' and the whole's power. `None` where it is not measured.
+    /// Returns the value at a size. Between two points, the value follows a power of the size; beyond the
+    /// last point, the larger exponent of the last two points and of the whole range applies, so that one
+    /// flat stretch is not extrapolated. Returns `None` if the slope is not measured.
     pub fn at(&self, size: f64) -> Option<f64> {
         if self.value.is_some() {
             return self.value;
@@ -289,39 +293,47 @@
     }
 }
 
-/// The power of the size by which a cost grows between two points.
+/// Returns the exponent of the growth between two points.
 fn power(a: [f64; 2], b: [f64; 2]) -> Option<f64> {
     (a[0] < b[0]).then(|| (b[1] / a[1]).ln() / (b[0] / a[0]).ln())
 }
 
-/// The power that n log n shows between two sizes.
+/// Returns the exponent that n log n shows between two sizes.
 fn power_of_n_log_n(a: f64, b: f64) -> f64 {
     let (a, b) = (a.max(2.0), b.max(4.0));
     1.0 + (b.ln() / a.ln()).ln() / (b / a).ln()
 }
 
-/// A problem, and the byte of the file at which it stands.
-type Fault = (usize, String);
+/// Position of a problem in the file, in bytes, and the description.
+type LocatedError = (usize, String);
 
 impl Capacity {
-    /// Reads a file. The error names file, line and key, and what was expected.
+    /// Reads a capacity file.
+    ///
+    /// # Errors
+    ///
+    /// Names file, line and key, and what was expected.
     pub fn load(path: &Path) -> Result<Self, String> {
         let text = std::fs::read_to_string(path).map_err(|e| format!("{}: {e}", path.display()))?;
         Self::read(&text).map_err(|e| format!("{}:{e}", path.display()))
     }
 
-    /// Reads the text of a file. The error begins with the line.
+    /// Parses the text of a capacity file.
+    ///
+    /// # Errors
+    ///
+    /// The message begins with the line.
     pub fn read(text: &str) -> Result<Self, String> {
-        let line = |at: usize| 1 + text.bytes().take(at).filter(|b| *b == b'\n').count();
-        let read: Capacity = toml::from_str(text).map_err(|e| {
-            format!("{}: {}", line(e.span().map_or(0, |s| s.start)), e.to_string().trim_end())
+        let line_of = |at: usize| 1 + text.bytes().take(at).filter(|b| *b == b'\n').count();
+        let slope_value: Capacity = toml::from_str(text).map_err(|e| {
+            format!("{}: {}", line_of(e.span().map_or(0, |s| s.start)), e.to_string().trim_end())
         })?;
-        read.check().map_err(|(at, problem)| format!("{}: {problem}", line(at)))?;
-        Ok(read)
+        slope_value.check().map_err(|(at, problem)| format!("{}: {problem}", line_of(at)))?;
+        Ok(slope_value)
     }
 
-    /// Tells the first key that cannot be worked with.
-    fn check(&self) -> Result<(), Fault> {
+    /// Checks all values; the error describes the first invalid one.
+    fn check(&self) -> Result<(), LocatedError> {
         for figure in self.size.iter().chain(&self.assumed).chain(&self.budget) {
             if !(figure.value.is_finite() && figure.value > 0.0) {
                 let name = figure.name.get_ref();
@@ -333,69 +345,80 @@
                 (slope.name.span().start, format!("slope {}: {problem}", slope.name.get_ref()))
             })?;
         }
-        self.work().map(drop)?;
+        self.compute_rows().map(drop)?;
         self.limits.check().map_err(|problem| (0, format!("limits.{problem}")))?;
         limits::Sizes::of(self).map(drop).map_err(|problem| (0, problem))
     }
 
-    /// All figures by name, in the order in which they follow from each other.
-    pub fn figures(&self) -> Result<BTreeMap<&str, f64>, Fault> {
+    /// Returns all figures by name.
+    ///
+    /// # Errors
+    ///
+    /// Fails on a duplicate name, or if a derived figure refers to an unknown or later figure.
+    pub fn figures(&self) -> Result<BTreeMap<&str, f64>, LocatedError> {
         let mut all: BTreeMap<&str, f64> = BTreeMap::new();
         for figure in self.size.iter().chain(&self.assumed).chain(&self.budget) {
-            enter(&mut all, &figure.name, figure.value)?;
+            insert_figure(&mut all, &figure.name, figure.value)?;
         }
-        all.extend(self.limits.named());
+        all.extend(self.limits.named_values());
         for derived in &self.derived {
             let value = product(&all, derived.factor, &derived.times, &derived.over)?;
-            enter(&mut all, &derived.name, value)?;
+            insert_figure(&mut all, &derived.name, value)?;
         }
         Ok(all)
     }
 
-    /// All rows, worked out.
-    pub fn work(&self) -> Result<Vec<Worked>, Fault> {
+    /// Computes all rows.
+    ///
+    /// # Errors
+    ///
+    /// Fails on a reference to an unknown figure, slope or budget, and if a slope with points has no `at`.
+    pub fn compute_rows(&self) -> Result<Vec<ComputedRow>, LocatedError> {
         let figures = self.figures()?;
-        self.row.iter().map(|row| self.work_row(row, &figures)).collect()
+        self.row.iter().map(|row| self.compute_row(row, &figures)).collect()
     }
 
-    fn work_row(&self, row: &Row, figures: &BTreeMap<&str, f64>) -> Result<Worked, Fault> {
+    fn compute_row(&self, row: &Row, figures: &BTreeMap<&str, f64>) -> Result<ComputedRow, LocatedError> {
         let product = product(figures, row.factor, &row.times, &row.over)?;
-        let (mut read, mut slope_unit, mut words) = (Some(1.0), String::new(), Vec::new());
+        let (mut slope_value, mut slope_unit, mut words) = (Some(1.0), String::new(), Vec::new());
         if let Some(name) = &row.slope {
             let slope = self.slope.iter().find(|s| s.name.get_ref() == name.get_ref());
             let slope = slope.ok_or_else(|| unknown(name, "the name of a slope"))?;
             slope_unit = slope.unit.clone();
-            read = match (&row.at, slope.points.is_empty()) {
+            slope_value = match (&row.at, slope.points.is_empty()) {
                 (Some(at), _) => {
                     words.push(format!("at {}", at.get_ref().replace('_', " ")));
                     slope.at(look_up(figures, at)?)
                 }
                 (None, true) => slope.value,
                 (None, false) => {
-                    return Err((name.span().start, "slope: has points, expected `at` beside it".into()))
+                    return Err((
+                        name.span().start,
+                        "slope: expected `at`, because the slope has points".into(),
+                    ))
                 }
             };
         }
         let mut factors: Vec<String> = Vec::new();
         if row.factor != 1.0 {
-            factors.push(tables::short(row.factor));
+            factors.push(tables::format_number(row.factor));
         }
         factors.extend(row.times.iter().map(|n| n.get_ref().replace('_', " ")));
         factors.extend(row.over.iter().map(|n| format!("1/{}", n.get_ref().replace('_', " "))));
         if !factors.is_empty() {
             words.push(factors.join(" x "));
         }
-        let product = read.map(|slope| slope * product);
+        let product = slope_value.map(|slope| slope * product);
         let budget = row.budget.as_ref().map(|name| {
             let found = self.budget.iter().find(|b| b.name.get_ref() == name.get_ref());
             found.ok_or_else(|| unknown(name, "the name of a budget"))
         });
         let budget = budget.transpose()?;
-        Ok(Worked {
+        Ok(ComputedRow {
             role: row.role.clone(),
             moment: row.moment,
             need: row.need.clone(),
-            slope: read.filter(|_| row.slope.is_some()),
+            slope: slope_value.filter(|_| row.slope.is_some()),
             slope_unit,
             sizes: words.join(", "),
             product,
@@ -415,8 +438,8 @@
     if slope.value.is_some() && !slope.points.is_empty() {
         return Err("expected points or a value, not both".into());
     }
-    let sound = |v: f64| v.is_finite() && v > 0.0;
-    if !slope.value.is_none_or(sound) || !slope.points.iter().flatten().copied().all(sound) {
+    let is_positive = |v: f64| v.is_finite() && v > 0.0;
+    if !slope.value.is_none_or(is_positive) || !slope.points.iter().flatten().copied().all(is_positive) {
         return Err("expected numbers above 0".into());
     }
     if slope.points.len() == 1 || !slope.points.windows(2).all(|w| w[0][0] < w[1][0]) {
@@ -424,28 +447,32 @@
     }
     let measured = slope.value.is_some() || !slope.points.is_empty();
     if measured && (slope.command.is_empty() || slope.commit.is_empty()) {
-        return Err("command, commit: expected what gave the figure".into());
+        return Err("command, commit: expected the source of the values".into());
     }
     Ok(())
 }
 
-fn unknown(name: &Name, expected: &str) -> Fault {
+fn unknown(name: &NameRef, expected: &str) -> LocatedError {
     (name.span().start, format!("{}: expected {expected}", name.get_ref()))
 }
 
-fn enter<'a>(figures: &mut BTreeMap<&'a str, f64>, name: &'a Name, value: f64) -> Result<(), Fault> {
+fn insert_figure<'a>(
+    figures: &mut BTreeMap<&'a str, f64>, name: &'a NameRef, value: f64,
+) -> Result<(), LocatedError> {
     match figures.insert(name.get_ref(), value) {
         None => Ok(()),
         Some(_) => Err(unknown(name, "a name that no other figure has")),
     }
 }
 
-fn look_up(figures: &BTreeMap<&str, f64>, name: &Name) -> Result<f64, Fault> {
+fn look_up(figures: &BTreeMap<&str, f64>, name: &NameRef) -> Result<f64, LocatedError> {
     let found = figures.get(name.get_ref().as_str()).copied();
     found.ok_or_else(|| unknown(name, "the name of a size, an assumption or a figure derived before"))
 }
 
-fn product(figures: &BTreeMap<&str, f64>, factor: f64, times: &[Name], over: &[Name]) -> Result<f64, Fault> {
+fn product(
+    figures: &BTreeMap<&str, f64>, factor: f64, times: &[NameRef], over: &[NameRef],
+) -> Result<f64, LocatedError> {
     let mut value = factor;
     for name in times {
         value *= look_up(figures, name)?;
--- a/fleet-simulator/src/capacity/cli.rs
+++ b/fleet-simulator/src/capacity/cli.rs
@@ -1,26 +1,26 @@
-//! The command's flags, and what it does.
+//! Command-line arguments of the `capacity` subcommand, and its execution.
 use super::{measure, page, tables, Capacity};
 use clap::{Args, Subcommand};
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
 
-/// What `ternstack-fleet-simulator capacity` takes.
+/// Arguments of `ternstack-fleet-simulator capacity`.
 #[derive(Args, Debug)]
 #[command(args_conflicts_with_subcommands = true)]
-pub struct Capacities {
-    /// The file of sizes, budgets, slopes and assumptions.
+pub struct CapacityArgs {
+    /// File of sizes, budgets, slopes and assumptions
     #[arg(default_value = "docs/capacity.toml")]
     file: PathBuf,
-    /// The page that the tables stand on.
+    /// Page that contains the tables
     #[arg(long, default_value = "docs/CAPACITY.md")]
     page: PathBuf,
-    /// Print nothing, and exit with 1 unless the tables stand on the page as worked out.
+    /// Print nothing, and exit with 1 if the tables on the page are out of date
     #[arg(long)]
     check: bool,
-    /// Put the tables on the page.
+    /// Update the tables on the page
     #[arg(long, conflicts_with = "check")]
     write: bool,
-    /// Print the rows as JSON.
+    /// Print the rows as JSON
     #[arg(long)]
     json: bool,
     #[command(subcommand)]
@@ -29,53 +29,58 @@
 
 #[derive(Subcommand, Debug)]
 enum Measure {
-    /// Measure slopes of what runs today, and print them as the file takes them. Some minutes in all.
+    /// Measure the slopes of the current code, and print them in the format of the file. Takes some minutes
+    /// in all.
     Measure {
-        /// Which; all where absent.
+        /// What to measure; everything if absent
         #[arg(value_enum)]
-        what: Vec<measure::What>,
-        /// The commit to note beside each figure.
+        what: Vec<measure::Measurement>,
+        /// Commit to record with each value
         #[arg(long)]
         commit: String,
-        /// Runs of which the least is taken.
+        /// Number of runs, of which the smallest value counts
         #[arg(long, default_value_t = 3, value_parser = clap::value_parser!(u32).range(1..=50))]
         runs: u32,
     },
 }
 
-/// Does it. The error is for a reader; the exit code is 1 where the page is not as worked out.
-pub fn run(args: Capacities) -> Result<ExitCode, String> {
+/// Executes the subcommand. The exit code is 1 if the tables on the page are out of date.
+///
+/// # Errors
+///
+/// Describes the problem for the user.
+pub fn run(args: CapacityArgs) -> Result<ExitCode, String> {
     if let Some(Measure::Measure { what, commit, runs }) = args.measure {
         measure::all(&what, &commit, runs)?;
         return Ok(ExitCode::SUCCESS);
     }
     let capacity = Capacity::load(&args.file)?;
     if args.check || args.write {
-        return put(&args.page, &capacity, args.write);
+        return check_or_write(&args.page, &capacity, args.write);
     }
     if args.json {
-        let rows = capacity.work().map_err(|(_, problem)| problem)?;
+        let rows = capacity.compute_rows().map_err(|(_, problem)| problem)?;
         println!("{}", serde_json::to_string(&rows).map_err(|e| e.to_string())?);
         return Ok(ExitCode::SUCCESS);
     }
-    for (name, text) in tables::all(&capacity)? {
+    for (name, text) in tables::all_tables(&capacity)? {
         println!("## {name}\n\n{text}");
     }
     Ok(ExitCode::SUCCESS)
 }
 
-fn put(file: &Path, capacity: &Capacity, write: bool) -> Result<ExitCode, String> {
-    let at = |problem: String| format!("{}: {problem}", file.display());
-    let page = std::fs::read_to_string(file).map_err(|e| at(e.to_string()))?;
-    let wanted = page::with_tables(&page, capacity).map_err(at)?;
-    match page::first_difference(&page, &wanted) {
+fn check_or_write(file: &Path, capacity: &Capacity, write: bool) -> Result<ExitCode, String> {
+    let with_path = |problem: String| format!("{}: {problem}", file.display());
+    let page = std::fs::read_to_string(file).map_err(|e| with_path(e.to_string()))?;
+    let expected = page::with_tables(&page, capacity).map_err(with_path)?;
+    match page::first_difference(&page, &expected) {
         None => Ok(ExitCode::SUCCESS),
         Some(_) if write => {
-            std::fs::write(file, wanted).map_err(|e| at(e.to_string()))?;
+            std::fs::write(file, expected).map_err(|e| with_path(e.to_string()))?;
             Ok(ExitCode::SUCCESS)
         }
-        Some((line, want)) => {
-            eprintln!("{}:{line}: expected {want}", file.display());
+        Some((line, expected_line)) => {
+            eprintln!("{}:{line}: expected {expected_line}", file.display());
             Ok(ExitCode::FAILURE)
         }
     }
--- a/fleet-simulator/src/capacity/control.rs
+++ b/fleet-simulator/src/capacity/control.rs
@@ -1,5 +1,6 @@
-//! What control's state machines cost without sockets: asks, grants and their frames, and a gateway's snapshot.
-use super::gateway::{resident, tenant, thread_us};
+//! Cost of the control server's state machines without sockets: polls, responses and their frames, and a
+//! gateway's snapshot.
+use super::gateway::{resident, tenant, thread_cpu_us};
 use std::net::{Ipv4Addr, SocketAddrV4};
 use std::path::Path;
 use std::time::Instant;
@@ -13,7 +14,7 @@
 use ternstack_replication::tables::Tables;
 use ternstack_replication::wire::{decode, encode, Member, Message, PollRequest, Subscription};
 
-/// A server's entry.
+/// Returns the entry of a host.
 pub fn host(n: u32) -> Entry {
     Entry::Host(Host {
         address: SocketAddrV4::new(Ipv4Addr::from(0x0a00_0000 + n), 8080),
@@ -24,92 +25,106 @@
     })
 }
 
-/// A server's key.
+/// Returns the key of a host.
 pub fn key(n: u32) -> Key {
     Key::of(&format!("server-{n:06}"))
 }
 
-/// What an ask costs on an ordinary second, in us: of its grantor, and of its follower.
+/// Cost of a poll in normal operation, in us.
 #[derive(Clone, Copy, Debug)]
-pub struct Asked {
-    /// Reading the ask, answering it, writing the grant.
-    pub grantor_us: f64,
-    /// The ask, its frame, reading the grant and taking it.
+pub struct PollCost {
+    /// Cost at the lessor: decoding the poll, handling it, encoding the response.
+    pub lessor_us: f64,
+    /// Cost at the follower: creating and encoding the poll, decoding and handling the response.
     pub follower_us: f64,
 }
 
-fn framed(message: &Message) -> Result<Vec<u8>, String> {
+fn encode_frame(message: &Message) -> Result<Vec<u8>, String> {
     let mut bytes = Vec::new();
     encode(message, &mut bytes).map_err(|e| e.to_string())?;
     Ok(bytes)
 }
 
-fn read(bytes: &[u8]) -> Result<Message, String> {
+fn decode_frame(bytes: &[u8]) -> Result<Message, String> {
     match decode(bytes) {
         Ok(Some((message, _))) => Ok(message),
-        Ok(None) => Err("a frame that is cut".into()),
+        Ok(None) => Err("frame is truncated".into()),
         Err(e) => Err(e.to_string()),
     }
 }
 
-/// So many followers ask a grantor in turn, for `rounds` rounds after what they start with; a change comes with each tenth
-/// round. The least of the rounds' means, by the wall clock: a round is shorter than what CPU time is counted by.
-pub fn asked(followers: u32, rounds: u32) -> Result<Asked, String> {
-    let terms = LeaseConfig::default();
-    let (mut store, mut grantor) = (Store::new(), Lessor::new(terms, 0.0));
+/// Measures polls of `followers` followers at one lessor, for `rounds` rounds after a warm-up, with a change
+/// in every tenth round. Returns the smallest mean of a round in wall-clock time, because a round is shorter
+/// than the resolution of CPU time.
+///
+/// # Errors
+///
+/// Fails if a message is invalid or a follower ends without a lease.
+pub fn measure_polls(followers: u32, rounds: u32) -> Result<PollCost, String> {
+    let config = LeaseConfig::default();
+    let (mut store, mut lessor) = (Store::new(), Lessor::new(config, 0.0));
     let member = |n| Member { name: format!("gateway-{n:04}"), incarnation: 1_790_000_000 };
-    let mut all: Vec<Follower<Tables>> =
-        (0..followers).map(|n| Follower::new(terms, member(n), Tables::new())).collect();
-    let (mut now, mut number): (f64, Revision) = (0.0, 0);
-    let mut least = Asked { grantor_us: f64::INFINITY, follower_us: f64::INFINITY };
-    let us = |from: Instant| from.elapsed().as_secs_f64() * 1e6 / f64::from(followers);
+    let mut follower_list: Vec<Follower<Tables>> =
+        (0..followers).map(|n| Follower::new(config, member(n), Tables::new())).collect();
+    let (mut now, mut revision): (f64, Revision) = (0.0, 0);
+    let mut smallest = PollCost { lessor_us: f64::INFINITY, follower_us: f64::INFINITY };
+    let us = |started: Instant| started.elapsed().as_secs_f64() * 1e6 / f64::from(followers);
     for round in 0..rounds + 20 {
-        // The one before is in force by now, as each knows it.
-        store.advance_to(number);
+        // Every follower knows of the previous change set by now, so that it is in force.
+        store.advance_to(revision);
         if round % 10 == 0 {
-            number += 1;
+            revision += 1;
             let change = Change { scope: Scope::Fleet, key: key(round), entry: None };
-            store.add_pending(ChangeSet { revision: number, changes: vec![change] });
+            store.add_pending(ChangeSet { revision, changes: vec![change] });
         }
-        now += terms.poll_interval_ms();
-        let from = Instant::now();
-        let mut asks = Vec::new();
-        for follower in &mut all {
-            let ask = follower.poll(now).ok_or("a follower has nothing to ask")?;
-            asks.push(framed(&Message::PollRequest(ask))?);
+        now += config.poll_interval_ms();
+        let started = Instant::now();
+        let mut polls = Vec::new();
+        for follower in &mut follower_list {
+            let poll = follower.poll(now).ok_or("follower has no poll to send")?;
+            polls.push(encode_frame(&Message::PollRequest(poll))?);
         }
-        let asking = us(from);
-        let from = Instant::now();
-        let mut grants = Vec::new();
-        for ask in &asks {
-            let Message::PollRequest(ask) = read(ask)? else { return Err("no ask".into()) };
-            grants.push(framed(&Message::PollResponse(grantor.handle_poll(
+        let poll_us = us(started);
+        let started = Instant::now();
+        let mut responses = Vec::new();
+        for poll in &polls {
+            let Message::PollRequest(poll) = decode_frame(poll)? else {
+                return Err("expected a poll request".into());
+            };
+            responses.push(encode_frame(&Message::PollResponse(lessor.handle_poll(
                 now,
                 &store,
-                terms.lease_ms,
-                &ask,
+                config.lease_ms,
+                &poll,
             )))?);
         }
-        let granting = us(from);
-        let from = Instant::now();
-        for (follower, grant) in all.iter_mut().zip(&grants) {
-            let Message::PollResponse(grant) = read(grant)? else { return Err("no grant".into()) };
-            follower.handle_response(now, grant).map_err(|e| format!("{e:?}"))?;
+        let lessor_us = us(started);
+        let started = Instant::now();
+        for (follower, response) in follower_list.iter_mut().zip(&responses) {
+            let Message::PollResponse(response) = decode_frame(response)? else {
+                return Err("expected a poll response".into());
+            };
+            follower.handle_response(now, response).map_err(|e| format!("{e:?}"))?;
         }
-        let taking = us(from);
+        let response_us = us(started);
         if round >= 20 {
-            least.grantor_us = least.grantor_us.min(granting);
-            least.follower_us = least.follower_us.min(asking + taking);
+            smallest.lessor_us = smallest.lessor_us.min(lessor_us);
+            smallest.follower_us = smallest.follower_us.min(poll_us + response_us);
         }
     }
-    match all.iter().all(|f| f.lease_until() > now) {
-        true => Ok(least),
-        false => Err("a follower holds no lease".into()),
+    match follower_list.iter().all(|f| f.lease_until() > now) {
+        true => Ok(smallest),
+        false => Err("a follower ended without a lease".into()),
     }
 }
 
-/// A gateway's snapshot of so many hosts, with routes and tenants in proportion: its bytes, and CPU time to read it, in us.
-pub fn snapshot(hosts: u32, runs: u32) -> Result<[f64; 2], String> {
+/// Measures a gateway's snapshot of `hosts` hosts, with routes and tenants in proportion. Returns the size in
+/// bytes and the CPU time to decode it in us.
+///
+/// # Errors
+///
+/// Fails if encoding or decoding fails.
+pub fn measure_snapshot(hosts: u32, runs: u32) -> Result<[f64; 2], String> {
     let mut tables = Tables::new();
     let services = (hosts / 54).max(1);
     for n in 0..hosts {
@@ -121,24 +136,24 @@
     }
     let snapshot = Snapshot { known: 1, in_force: 1, tables };
     let bytes = snapshot.encode().map_err(|e| e.to_string())?;
-    let mut least = f64::INFINITY;
+    let mut smallest = f64::INFINITY;
     for _ in 0..runs {
-        // Some at once: CPU time is counted in steps of some ms.
+        // Short calls are repeated because CPU time is counted in steps of some ms.
         let times = (2_000_000 / bytes.len()).max(1);
-        let from = thread_us()?;
+        let started = thread_cpu_us()?;
         for _ in 0..times {
             let read = Snapshot::decode(&bytes).map_err(|e| e.to_string())?;
             if std::hint::black_box(read).known != 1 {
-                return Err("another snapshot".into());
+                return Err("the decoded snapshot differs".into());
             }
         }
-        least = least.min((thread_us()? - from) / times as f64);
+        smallest = smallest.min((thread_cpu_us()? - started) / times as f64);
     }
-    Ok([bytes.len() as f64, least])
+    Ok([bytes.len() as f64, smallest])
 }
 
-/// An ask that tells so many scopes whole, as a gateway's first one to a machine does.
-fn telling(member: Member, scopes: u32) -> PollRequest {
+/// Creates a poll with a complete subscription, such as the first poll of a gateway to a control server.
+fn complete_poll(member: Member, scopes: u32) -> PollRequest {
     let scope = |n: u32| match n % 3 {
         0 => Scope::Hosts(n / 3),
         1 => Scope::Routes(n / 3),
@@ -155,21 +170,26 @@
     }
 }
 
-/// What a grantor keeps of each of `followers` members that have so many scopes, in bytes of resident memory, and the
-/// bytes of the ask that tells them. The grantor is handed back, so that what it holds is not taken for the next one's.
-pub fn members(scopes: u32, followers: u32) -> Result<([f64; 2], Lessor), String> {
-    let (store, mut grantor) = (Store::new(), Lessor::new(LeaseConfig::default(), 0.0));
+/// Measures the resident memory that a lessor keeps for each of `followers` members with `scopes` scopes, and
+/// the size of the poll that subscribes to them, both in bytes. Also returns the lessor, so that its memory
+/// is not reused in the next measurement.
+///
+/// # Errors
+///
+/// Fails if a message cannot be encoded or the lessor does not accept every member.
+pub fn measure_members(scopes: u32, followers: u32) -> Result<([f64; 2], Lessor), String> {
+    let (store, mut lessor) = (Store::new(), Lessor::new(LeaseConfig::default(), 0.0));
     let member = |n| Member { name: format!("gateway-{n:04}"), incarnation: 1_790_000_000 };
-    let told = framed(&Message::PollRequest(telling(member(0), scopes)))?.len() as f64;
-    // What the allocator keeps of one ask is nobody's.
-    drop(telling(member(0), scopes));
+    let poll_bytes = encode_frame(&Message::PollRequest(complete_poll(member(0), scopes)))?.len() as f64;
+    // Creating and dropping one poll first keeps the allocator's own growth out of the measurement.
+    drop(complete_poll(member(0), scopes));
     let before = resident(Path::new("/proc/self/status"))?;
     for n in 0..followers {
-        std::hint::black_box(grantor.handle_poll(0.0, &store, 1900.0, &telling(member(n), scopes)));
+        std::hint::black_box(lessor.handle_poll(0.0, &store, 1900.0, &complete_poll(member(n), scopes)));
     }
     let more = resident(Path::new("/proc/self/status"))? - before;
-    match grantor.follower_count() == followers as usize {
-        true => Ok(([more / f64::from(followers), told], grantor)),
-        false => Err("a member was not taken".into()),
+    match lessor.follower_count() == followers as usize {
+        true => Ok(([more / f64::from(followers), poll_bytes], lessor)),
+        false => Err("the lessor did not accept every member".into()),
     }
 }
--- a/fleet-simulator/src/capacity/decision.rs
+++ b/fleet-simulator/src/capacity/decision.rs
@@ -1,25 +1,30 @@
-//! One module before the hosts of one list, for what a decision costs.
-use crate::policy::alone;
+//! Cost of a decision: one balancer with the hosts of one list.
+use crate::policy::single_gateway_settings;
 use ternstack_balancer::{
     Action, Arrival, AttemptEnd, Balancer, DeduplicationScope, EndpointId, EndpointRecord, Event,
     Idempotency, LoadReport, Outcome, RequestClass, RequestId, Settings, Tenant, UpdateKind,
 };
 
-/// A module that has heard from each of its hosts, and a clock, as in the bench of decisions.
-pub struct Warm {
+/// A balancer that has received a response from each of its hosts, with a virtual clock.
+pub struct WarmBalancer {
     balancer: Balancer,
     now: f64,
-    /// Requests so far.
+    /// Number of requests so far.
     pub next: u64,
     gap_ms: f64,
     actions: Vec<Action>,
     timers: Vec<(f64, u64)>,
-    /// Those that were sent.
+    /// Number of requests that were sent to a host.
     pub sent: u64,
 }
 
-impl Warm {
-    /// One of so many gateways before so many hosts, with so long between two requests. It has had two for each host.
+impl WarmBalancer {
+    /// Creates the balancer of one of `instances` gateways, with `gap_ms` between two requests, and completes
+    /// two requests per host.
+    ///
+    /// # Errors
+    ///
+    /// Fails if the settings are invalid.
     pub fn new(hosts: u32, instances: u32, gap_ms: f64) -> Result<Self, String> {
         let class = RequestClass {
             name: "read".into(),
@@ -31,11 +36,21 @@
             deduplication_window_ms: 0.0,
         };
         let tenant = Tenant { name: "one".into(), quota_per_s: 0.0 };
-        let settings =
-            Settings { max_attempts: 3, gateway_count: instances, ..alone(vec![class], vec![tenant]) };
+        let settings = Settings {
+            max_attempts: 3,
+            gateway_count: instances,
+            ..single_gateway_settings(vec![class], vec![tenant])
+        };
         let balancer = Balancer::new(settings, 7).map_err(|e| e.to_string())?;
-        let mut warm =
-            Warm { balancer, now: 1000.0, next: 0, gap_ms, actions: Vec::new(), timers: Vec::new(), sent: 0 };
+        let mut warm = WarmBalancer {
+            balancer,
+            now: 1000.0,
+            next: 0,
+            gap_ms,
+            actions: Vec::new(),
+            timers: Vec::new(),
+            sent: 0,
+        };
         let member = |n| EndpointRecord {
             endpoint: EndpointId(n),
             weight: 1.0,
@@ -43,12 +58,12 @@
             ..EndpointRecord::default()
         };
         let members = (0..hosts).map(member).collect();
-        warm.hand(Event::EndpointUpdate { kind: UpdateKind::Cached, endpoints: members });
-        (0..2 * hosts).for_each(|_| warm.message());
+        warm.handle(Event::EndpointUpdate { kind: UpdateKind::Cached, endpoints: members });
+        (0..2 * hosts).for_each(|_| warm.complete_request());
         Ok(warm)
     }
 
-    fn hand(&mut self, event: Event) {
+    fn handle(&mut self, event: Event) {
         self.actions.clear();
         self.balancer.handle(self.now, event, &mut self.actions);
         let timers = self.actions.iter().filter_map(|a| match a {
@@ -58,33 +73,38 @@
         self.timers.extend(timers);
     }
 
-    /// A request's arrival and its end, and the timers that came due before it.
-    pub fn message(&mut self) {
+    /// Completes one request, after the timers that are due before it.
+    pub fn complete_request(&mut self) {
         let until = self.now + self.gap_ms;
         let is_due = |(at, _): &&(f64, u64)| *at <= until;
         let earlier = |a: &&(f64, u64), b: &&(f64, u64)| a.0.total_cmp(&b.0);
         while let Some(due) = self.timers.iter().filter(is_due).min_by(earlier).copied() {
             self.timers.retain(|t| *t != due);
             self.now = self.now.max(due.0);
-            self.hand(Event::Timer { token: due.1 });
+            self.handle(Event::Timer { token: due.1 });
         }
         self.now = until;
         self.next += 1;
         let request = RequestId(self.next);
-        self.hand(Event::Request(Arrival { request, class: 0, tenant: Some(0), client_timeout_ms: 2500.0 }));
+        self.handle(Event::Request(Arrival {
+            request,
+            class: 0,
+            tenant: Some(0),
+            client_timeout_ms: 2500.0,
+        }));
         let sent = self.actions.iter().find_map(|a| match a {
             Action::Send { endpoint: server, .. } => Some(*server),
             _ => None,
         });
         let Some(server) = sent else { return };
         self.sent += 1;
-        // Figures that change from report to report, as real ones do.
+        // The values change from report to report, as those of real hosts do.
         let report = LoadReport {
             utilization: Some(0.4 + 0.001 * (self.next % 97) as f64),
             throughput_per_s: Some(18.0 + 0.01 * (self.next % 89) as f64),
             queue_length: None,
         };
-        self.hand(Event::AttemptEnd(AttemptEnd {
+        self.handle(Event::AttemptEnd(AttemptEnd {
             request,
             attempt: 0,
             endpoint: server,
--- a/fleet-simulator/src/capacity/gateway.rs
+++ b/fleet-simulator/src/capacity/gateway.rs
@@ -1,4 +1,4 @@
-//! A real process of the gateway, seen from outside, and a discovery for it.
+//! A gateway process, observed from outside, and a discovery stub for it.
 use serde_json::{json, Value};
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::{Ipv4Addr, SocketAddr, TcpListener, TcpStream};
@@ -6,53 +6,65 @@
 use std::sync::{Arc, Condvar, Mutex, MutexGuard, PoisonError};
 use std::time::{Duration, Instant};
 
-/// A gateway that is not ready by then never will be.
+/// Time within which a gateway must be ready and call discovery.
 const READY_WITHIN: Duration = Duration::from_secs(60);
 
-/// A process of the gateway: this very program, told to be one. It is killed with its owner.
+/// A gateway process, started from the current program. The process is killed on drop.
 #[derive(Debug)]
 pub struct Gateway {
     child: Child,
-    /// Where it listens.
+    /// Address on which the gateway listens.
     pub at: SocketAddr,
-    /// From its start until `/ready` answered 200.
+    /// Time from the start until `/ready` returned 200.
     pub ready: Duration,
     _folder: tempfile::TempDir,
 }
 
 impl Gateway {
-    /// Starts it with this configuration, written to a folder of its own, and waits until it is ready.
+    /// Starts a gateway with this configuration, written to a temporary directory, and waits until it is
+    /// ready.
+    ///
+    /// # Errors
+    ///
+    /// Fails if the process cannot be started or is not ready within 60 s.
     pub fn start(config: &Value) -> Result<Self, String> {
-        let told = |e: std::io::Error| format!("gateway: {e}");
-        let folder = tempfile::tempdir().map_err(told)?;
+        let start_error = |e: std::io::Error| format!("gateway: start failed: {e}");
+        let folder = tempfile::tempdir().map_err(start_error)?;
         let file = folder.path().join("gateway.json");
-        std::fs::write(&file, config.to_string()).map_err(told)?;
-        let program = std::env::current_exe().map_err(told)?;
+        std::fs::write(&file, config.to_string()).map_err(start_error)?;
+        let program = std::env::current_exe().map_err(start_error)?;
         let mut command = Command::new(program);
         command.arg("gateway").env("LB_CONFIG", &file).env("LB_LISTEN", "127.0.0.1:0");
         command.env_remove("LB_DISCOVERY").env_remove("LB_LOG").env_remove("LB_NAME");
         let started = Instant::now();
-        let child = command.stdin(Stdio::null()).stderr(Stdio::piped()).spawn().map_err(told)?;
+        let child = command.stdin(Stdio::null()).stderr(Stdio::piped()).spawn().map_err(start_error)?;
         let at = SocketAddr::from((Ipv4Addr::LOCALHOST, 0));
         let mut gateway = Gateway { child, at, ready: Duration::ZERO, _folder: folder };
-        let log = gateway.child.stderr.take().ok_or("gateway: no log")?;
-        let (tell, listening) = std::sync::mpsc::channel();
-        // The log is read to its end, so that the program never waits for its reader.
+        let log = gateway.child.stderr.take().ok_or("gateway: expected the log on stderr")?;
+        let (address_sender, address_receiver) = std::sync::mpsc::channel();
+        // The log is read to its end, so that the gateway never blocks on a full pipe.
         std::thread::spawn(move || {
             for line in BufReader::new(log).lines().map_while(Result::ok) {
                 let listen = line.split("listen=").nth(1).and_then(|rest| rest.split(' ').next());
                 if let Some(at) = listen.and_then(|text| text.parse::<SocketAddr>().ok()) {
-                    let _ = tell.send(at);
+                    let _ = address_sender.send(at);
                 }
             }
         });
-        gateway.at = listening.recv_timeout(READY_WITHIN).map_err(|e| format!("gateway: not ready: {e}"))?;
-        let mut stream = TcpStream::connect(gateway.at).map_err(told)?;
-        stream.write_all(b"GET /ready HTTP/1.1\r\nHost: g\r\nConnection: close\r\n\r\n").map_err(told)?;
+        gateway.at = address_receiver
+            .recv_timeout(READY_WITHIN)
+            .map_err(|e| format!("gateway: expected a log line with its address within 60 s: {e}"))?;
+        let mut stream = TcpStream::connect(gateway.at).map_err(start_error)?;
+        stream
+            .write_all(b"GET /ready HTTP/1.1\r\nHost: g\r\nConnection: close\r\n\r\n")
+            .map_err(start_error)?;
         let mut answer = String::new();
-        stream.read_to_string(&mut answer).map_err(told)?;
+        stream.read_to_string(&mut answer).map_err(start_error)?;
         if !answer.starts_with("HTTP/1.1 200") {
-            return Err(format!("gateway: not ready: {}", answer.lines().next().unwrap_or("no answer")));
+            return Err(format!(
+                "gateway: expected status 200 from /ready, got: {}",
+                answer.lines().next().unwrap_or("no response")
+            ));
         }
         gateway.ready = started.elapsed();
         Ok(gateway)
@@ -62,14 +74,19 @@
         format!("/proc/{}/{name}", self.child.id()).into()
     }
 
-    /// The processor time that its threads have had, in us.
+    /// Returns the CPU time of all threads, in us.
     pub fn cpu_us(&self) -> Result<f64, String> {
-        let tasks = std::fs::read_dir(self.proc("task")).map_err(|e| format!("gateway: {e}"))?;
-        let had = tasks.filter_map(|task| schedule_us(&task.ok()?.path().join("schedstat")));
-        Ok(had.sum())
+        let tasks = std::fs::read_dir(self.proc("task"))
+            .map_err(|e| format!("gateway: cannot list its threads: {e}"))?;
+        let cpu_times = tasks.filter_map(|task| schedstat_cpu_us(&task.ok()?.path().join("schedstat")));
+        Ok(cpu_times.sum())
     }
 
-    /// Waits until it has little to do, at most 30 s: under 2% of a core for 200 ms. What it has had by then, in us.
+    /// Waits until the gateway uses less than 2% of a core over 200 ms. Returns its CPU time so far, in us.
+    ///
+    /// # Errors
+    ///
+    /// Fails if the gateway is still busy after 30 s.
     pub fn settled_cpu_us(&self) -> Result<f64, String> {
         let mut last = self.cpu_us()?;
         for _ in 0..150 {
@@ -80,17 +97,18 @@
             }
             last = now;
         }
-        Err("gateway: does not come to rest".into())
+        Err("gateway: still busy after 30 s".into())
     }
 
-    /// Its resident memory, in bytes.
+    /// Returns the resident memory, in bytes.
     pub fn resident(&self) -> Result<f64, String> {
         resident(&self.proc("status"))
     }
 
-    /// How many sockets it holds.
+    /// Returns the number of open sockets.
     pub fn sockets(&self) -> Result<usize, String> {
-        let files = std::fs::read_dir(self.proc("fd")).map_err(|e| format!("gateway: {e}"))?;
+        let files =
+            std::fs::read_dir(self.proc("fd")).map_err(|e| format!("gateway: cannot list its files: {e}"))?;
         let is_socket = |path: std::path::PathBuf| {
             std::fs::read_link(path).is_ok_and(|to| to.to_string_lossy().starts_with("socket:"))
         };
@@ -100,19 +118,19 @@
 
 impl Drop for Gateway {
     fn drop(&mut self) {
-        // One that has ended by itself is gone already.
+        // Errors are ignored, because the process may already have exited.
         let _ = self.child.kill();
         let _ = self.child.wait();
     }
 }
 
-/// The time on a core that a `schedstat` tells, in us.
-fn schedule_us(file: &std::path::Path) -> Option<f64> {
+/// Returns the CPU time in a `schedstat` file, in us.
+fn schedstat_cpu_us(file: &std::path::Path) -> Option<f64> {
     let text = std::fs::read_to_string(file).ok()?;
     Some(text.split_whitespace().next()?.parse::<f64>().ok()? / 1000.0)
 }
 
-/// The resident memory that a process' `status` tells, in bytes.
+/// Returns the resident memory in a process's `status` file, in bytes.
 pub fn resident(status: &std::path::Path) -> Result<f64, String> {
     let text = std::fs::read_to_string(status).map_err(|e| format!("{}: {e}", status.display()))?;
     let line = text.lines().find_map(|l| l.strip_prefix("VmRSS:"));
@@ -120,13 +138,13 @@
     kib.map(|k| k * 1024.0).ok_or_else(|| format!("{}: expected VmRSS", status.display()))
 }
 
-/// The processor time that this thread has had, in us, to some ms.
-pub fn thread_us() -> Result<f64, String> {
-    let us = schedule_us(std::path::Path::new("/proc/thread-self/schedstat"));
-    us.ok_or_else(|| "/proc/thread-self/schedstat: expected to be there".into())
+/// Returns the CPU time of the current thread in us, with a resolution of some ms.
+pub fn thread_cpu_us() -> Result<f64, String> {
+    let us = schedstat_cpu_us(std::path::Path::new("/proc/thread-self/schedstat"));
+    us.ok_or_else(|| "/proc/thread-self/schedstat: expected the CPU time".into())
 }
 
-/// The configuration of one of so many gateways.
+/// Returns the configuration of one of `instances` gateways.
 pub fn config(instances: u32, tenants: usize, discovery: SocketAddr, known: Value) -> Value {
     let tenants: Vec<Value> = (0..tenants)
         .map(|n| json!({"name": if n == 0 { "acme".into() } else { tenant(n) }, "quota_per_s": 100_000.0}))
@@ -146,18 +164,18 @@
     })
 }
 
-/// The name of a tenant.
+/// Returns the name of a tenant.
 pub fn tenant(number: usize) -> String {
     format!("tenant-{number:06}")
 }
 
-/// A host as discovery lists it.
+/// Returns the discovery entry of a host.
 pub fn host(number: usize, at: SocketAddr, state: &str) -> Value {
     json!({"uid": format!("server-{number:06}"), "endpoint": at.to_string(), "az": "a", "pod_group": 0,
            "state": state, "capacity_hint": 1.0, "boot_ms": 0})
 }
 
-/// A list of hosts nobody calls, whole.
+/// Returns a complete discovery list of hosts that receive no requests.
 pub fn hosts(count: usize) -> Value {
     let at = |n: usize| SocketAddr::from(([10, (n >> 16) as u8, (n >> 8) as u8, n as u8], 8080));
     let targets: Vec<Value> = (0..count).map(|n| host(n, at(n), "SERVING")).collect();
@@ -165,67 +183,68 @@
 }
 
 #[derive(Debug, Default)]
-struct Register {
+struct DiscoveryState {
     rev: u64,
-    whole: String,
+    complete: String,
     change: String,
-    calls: u64, // Calls that have come in; the one after an answer says that the answer has been read.
+    /// Number of calls received. The call after a response shows that the gateway has read the response.
+    calls: u64,
 }
 
-type Shared = Arc<(Mutex<Register>, Condvar)>;
+type SharedState = Arc<(Mutex<DiscoveryState>, Condvar)>;
 
-fn lock(shared: &Shared) -> MutexGuard<'_, Register> {
+fn lock(shared: &SharedState) -> MutexGuard<'_, DiscoveryState> {
     shared.0.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-/// A discovery for one gateway, which serves a list as it is given, and the last change in it.
+/// A discovery stub for one gateway, which serves a fixed list and the last change.
 #[derive(Debug)]
 pub struct Discovery {
-    /// Where it listens.
+    /// Address on which the stub listens.
     pub at: SocketAddr,
-    shared: Shared,
+    shared: SharedState,
 }
 
 impl Discovery {
-    /// One whose list has revision 1.
+    /// Starts a stub that serves `list` with revision 1.
     pub fn start(list: &Value) -> Result<Self, String> {
         let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).map_err(|e| e.to_string())?;
         let at = listener.local_addr().map_err(|e| e.to_string())?;
-        let register = Register { rev: 1, whole: list.to_string(), ..Register::default() };
-        let shared: Shared = Arc::new((Mutex::new(register), Condvar::new()));
-        let theirs = shared.clone();
-        // Its threads end with the program: there are few, and each waits for bytes or news.
+        let state = DiscoveryState { rev: 1, complete: list.to_string(), ..DiscoveryState::default() };
+        let shared: SharedState = Arc::new((Mutex::new(state), Condvar::new()));
+        let listener_state = shared.clone();
+        // The threads run until the program ends; each blocks on input or on a change.
         std::thread::spawn(move || {
             for stream in listener.incoming().filter_map(Result::ok) {
-                let shared = theirs.clone();
+                let shared = listener_state.clone();
                 std::thread::spawn(move || serve(stream, &shared));
             }
         });
         Ok(Discovery { at, shared })
     }
 
-    /// How many calls have come.
+    /// Returns the number of calls received.
     pub fn calls(&self) -> u64 {
         lock(&self.shared).calls
     }
 
-    /// Tells a change, and waits until the gateway has read it and called again.
-    pub fn tell(&self, target: &Value) -> Result<(), String> {
-        let mut register = lock(&self.shared);
-        register.rev += 1;
-        register.change = json!({"rev": register.rev, "all": false, "targets": [target]}).to_string();
-        let calls = register.calls;
-        drop(register);
+    /// Publishes a change, and waits until the gateway has read it and called again.
+    pub fn publish(&self, target: &Value) -> Result<(), String> {
+        let mut state = lock(&self.shared);
+        state.rev += 1;
+        state.change = json!({"rev": state.rev, "all": false, "targets": [target]}).to_string();
+        let calls = state.calls;
+        drop(state);
         self.shared.1.notify_all();
         self.wait_for(calls + 1)
     }
 
-    /// Waits until so many calls have come.
+    /// Waits until the number of calls reaches `calls`.
     pub fn wait_for(&self, calls: u64) -> Result<(), String> {
-        let by = Instant::now() + READY_WITHIN;
+        let deadline = Instant::now() + READY_WITHIN;
         while self.calls() < calls {
-            if Instant::now() > by {
-                return Err("discovery: the gateway does not call again".into());
+            if Instant::now() > deadline {
+                return Err("discovery: expected another call of the gateway within 60 s".into());
             }
             std::thread::sleep(Duration::from_millis(1));
         }
@@ -233,25 +252,25 @@
     }
 }
 
-fn serve(stream: TcpStream, shared: &Shared) {
+fn serve(stream: TcpStream, shared: &SharedState) {
     let _ = stream.set_nodelay(true);
     let Ok(mut answers) = stream.try_clone() else { return };
     let mut lines = BufReader::new(stream).lines().map_while(Result::ok);
     while let Some(first) = lines.next() {
         while lines.next().is_some_and(|line| !line.is_empty()) {}
-        let mut register = lock(shared);
-        register.calls += 1;
+        let mut state = lock(shared);
+        state.calls += 1;
         let after = first.split("after=").nth(1).and_then(|rest| rest.split('&').next()?.parse::<u64>().ok());
         let text = match after {
-            None => register.whole.clone(),
+            None => state.complete.clone(),
             Some(rev) => {
-                let news =
-                    shared.1.wait_timeout_while(register, Duration::from_millis(2400), |r| r.rev <= rev);
-                let (register, _) = news.unwrap_or_else(PoisonError::into_inner);
-                if register.rev > rev {
-                    register.change.clone()
+                let changed =
+                    shared.1.wait_timeout_while(state, Duration::from_millis(2400), |r| r.rev <= rev);
+                let (state, _) = changed.unwrap_or_else(PoisonError::into_inner);
+                if state.rev > rev {
+                    state.change.clone()
                 } else {
-                    json!({"rev": register.rev, "all": false, "targets": []}).to_string()
+                    json!({"rev": state.rev, "all": false, "targets": []}).to_string()
                 }
             }
         };
--- a/fleet-simulator/src/capacity/load.rs
+++ b/fleet-simulator/src/capacity/load.rs
@@ -1,5 +1,5 @@
-//! Load on a real gateway over loopback: clients that ask it and the servers themselves in turn, so that both see the same
-//! machine.
+//! Load on a gateway process over loopback. Clients alternate between the gateway and the hosts themselves,
+//! so that both are measured under the same conditions.
 use super::gateway::{config, host, Discovery, Gateway};
 use serde_json::json;
 use std::time::Duration;
@@ -8,79 +8,82 @@
 use ternstack_fault_tests::stub_servers::StubHost;
 use tokio::time::{interval, Instant, MissedTickBehavior};
 
-/// A load.
+/// Parameters of a load.
 #[derive(Clone, Copy, Debug)]
-pub struct Load {
-    /// Servers.
+pub struct LoadParameters {
+    /// Number of hosts.
     pub hosts: usize,
-    /// Gateways that the one is told share them.
+    /// Number of gateways that share the hosts, as configured at the gateway.
     pub instances: u32,
-    /// Requests a second through the gateway; as many go to servers at once.
+    /// Requests per second through the gateway; as many go directly to the hosts.
     pub per_s: f64,
-    /// How long.
+    /// Duration.
     pub length: Duration,
-    /// How long a request takes a server.
+    /// Time that a host takes for a request.
     pub work: Duration,
     /// The gateway's `conn_idle_ms`.
     pub idle: Duration,
 }
 
-/// What a gateway took for it.
+/// Measurements of a gateway under load.
 #[derive(Clone, Copy, Debug)]
-pub struct Taken {
-    /// Processor time a request, in us.
+pub struct LoadCost {
+    /// CPU time per request, in us.
     pub cpu_us: f64,
-    /// What it added at the median and at 99 in 100, in ms.
+    /// Latency added at the median and at the 99th percentile, in ms.
     pub added_ms: [f64; 2],
-    /// Sockets that it held at the end, but for its listener, discovery's and clients'.
+    /// Number of sockets near the end of the load, without the listener, discovery and clients.
     pub connections: f64,
     /// Resident memory at the end, in bytes.
-    pub resident: f64,
-    /// Requests, and how many of them were not answered with 200.
+    pub resident_bytes: f64,
+    /// Number of requests through the gateway.
     pub requests: u64,
-    /// Those.
+    /// Number of requests, through the gateway or direct, that did not return 200.
     pub failed: u64,
 }
 
-/// Clients that share the load.
+/// Number of clients that share the load.
 const CLIENTS: usize = 20;
 
-/// Puts a load on a gateway of its own. Servers, clients and discovery are in this process.
-pub fn play(load: &Load) -> Result<Taken, String> {
+/// Puts a load on a new gateway process. Hosts, clients and discovery run in the current process.
+///
+/// # Errors
+///
+/// Fails if a process, a server or a measurement fails.
+pub fn apply_load(load: &LoadParameters) -> Result<LoadCost, String> {
     let runtime = tokio::runtime::Builder::new_multi_thread().worker_threads(2).enable_all().build();
     let runtime = runtime.map_err(|e| e.to_string())?;
     let recorder = HistoryRecorder::default();
-    let mut servers = Vec::new();
+    let mut hosts = Vec::new();
     for number in 0..load.hosts {
-        let server =
+        let stub_host =
             runtime.block_on(StubHost::start(number, 1, load.work, &recorder)).map_err(|e| e.to_string())?;
-        servers.push(server);
+        hosts.push(stub_host);
     }
-    let targets: Vec<_> =
-        servers.iter().enumerate().map(|(n, s)| host(n, s.addresses[0], "SERVING")).collect();
+    let targets: Vec<_> = hosts.iter().enumerate().map(|(n, s)| host(n, s.addresses[0], "SERVING")).collect();
     let list = json!({"rev": 1, "all": true, "targets": targets});
     let discovery = Discovery::start(&list)?;
     let mut configured = config(load.instances, 1, discovery.at, list);
     configured["settings"]["limits"]["conn_idle_ms"] = json!(load.idle.as_secs_f64() * 1000.0);
     let gateway = Gateway::start(&configured)?;
-    // What it costs by itself, and a first second in which connections come up.
-    let warm = Load { length: Duration::from_secs(1), ..*load };
-    runtime.block_on(ask(&warm, &gateway, &servers, &recorder))?;
+    // Measures the gateway's idle cost, after one second of load in which connections are established.
+    let warm_up = LoadParameters { length: Duration::from_secs(1), ..*load };
+    runtime.block_on(run_clients(&warm_up, &gateway, &hosts, &recorder))?;
     let idle_from = gateway.settled_cpu_us()?;
     std::thread::sleep(Duration::from_secs(1));
     let idle = gateway.cpu_us()? - idle_from;
     let from = gateway.cpu_us()?;
-    let asked = runtime.block_on(ask(load, &gateway, &servers, &recorder))?;
-    let spent = gateway.cpu_us()? - from - idle * load.length.as_secs_f64();
-    let (through, direct) = (asked.through, asked.direct);
+    let results = runtime.block_on(run_clients(load, &gateway, &hosts, &recorder))?;
+    let cpu_us = gateway.cpu_us()? - from - idle * load.length.as_secs_f64();
+    let (through, direct) = (results.through, results.direct);
     let added = |part: f64| quantile(&through, part) - quantile(&direct, part);
-    Ok(Taken {
-        cpu_us: spent / through.len().max(1) as f64,
+    Ok(LoadCost {
+        cpu_us: cpu_us / through.len().max(1) as f64,
         added_ms: [added(0.5), added(0.99)],
-        connections: asked.sockets,
-        resident: gateway.resident()?,
+        connections: results.sockets,
+        resident_bytes: gateway.resident()?,
         requests: through.len() as u64,
-        failed: asked.failed,
+        failed: results.failed,
     })
 }
 
@@ -90,46 +93,48 @@
 }
 
 #[derive(Default)]
-struct Asked {
-    through: Vec<f64>, // Sorted, in ms.
+struct ClientResults {
+    /// Latencies in ms, sorted.
+    through: Vec<f64>,
     direct: Vec<f64>,
     failed: u64,
     sockets: f64,
 }
 
-async fn ask(
-    load: &Load, gateway: &Gateway, servers: &[StubHost], recorder: &HistoryRecorder,
-) -> Result<Asked, String> {
-    let each = Duration::from_secs_f64(CLIENTS as f64 / load.per_s);
-    let count = (load.length.as_secs_f64() / each.as_secs_f64()) as usize;
+async fn run_clients(
+    load: &LoadParameters, gateway: &Gateway, hosts: &[StubHost], recorder: &HistoryRecorder,
+) -> Result<ClientResults, String> {
+    let interval_per_client = Duration::from_secs_f64(CLIENTS as f64 / load.per_s);
+    let count = (load.length.as_secs_f64() / interval_per_client.as_secs_f64()) as usize;
     let mut tasks = Vec::new();
     for client in 0..CLIENTS {
         let mut through = Client::new(0, gateway.at, recorder);
-        let at = servers[client % servers.len()].addresses[0];
+        let at = hosts[client % hosts.len()].addresses[0];
         let mut direct = Client::new(1, at, recorder);
-        // Clients begin one after another, and not at once.
-        let begin = Instant::now() + each.mul_f64(client as f64 / CLIENTS as f64);
+        // Starts are staggered, so that clients do not send at the same time.
+        let begin = Instant::now() + interval_per_client.mul_f64(client as f64 / CLIENTS as f64);
         tasks.push(tokio::spawn(async move {
-            let mut ticks = tokio::time::interval_at(begin, each);
+            let mut ticks = tokio::time::interval_at(begin, interval_per_client);
             ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
-            let mut asked = Asked::default();
+            let mut results = ClientResults::default();
             for n in 0..count {
                 ticks.tick().await;
                 let id = format!("{client:08x}{n:08x}");
-                let message = Request { id, class: "look", client_timeout: Duration::from_secs(1) };
-                for (client, times) in [(&mut direct, &mut asked.direct), (&mut through, &mut asked.through)]
+                let request = Request { id, class: "look", client_timeout: Duration::from_secs(1) };
+                for (client, times) in
+                    [(&mut direct, &mut results.direct), (&mut through, &mut results.through)]
                 {
                     let from = Instant::now();
-                    let status = client.send(&message).await;
+                    let status = client.send(&request).await;
                     times.push(from.elapsed().as_secs_f64() * 1000.0);
-                    asked.failed += u64::from(status != Some(200));
+                    results.failed += u64::from(status != Some(200));
                 }
             }
-            asked
+            results
         }));
     }
-    // The history is of no use here; it is thrown away lest it grow.
-    let cleaning = {
+    // The history is not used; it is dropped regularly so that it does not grow.
+    let history_cleaner = {
         let recorder = recorder.clone();
         tokio::spawn(async move {
             let mut often = interval(Duration::from_millis(500));
@@ -139,17 +144,17 @@
             }
         })
     };
-    let mut all = Asked::default();
+    let mut all = ClientResults::default();
     tokio::time::sleep(load.length.mul_f64(0.9)).await;
-    // Its listener, and discovery's; clients hold one each.
+    // Subtracts the gateway's listener, the discovery connection and one connection per client.
     all.sockets = gateway.sockets()? as f64 - 2.0 - CLIENTS as f64;
     for task in tasks {
-        let asked = task.await.map_err(|e| e.to_string())?;
-        all.through.extend(asked.through);
-        all.direct.extend(asked.direct);
-        all.failed += asked.failed;
+        let results = task.await.map_err(|e| e.to_string())?;
+        all.through.extend(results.through);
+        all.direct.extend(results.direct);
+        all.failed += results.failed;
     }
-    cleaning.abort();
+    history_cleaner.abort();
     all.through.sort_by(f64::total_cmp);
     all.direct.sort_by(f64::total_cmp);
     Ok(all)
--- a/fleet-simulator/src/capacity/page.rs
+++ b/fleet-simulator/src/capacity/page.rs
@@ -1,11 +1,15 @@
-//! The page on which the tables stand between markers: `<!-- capacity NAME -->` and `<!-- end NAME -->`.
+//! Tables on a Markdown page, between the markers `<!-- capacity NAME -->` and `<!-- end NAME -->`.
 use super::tables;
 use super::Capacity;
 
-/// The page with every block as worked out. Errs where a marker is missing.
+/// Returns the page with all tables updated.
+///
+/// # Errors
+///
+/// Fails if a marker is missing or the tables cannot be computed.
 pub fn with_tables(page: &str, capacity: &Capacity) -> Result<String, String> {
     let mut page = page.to_string();
-    for (name, text) in tables::all(capacity)? {
+    for (name, text) in tables::all_tables(capacity)? {
         let (begin, end) = (format!("<!-- capacity {name} -->\n"), format!("<!-- end {name} -->"));
         let from = page.find(&begin).ok_or_else(|| format!("expected a line {}", begin.trim_end()))?;
         let from = from + begin.len();
@@ -15,14 +19,14 @@
     Ok(page)
 }
 
-/// The first line, by its number, in which a page is not as worked out.
-pub fn first_difference(page: &str, wanted: &str) -> Option<(usize, String)> {
-    let mut wanted = wanted.lines();
+/// Returns the number and the expected text of the first line that differs from the expected page.
+pub fn first_difference(page: &str, expected: &str) -> Option<(usize, String)> {
+    let mut expected = expected.lines();
     for (n, line) in page.lines().enumerate() {
-        match wanted.next() {
-            Some(want) if want == line => {}
+        match expected.next() {
+            Some(expected_line) if expected_line == line => {}
             other => return Some((n + 1, other.unwrap_or("nothing").to_string())),
         }
     }
-    wanted.next().map(|want| (page.lines().count() + 1, want.to_string()))
+    expected.next().map(|expected_line| (page.lines().count() + 1, expected_line.to_string()))
 }
--- a/fleet-simulator/src/capacity/tables.rs
+++ b/fleet-simulator/src/capacity/tables.rs
@@ -1,10 +1,10 @@
-//! The page's tables, in Markdown, by the names of the blocks in which they stand.
-use super::limits::{play, ways, Sizes};
-use super::{Capacity, Figure, Moment, Slope, Worked, MISSING};
+//! Tables of the capacity page in Markdown, by the names of their markers.
+use super::limits::{approaches, simulate_tenant, Sizes};
+use super::{Capacity, ComputedRow, Figure, Moment, Slope, MISSING};
 use std::fmt::Write as _;
 
-/// A number with three digits that count, or whole where it is large.
-pub fn short(value: f64) -> String {
+/// Formats a number with three significant digits; large numbers as integers with grouped digits.
+pub fn format_number(value: f64) -> String {
     let digits = match value.abs() {
         0.0 => return "0".into(),
         v if v < 10.0 => 2 - v.log10().floor().max(-9.0) as i32,
@@ -25,13 +25,17 @@
     rest.map_or(grouped.clone(), |rest| format!("{grouped}.{rest}"))
 }
 
-fn words(name: &str) -> String {
+fn spaced(name: &str) -> String {
     name.replace('_', " ")
 }
 
-/// All blocks: name and text. Errs where the play of limits cannot be drawn.
-pub fn all(c: &Capacity) -> Result<Vec<(&'static str, String)>, String> {
-    let rows = c.work().map_err(|(_, problem)| problem)?;
+/// Returns name and text of all tables.
+///
+/// # Errors
+///
+/// Fails if the rows cannot be computed or the limits cannot be simulated.
+pub fn all_tables(c: &Capacity) -> Result<Vec<(&'static str, String)>, String> {
+    let rows = c.compute_rows().map_err(|(_, problem)| problem)?;
     let sizes = Sizes::of(c)?;
     Ok(vec![
         ("sizes", figures(&c.size)),
@@ -40,8 +44,8 @@
         ("needs", needs(&rows)),
         ("sums", sums(&rows)),
         ("missing", missing(&rows)),
-        ("limits", limits(c, &sizes)),
-        ("error", error(c, &sizes)?),
+        ("limits", limits_table(c, &sizes)),
+        ("error", errors_table(c, &sizes)?),
         ("slopes", slopes(&c.slope)),
     ])
 }
@@ -49,8 +53,14 @@
 fn figures(list: &[Figure]) -> String {
     let mut out = String::from("| what | value | unit | from |\n| --- | ---: | --- | --- |\n");
     for f in list {
-        let _ =
-            writeln!(out, "| {} | {} | {} | {} |", words(f.name.get_ref()), short(f.value), f.unit, f.from);
+        let _ = writeln!(
+            out,
+            "| {} | {} | {} | {} |",
+            spaced(f.name.get_ref()),
+            format_number(f.value),
+            f.unit,
+            f.from
+        );
     }
     out
 }
@@ -61,16 +71,17 @@
     for d in &c.derived {
         let name = d.name.get_ref();
         let value = figures.get(name.as_str()).copied().unwrap_or_default();
-        let times = d.times.iter().map(|n| words(n.get_ref()));
-        let mut product: Vec<String> = (d.factor != 1.0).then(|| short(d.factor)).into_iter().collect();
+        let times = d.times.iter().map(|n| spaced(n.get_ref()));
+        let mut product: Vec<String> =
+            (d.factor != 1.0).then(|| format_number(d.factor)).into_iter().collect();
         product.extend(times);
-        let over: Vec<String> = d.over.iter().map(|n| words(n.get_ref())).collect();
+        let over: Vec<String> = d.over.iter().map(|n| spaced(n.get_ref())).collect();
         let mut formula = if product.is_empty() { "1".into() } else { product.join(" x ") };
         if !over.is_empty() {
             let _ = write!(formula, " / {}", over.join(" / "));
         }
         let from = if d.from.is_empty() { formula } else { format!("{formula}: {}", d.from) };
-        let _ = writeln!(out, "| {} | {} | {} | {from} |", words(name), short(value), d.unit);
+        let _ = writeln!(out, "| {} | {} | {} | {from} |", spaced(name), format_number(value), d.unit);
     }
     out
 }
@@ -85,13 +96,13 @@
 
 fn percent(share: f64) -> String {
     match 100.0 * share {
-        p if p >= 10.0 => format!("{}%", short(p.round())),
+        p if p >= 10.0 => format!("{}%", format_number(p.round())),
         p if p >= 0.1 => format!("{p:.1}%"),
         _ => "<0.1%".into(),
     }
 }
 
-fn needs(rows: &[Worked]) -> String {
+fn needs(rows: &[ComputedRow]) -> String {
     let mut out = String::new();
     let mut roles: Vec<&str> = Vec::new();
     for row in rows {
@@ -107,12 +118,12 @@
         );
         for row in rows.iter().filter(|r| r.role == role) {
             let slope = match (row.slope, row.slope_unit.as_str()) {
-                (Some(value), unit) => format!("{} {unit}", short(value)),
+                (Some(value), unit) => format!("{} {unit}", format_number(value)),
                 (None, "") => String::new(),
                 (None, unit) => format!("? {unit}"),
             };
-            let product = row.product.map_or("?".into(), |p| format!("{} {}", short(p), row.unit));
-            let budget = row.budget.map_or(String::new(), short);
+            let product = row.product.map_or("?".into(), |p| format!("{} {}", format_number(p), row.unit));
+            let budget = row.budget.map_or(String::new(), format_number);
             let share = row.share.map_or(String::new(), percent);
             let carried =
                 if row.mechanism == MISSING { "**missing**".into() } else { format!("`{}`", row.mechanism) };
@@ -133,7 +144,7 @@
     out
 }
 
-fn sums(rows: &[Worked]) -> String {
+fn sums(rows: &[ComputedRow]) -> String {
     let mut out = String::from("| role | second | budget | sum | share | left out, not measured yet |\n");
     out.push_str("| --- | --- | --- | ---: | ---: | --- |\n");
     let mut seen: Vec<(&str, Moment, &str)> = Vec::new();
@@ -144,7 +155,7 @@
             continue;
         }
         seen.push(key);
-        let of: Vec<&Worked> = rows
+        let of: Vec<&ComputedRow> = rows
             .iter()
             .filter(|r| r.adds && (r.role.as_str(), r.moment) == (key.0, key.1))
             .filter(|r| r.budget_name.as_deref() == Some(key.2))
@@ -157,8 +168,8 @@
             "| {} | {} | {} | {} {} | {share} | {} |",
             row.role,
             moment(row.moment),
-            words(budget),
-            short(sum),
+            spaced(budget),
+            format_number(sum),
             row.unit,
             open.join(", ")
         );
@@ -166,14 +177,14 @@
     out
 }
 
-fn missing(rows: &[Worked]) -> String {
-    let mut lacking: Vec<&Worked> = rows.iter().filter(|r| r.lacks()).collect();
-    // What is over by most first; what is not measured last, in the file's order.
-    let rank = |r: &Worked| r.share.unwrap_or(0.0);
-    lacking.sort_by(|a, b| rank(b).total_cmp(&rank(a)));
+fn missing(rows: &[ComputedRow]) -> String {
+    let mut unmet: Vec<&ComputedRow> = rows.iter().filter(|r| r.is_unmet()).collect();
+    // Rows furthest over their budget come first, rows without a measurement last in the order of the file.
+    let rank = |r: &ComputedRow| r.share.unwrap_or(0.0);
+    unmet.sort_by(|a, b| rank(b).total_cmp(&rank(a)));
     let mut out = String::from("| role | second | need | share of the budget | carried by |\n");
     out.push_str("| --- | --- | --- | ---: | --- |\n");
-    for r in lacking {
+    for r in unmet {
         let share = r.share.map_or_else(|| r.verdict(), percent);
         let by = if r.mechanism == MISSING { "**missing**".into() } else { format!("`{}`", r.mechanism) };
         let _ = writeln!(out, "| {} | {} | {} | {share} | {by} |", r.role, moment(r.moment), r.need);
@@ -181,18 +192,18 @@
     out
 }
 
-fn limits(c: &Capacity, sizes: &Sizes) -> String {
+fn limits_table(c: &Capacity, sizes: &Sizes) -> String {
     let mut out =
         String::from("| way | bytes a second at a gateway | formula | acted on within | error | verdict |\n");
     out.push_str("| --- | ---: | --- | ---: | --- | --- |\n");
-    for w in ways(&c.limits, sizes) {
+    for w in approaches(&c.limits, sizes) {
         let _ = writeln!(
             out,
             "| {} | {} | {} | {} s | {} | {} |",
             w.name,
-            short(w.bytes_per_s),
+            format_number(w.bytes_per_s),
             w.formula,
-            short(w.late_s),
+            format_number(w.late_s),
             w.error,
             w.verdict
         );
@@ -200,7 +211,7 @@
     out
 }
 
-fn error(c: &Capacity, sizes: &Sizes) -> Result<String, String> {
+fn errors_table(c: &Capacity, sizes: &Sizes) -> Result<String, String> {
     let t = &c.limits;
     let mut out = String::from(
         "| quota by the mean tenant's | asks for, by its quota | counted | bound, steadily | got, mean | windows misjudged \
@@ -208,22 +219,24 @@
          | ---: | ---: | ---: | ---: | ---: | ---: | ---: | ---: | ---: |\n",
     );
     for size in [0.25, 1.0, 10.0, 1000.0] {
-        let quota = size * t.quota_by_mean * sizes.mean();
+        let quota = size * t.quota_by_mean * sizes.mean_requests_per_s();
         for asks in [0.7, 1.0, 2.0, 10.0] {
             let rate = asks * quota;
-            let steady = play(t, quota, rate, 400, false, t.seed)?;
-            let first: Result<Vec<f64>, String> =
-                (0..50).map(|n| play(t, quota, rate, 1, true, t.seed + n).map(|p| p.mean)).collect();
+            let steady = simulate_tenant(t, quota, rate, 400, false, t.seed)?;
+            let first: Result<Vec<f64>, String> = (0..50)
+                .map(|n| simulate_tenant(t, quota, rate, 1, true, t.seed + n).map(|p| p.mean))
+                .collect();
             let first = first?;
-            let bound = t.most_steadily(quota).map_or("none".into(), |b| format!("{b:.2}"));
-            let formula = if asks > 1.0 { format!("{:.2}", t.first_window(quota, rate)) } else { "".into() };
+            let bound = t.max_steady_throughput(quota).map_or("none".into(), |b| format!("{b:.2}"));
+            let formula =
+                if asks > 1.0 { format!("{:.2}", t.first_window_throughput(quota, rate)) } else { "".into() };
             let beyond = if asks < 1.0 { String::new() } else { format!("{:.2}%", 100.0 * steady.beyond) };
             let _ = writeln!(
                 out,
                 "| {} | {} | {} | {bound} | {:.2} | {beyond} | {formula} | {:.2} | {:.1}% |",
-                short(size),
-                short(asks),
-                percent(t.sampled(quota)),
+                format_number(size),
+                format_number(asks),
+                percent(t.sampled_share(quota)),
                 steady.mean,
                 first.iter().sum::<f64>() / first.len() as f64,
                 100.0 * steady.refused
@@ -239,9 +252,9 @@
     out.push_str("| --- | --- | --- | --- | --- | --- |\n");
     for s in list {
         let points: Vec<String> =
-            s.points.iter().map(|[n, v]| format!("{}: {}", short(*n), short(*v))).collect();
+            s.points.iter().map(|[n, v]| format!("{}: {}", format_number(*n), format_number(*v))).collect();
         let measured = match s.value {
-            Some(value) => short(value),
+            Some(value) => format_number(value),
             None if points.is_empty() => "not measured yet".into(),
             None => points.join("; "),
         };
@@ -251,8 +264,11 @@
         let unit = if s.per.is_empty() { s.unit.clone() } else { format!("{} by {}", s.unit, s.per) };
         let what = if s.note.is_empty() { s.what.clone() } else { format!("{} ({})", s.what, s.note) };
         let by = if s.command.is_empty() { String::new() } else { format!("`{}`, {}", s.command, s.commit) };
-        let _ =
-            writeln!(out, "| {} | {what} | {unit} | {measured} | {growth} | {by} |", words(s.name.get_ref()));
+        let _ = writeln!(
+            out,
+            "| {} | {what} | {unit} | {measured} | {growth} | {by} |",
+            spaced(s.name.get_ref())
+        );
     }
     out
 }
--- a/fleet-simulator/src/experiment.rs
+++ b/fleet-simulator/src/experiment.rs
@@ -1,8 +1,8 @@
-//! Experiments: a TOML file names the world, its size, what goes wrong, the seeds, and the variants that are
-//! compared. What is not understood is refused, with file, line and key; nothing is guessed.
-use crate::drive::{play, Focus, Played, Setup};
+//! Experiments: a TOML file describes the world, its disturbances, the seeds, and the variants to compare.
+//! Unknown keys and invalid values are rejected with file, line and key.
 use crate::judge::Findings;
-use crate::policy::{Metered, Which};
+use crate::policy::{PolicyKind, TimedPolicy};
+use crate::simulation::{simulate, RunOutcome, Setup, TraceTarget};
 use crate::trouble::Trouble;
 use crate::world::spec::World;
 use crate::world::us;
@@ -16,98 +16,98 @@
 use toml::de::{DeArray, DeTable, DeValue};
 use toml::{Spanned, Value};
 
-/// An experiment as its file gives it.
+/// An experiment, as described by its file.
 #[derive(Clone, Debug, PartialEq, Deserialize, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct Experiment {
-    /// Its name.
+    /// Name, also the name of the result files.
     pub name: String,
-    /// What it is to show.
+    /// What the experiment shows.
     pub about: String,
-    /// How many seeds, from 1 up.
-    #[serde(default = "twenty")]
+    /// Number of seeds, which run from 1 up.
+    #[serde(default = "default_seeds")]
     pub seeds: u32,
-    /// For how long messages begin.
-    #[serde(default = "minute")]
+    /// Time at which arrivals end, in seconds.
+    #[serde(default = "default_length_s")]
     pub length_s: f64,
-    /// What begins before counts for no service.
-    #[serde(default = "two")]
+    /// Messages that begin before this time, in seconds, are left out of the service figures.
+    #[serde(default = "default_warm_up_s")]
     pub warm_up_s: f64,
-    /// The world.
+    /// World of all variants.
     #[serde(default)]
     pub world: World,
-    /// What goes wrong.
+    /// Disturbances during each run.
     #[serde(default)]
     pub trouble: Vec<Trouble>,
-    /// What is compared; all policies with and without a retry budget where there is none.
+    /// Variants to compare; if empty, all policies, the baselines with and without a retry budget.
     #[serde(default)]
     pub variant: Vec<Variant>,
-    /// Keys, by path, and the values that each takes in turn.
+    /// Paths of keys and the values that each key takes in turn.
     #[serde(default)]
     pub sweep: BTreeMap<String, Vec<Value>>,
 }
 
-fn twenty() -> u32 {
+fn default_seeds() -> u32 {
     20
 }
 
-fn minute() -> f64 {
+fn default_length_s() -> f64 {
     60.0
 }
 
-fn two() -> f64 {
+fn default_warm_up_s() -> f64 {
     2.0
 }
 
-/// One of the things compared.
+/// One of the compared variants.
 #[derive(Clone, Debug, Default, PartialEq, Deserialize, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct Variant {
-    /// Its name.
+    /// Name, unique within the experiment.
     pub name: String,
-    /// Who decides.
+    /// Policy of the gateways.
     #[serde(default)]
-    pub policy: Which,
-    /// The part of first attempts that a comparison policy may repeat; no limit where absent.
+    pub policy: PolicyKind,
+    /// Retry budget of a baseline policy as a share of the first attempts; unlimited if absent.
     #[serde(default)]
     pub budget: Option<f64>,
-    /// Keys, by path, that are different from the experiment's.
+    /// Paths of keys that differ from the experiment, with their values.
     #[serde(default)]
     pub set: BTreeMap<String, Value>,
 }
 
-/// A variant at one point of the sweep, ready to be played.
+/// A variant at one point of the sweep, ready to run.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Case {
-    /// The variant's name and the swept values.
+    /// Name of the variant, followed by the swept values.
     pub name: String,
-    /// Who decides.
-    pub policy: Which,
-    /// Its retry budget.
+    /// Policy of the gateways.
+    pub policy: PolicyKind,
+    /// Retry budget of a baseline policy.
     pub budget: Option<f64>,
-    /// Its world.
+    /// World with the variant's and the sweep's values.
     pub world: World,
-    /// Its troubles.
+    /// Disturbances with the variant's and the sweep's values.
     pub troubles: Vec<Trouble>,
 }
 
-/// One step on a path: a key or a place in a list.
-fn steps(path: &str) -> impl Iterator<Item = &str> {
+/// Splits a path into its keys and list indexes.
+fn path_steps(path: &str) -> impl Iterator<Item = &str> {
     path.split(['.', '[', ']']).filter(|step| !step.is_empty())
 }
 
-/// The line, from 1, of a byte of a text.
+/// Returns the line, from 1, of a byte offset.
 fn line_at(text: &str, at: usize) -> usize {
     1 + text.as_bytes()[..at.min(text.len())].iter().filter(|b| **b == b'\n').count()
 }
 
-/// The line, from 1, of the deepest part of a path that the text has.
+/// Returns the line, from 1, of the deepest part of a path that exists in the text.
 fn line_of(text: &str, path: &str) -> usize {
     let Ok(root) = DeTable::parse(text) else { return 1 };
     let root = root.into_inner();
     let (mut found, mut table, mut list): (usize, Option<&DeTable>, Option<&DeArray>) =
         (0, Some(&root), None);
-    for step in steps(path) {
+    for step in path_steps(path) {
         let next: Option<&Spanned<DeValue>> = match (table, list) {
             (Some(t), _) => {
                 let entry = t.iter().find(|(key, _)| key.get_ref().as_ref() == step);
@@ -132,18 +132,18 @@
     line_at(text, found)
 }
 
-/// Puts a value at a path.
-fn put(root: &mut Value, path: &str, value: Value) -> Result<(), String> {
-    let steps: Vec<&str> = steps(path).collect();
-    let Some((last, way)) = steps.split_last() else { return Err("expected a path of keys".into()) };
+/// Sets the value at a path.
+fn set_at_path(root: &mut Value, path: &str, value: Value) -> Result<(), String> {
+    let path_steps: Vec<&str> = path_steps(path).collect();
+    let Some((last, parents)) = path_steps.split_last() else { return Err("expected a path of keys".into()) };
     let mut at = root;
-    for step in way {
+    for step in parents {
         at = match at {
             Value::Table(t) => t.get_mut(*step),
             Value::Array(a) => step.parse::<usize>().ok().and_then(|n| a.get_mut(n)),
             _ => None,
         }
-        .ok_or_else(|| format!("there is no {step}"))?;
+        .ok_or_else(|| format!("{step}: no such key"))?;
     }
     match at {
         Value::Table(t) => {
@@ -152,21 +152,29 @@
         }
         Value::Array(a) => {
             let place = last.parse::<usize>().ok().and_then(|n| a.get_mut(n));
-            *place.ok_or_else(|| format!("there is no {last}"))? = value;
+            *place.ok_or_else(|| format!("{last}: no such key"))? = value;
             Ok(())
         }
-        _ => Err(format!("there is no {last}")),
+        _ => Err(format!("{last}: no such key")),
     }
 }
 
 impl Experiment {
-    /// Reads a file. The error names file, line and key, and what was expected.
+    /// Reads an experiment file.
+    ///
+    /// # Errors
+    ///
+    /// Names file, line and key, and what was expected.
     pub fn load(path: &Path) -> Result<Self, String> {
         let text = std::fs::read_to_string(path).map_err(|e| format!("{}: {e}", path.display()))?;
         Self::read(&text).map_err(|e| format!("{}:{e}", path.display()))
     }
 
-    /// Reads the text of a file. The error begins with the line.
+    /// Parses the text of an experiment file.
+    ///
+    /// # Errors
+    ///
+    /// The message begins with the line.
     pub fn read(text: &str) -> Result<Self, String> {
         let experiment: Experiment = toml::from_str(text).map_err(|e| {
             let at = e.span().map_or(0, |s| s.start);
@@ -178,7 +186,7 @@
         Ok(experiment)
     }
 
-    /// Tells the first key, by its path, that cannot be worked with.
+    /// Checks all values; the error holds the path of the first invalid key, and what was expected.
     fn check(&self) -> Result<(), (String, String)> {
         let need = |ok: bool, key: &str, wanted: &str| {
             if ok {
@@ -192,7 +200,7 @@
         need(
             self.length_s > 0.0 && self.length_s <= 86_400.0,
             "length_s",
-            "expected above 0, at most a day",
+            "expected above 0 and at most 86400",
         )?;
         need(
             self.warm_up_s >= 0.0 && self.warm_up_s < self.length_s,
@@ -206,9 +214,9 @@
             need(!other, &key("name"), "expected a name that no other variant has")?;
             need(variant.budget.is_none_or(|b| (0.0..=1.0).contains(&b)), &key("budget"), "expected 0 to 1")?;
             need(
-                variant.budget.is_none() || variant.policy != Which::Module,
+                variant.budget.is_none() || variant.policy != PolicyKind::Module,
                 &key("budget"),
-                "expected none: the module has its own",
+                "expected no budget, because the module has its own",
             )?;
         }
         for (path, values) in &self.sweep {
@@ -219,18 +227,18 @@
 
     fn case(&self, variant: &Variant, swept: &[(String, Value)], n: usize) -> Result<Case, (String, String)> {
         let mut root = toml::Table::new();
-        let bad = |e: toml::ser::Error| ("world".to_string(), e.to_string());
-        root.insert("world".into(), Value::try_from(&self.world).map_err(bad)?);
-        root.insert("trouble".into(), Value::try_from(&self.trouble).map_err(bad)?);
+        let world_error = |e: toml::ser::Error| ("world".to_string(), e.to_string());
+        root.insert("world".into(), Value::try_from(&self.world).map_err(world_error)?);
+        root.insert("trouble".into(), Value::try_from(&self.trouble).map_err(world_error)?);
         let mut root = Value::Table(root);
         let set = variant.set.iter().map(|(path, value)| (format!("variant[{n}].set.{path}"), path, value));
         let sweep = swept.iter().map(|(path, value)| (format!("sweep.{path}"), path, value));
         let mut last = None;
         for (key, path, value) in sweep.chain(set) {
-            put(&mut root, path, value.clone()).map_err(|e| (key.clone(), e))?;
+            set_at_path(&mut root, path, value.clone()).map_err(|e| (key.clone(), e))?;
             last = Some(key);
         }
-        let key = |own: String| last.clone().unwrap_or(own);
+        let key = |own_key: String| last.clone().unwrap_or(own_key);
         #[derive(Deserialize)]
         struct Patched {
             world: World,
@@ -239,14 +247,14 @@
         let patched: Patched =
             root.try_into().map_err(|e: toml::de::Error| (key("world".into()), e.to_string()))?;
         patched.world.check().map_err(|e| {
-            let (own, problem) = e.split_once(": ").unwrap_or(("", &e));
-            (key(format!("world.{own}")), if last.is_some() { e.clone() } else { problem.to_string() })
+            let (own_key, problem) = e.split_once(": ").unwrap_or(("", &e));
+            (key(format!("world.{own_key}")), if last.is_some() { e.clone() } else { problem.to_string() })
         })?;
         for (n, trouble) in patched.trouble.iter().enumerate() {
             trouble.check(&patched.world).map_err(|e| {
-                let (own, problem) = e.split_once(": ").unwrap_or(("", &e));
+                let (own_key, problem) = e.split_once(": ").unwrap_or(("", &e));
                 (
-                    key(format!("trouble[{n}].{own}")),
+                    key(format!("trouble[{n}].{own_key}")),
                     if last.is_some() { e.clone() } else { problem.to_string() },
                 )
             })?;
@@ -257,9 +265,8 @@
         Ok(Case { name, policy, budget, world: patched.world, troubles: patched.trouble })
     }
 
-    /// Leaves out the variants whose names do not hold a text.
-    /// True if any are left.
-    pub fn only(&mut self, text: &str) -> bool {
+    /// Keeps only the variants whose names contain `text`. Returns whether any remain.
+    pub fn retain_variants(&mut self, text: &str) -> bool {
         if self.variant.is_empty() {
             self.variant = all_policies();
         }
@@ -267,7 +274,11 @@
         !self.variant.is_empty()
     }
 
-    /// All variants at all points of the sweep.
+    /// Returns all variants at all points of the sweep.
+    ///
+    /// # Errors
+    ///
+    /// Returns the path of the first key that cannot be set or whose value is invalid, and the problem.
     pub fn cases(&self) -> Result<Vec<Case>, (String, String)> {
         let variants = if self.variant.is_empty() { all_policies() } else { self.variant.clone() };
         let mut points: Vec<Vec<(String, Value)>> = vec![Vec::new()];
@@ -286,39 +297,53 @@
         Ok(cases)
     }
 
-    /// Plays one case under one seed.
-    pub fn play(&self, case: &Case, seed: u64, focus: Option<Focus>) -> Result<(Played, Spent), String> {
-        let module = Rc::new(Cell::new(Duration::ZERO));
-        let begun = Instant::now();
-        let make = |settings, seed| {
-            let policy = case.policy.make(settings, seed, case.budget)?;
-            Ok(Box::new(Metered::new(policy, Rc::clone(&module))) as Box<dyn crate::policy::Policy>)
+    /// Simulates one case with one seed.
+    ///
+    /// # Errors
+    ///
+    /// Fails if the simulation cannot be set up.
+    pub fn run_case(
+        &self, case: &Case, seed: u64, trace_target: Option<TraceTarget>,
+    ) -> Result<(RunOutcome, WallTime), String> {
+        let policy_time = Rc::new(Cell::new(Duration::ZERO));
+        let started = Instant::now();
+        let make_policy = |settings, seed| {
+            let policy = case.policy.create(settings, seed, case.budget)?;
+            Ok(Box::new(TimedPolicy::new(policy, Rc::clone(&policy_time))) as Box<dyn crate::policy::Policy>)
         };
-        let played = play(&Setup {
+        let outcome = simulate(&Setup {
             world: &case.world,
             troubles: &case.troubles,
             seed,
             warm_up: us(self.warm_up_s * 1000.0),
             length: us(self.length_s * 1000.0),
-            make: &make,
-            focus,
+            make_policy: &make_policy,
+            trace_target,
         })?;
-        Ok((played, Spent { whole: begun.elapsed(), policy: module.get() }))
+        Ok((outcome, WallTime { total: started.elapsed(), policies: policy_time.get() }))
     }
 
-    /// Plays all cases under all seeds, so many at once. `tick` is called after each run. The outcome does not
-    /// depend on `jobs`; what time it took does, and stays apart from it.
-    pub fn run(&self, jobs: usize, tick: &(dyn Fn() + Sync)) -> Result<(Results, Vec<Spent>), String> {
+    /// Simulates all cases with all seeds, `jobs` runs at once; 0 for one per core. Calls `tick` after each
+    /// run. The results do not depend on `jobs`; the times spent do, and are therefore returned separately.
+    ///
+    /// # Errors
+    ///
+    /// Fails if a case is invalid, the thread pool cannot start or a run fails.
+    pub fn run(
+        &self, jobs: usize, on_run_end: &(dyn Fn() + Sync),
+    ) -> Result<(Results, Vec<WallTime>), String> {
         let cases = self.cases().map_err(|(path, e)| format!("{path}: {e}"))?;
         let pool = rayon::ThreadPoolBuilder::new().num_threads(jobs).build().map_err(|e| e.to_string())?;
         let all: Vec<(usize, u64)> =
             (0..cases.len()).flat_map(|c| (1..=u64::from(self.seeds)).map(move |s| (c, s))).collect();
-        let played: Result<Vec<_>, String> = pool.install(|| {
+        let outcome: Result<Vec<_>, String> = pool.install(|| {
             all.par_iter()
                 .map(|(c, seed)| {
-                    let played = self.play(&cases[*c], *seed, None);
-                    tick();
-                    played.map(|(played, spent)| (*c, Run { seed: *seed, findings: played.findings }, spent))
+                    let outcome = self.run_case(&cases[*c], *seed, None);
+                    on_run_end();
+                    outcome.map(|(outcome, wall_times)| {
+                        (*c, Run { seed: *seed, findings: outcome.findings }, wall_times)
+                    })
                 })
                 .collect()
         });
@@ -326,13 +351,13 @@
             .iter()
             .map(|c| VariantResults { name: c.name.clone(), policy: c.policy, runs: Vec::new() })
             .collect();
-        let mut spent = vec![Spent::default(); cases.len()];
-        for (c, run, took) in played? {
+        let mut wall_times = vec![WallTime::default(); cases.len()];
+        for (c, run, run_time) in outcome? {
             variants[c].runs.push(run);
-            spent[c].whole += took.whole;
-            spent[c].policy += took.policy;
+            wall_times[c].total += run_time.total;
+            wall_times[c].policies += run_time.policies;
         }
-        let troubles = self.trouble.iter().map(|t| Mark {
+        let troubles = self.trouble.iter().map(|t| TroubleSpan {
             name: t.name().into(),
             at_s: t.at_s,
             end_s: t.at_s + t.for_s,
@@ -347,14 +372,14 @@
             troubles: troubles.collect(),
             variants,
         };
-        Ok((results, spent))
+        Ok((results, wall_times))
     }
 }
 
-/// The module and all comparison policies, each with and without a retry budget.
+/// Returns the balancer, and all baselines with and without a retry budget.
 fn all_policies() -> Vec<Variant> {
     let mut variants = vec![Variant { name: "module".into(), ..Variant::default() }];
-    for policy in Which::ALL.into_iter().skip(1) {
+    for policy in PolicyKind::ALL.into_iter().skip(1) {
         let name = policy.name();
         variants.push(Variant { name: name.into(), policy, ..Variant::default() });
         let budget = Some(0.2);
@@ -363,75 +388,76 @@
     variants
 }
 
-/// Time on the wall that runs took.
+/// Wall-clock time of runs.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Spent {
-    /// In all.
-    pub whole: Duration,
-    /// In the policies of the gateways; the rest is the laboratory's own.
-    pub policy: Duration,
+pub struct WallTime {
+    /// Total time.
+    pub total: Duration,
+    /// Time within the policies of the gateways; the rest is spent in the simulator.
+    pub policies: Duration,
 }
 
-/// A trouble as a report marks it.
+/// Time span of a disturbance, as marked in a report.
 #[derive(Clone, Debug, PartialEq, Deserialize, Serialize)]
-pub struct Mark {
-    /// Its kind.
+pub struct TroubleSpan {
+    /// Kind of the disturbance.
     pub name: String,
-    /// When it began, in seconds.
+    /// Start, in seconds.
     pub at_s: f64,
-    /// When it was over, in seconds.
+    /// End, in seconds.
     pub end_s: f64,
 }
 
-/// One run.
+/// Result of one run.
 #[derive(Clone, Debug, PartialEq, Deserialize, Serialize)]
 pub struct Run {
-    /// Its seed.
+    /// Seed of the run.
     pub seed: u64,
-    /// What it showed.
+    /// Findings of the judge.
     pub findings: Findings,
 }
 
-/// All runs of a variant.
+/// Results of all runs of a variant.
 #[derive(Clone, Debug, PartialEq, Deserialize, Serialize)]
 pub struct VariantResults {
-    /// Its name.
+    /// Name of the variant, followed by the swept values.
     pub name: String,
-    /// Who decided.
-    pub policy: Which,
-    /// Its runs, by seed.
+    /// Policy of the gateways.
+    pub policy: PolicyKind,
+    /// Results, by seed.
     pub runs: Vec<Run>,
 }
 
-/// What an experiment showed: the same for the same file, whatever machine and number of jobs.
+/// Results of an experiment. They depend only on the experiment file, not on the machine or the number of
+/// jobs.
 #[derive(Clone, Debug, PartialEq, Deserialize, Serialize)]
 pub struct Results {
-    /// Its name.
+    /// Name of the experiment.
     pub experiment: String,
-    /// What it is to show.
+    /// What the experiment shows.
     pub about: String,
-    /// For how long messages began.
+    /// Time at which arrivals ended, in seconds.
     pub length_s: f64,
-    /// What began before counted for no service.
+    /// Messages that began before this time, in seconds, are left out of the service figures.
     pub warm_up_s: f64,
-    /// Number of hosts.
+    /// Number of hosts at the start.
     pub hosts: u32,
     /// Number of gateways.
     pub gateways: u32,
-    /// What went wrong.
-    pub troubles: Vec<Mark>,
-    /// The variants.
+    /// Disturbances during each run.
+    pub troubles: Vec<TroubleSpan>,
+    /// Results of the variants.
     pub variants: Vec<VariantResults>,
 }
 
 impl VariantResults {
-    /// A figure of all runs.
+    /// Returns a value of each run.
     pub fn values(&self, value: impl Fn(&Findings) -> f64) -> Vec<f64> {
         self.runs.iter().map(|r| value(&r.findings)).collect()
     }
 
-    /// How many offences against the rules there were in all runs.
-    pub fn broken(&self) -> u64 {
+    /// Returns the number of violations in all runs.
+    pub fn violation_count(&self) -> u64 {
         self.runs.iter().flat_map(|r| &r.findings.broken).map(|o| o.count).sum()
     }
 }
--- a/fleet-simulator/src/judge.rs
+++ b/fleet-simulator/src/judge.rs
@@ -1,5 +1,5 @@
-//! The judge: it sees what really crossed between clients, gateways, hosts and discovery, asks no policy about
-//! anything, and tells whether the rules were kept and what service clients had.
+//! Judges a run from the observed traffic between clients, gateways, hosts and discovery, independently of
+//! the policies: checks the rules and measures the service that clients received.
 use crate::trouble::Trouble;
 use crate::world::clients::Message;
 use crate::world::spec::{Class, Effect, World};
@@ -9,184 +9,186 @@
 use std::collections::HashMap;
 use ternstack_balancer::{Outcome, RejectionReason};
 
-/// Length of a bin of the time series.
-pub const BIN: Us = 500_000;
-/// Service is measured over so many bins to tell whether it has recovered.
+/// Length of a bin of the time series, in microseconds.
+pub const BIN_US: Us = 500_000;
+/// Number of bins over which service is averaged to detect recovery.
 const RECOVERED_BINS: usize = 4;
-/// Recovered is this part of the service before.
-const RECOVERED: f64 = 0.95;
-/// The worst stretch is of so many bins: 10 s.
+/// Share of the previous service at which service counts as recovered.
+const RECOVERED_SHARE: f64 = 0.95;
+/// Number of bins in the window of the worst service: 10 s.
 const WORST_BINS: usize = 20;
-/// So many offences are described.
-const TOLD: usize = 10;
+/// Largest number of violations described per rule.
+const MAX_DESCRIBED: usize = 10;
 
-/// The four rules.
+/// The rules that a policy must keep.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Deserialize, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Rule {
-    /// Each message that a gateway took gets one final answer in time.
+    /// Every try that reaches a gateway gets exactly one final response in time.
     Answered,
-    /// No effect is repeated beyond its class.
+    /// No message is repeated beyond what its class allows.
     Effects,
-    /// Nothing new to a drained or removed host after the grace.
+    /// No new attempt is sent to a drained or removed host after the grace period.
     Drains,
-    /// No cold host is pushed over.
+    /// No cold host is overloaded until it goes down.
     Cold,
 }
 
-/// How often a rule was broken, and how at first.
+/// Violations against one rule.
 #[derive(Clone, Debug, PartialEq, Deserialize, Serialize)]
-pub struct Offences {
-    /// The rule.
+pub struct RuleViolations {
+    /// Rule that was broken.
     pub rule: Rule,
-    /// How often.
+    /// Number of violations.
     pub count: u64,
-    /// The first of them, in words.
+    /// Descriptions of the first violations.
     pub first: Vec<String>,
 }
 
-/// What happened in one bin of time.
+/// Measurements of one bin of the time series.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Deserialize, Serialize)]
 pub struct Bin {
-    /// Worth of the messages that began here.
+    /// Worth of the messages that began in the bin.
     pub asked: f64,
-    /// Worth of theirs that was earned, whenever.
+    /// Worth earned by these messages at any later time.
     pub earned: f64,
-    /// Messages that began here.
+    /// Number of messages that began in the bin.
     pub messages: u32,
-    /// Tries that began here, the first ones included.
+    /// Number of tries that began in the bin, first tries included.
     pub tries: u32,
-    /// Attempts sent to hosts.
+    /// Number of attempts sent to hosts.
     pub attempts: u32,
-    /// Refusals, by cause: over limit, no room, too late, attempts failed.
+    /// Number of rejections by reason: quota exceeded, no capacity, deadline too close, attempts failed.
     pub refused: [u32; 4],
-    /// Tries that ended as failed, or met no gateway.
+    /// Number of tries that failed or found no gateway.
     pub failed: u32,
-    /// Tries whose client gave up waiting.
+    /// Number of tries whose client timeout expired.
     pub timed_out: u32,
-    /// Work that hosts ended here, in standard core seconds.
+    /// Work that hosts completed, in standard core seconds.
     pub work: f64,
-    /// The part of it that nobody got an answer from.
+    /// Completed work whose response was not used, in standard core seconds.
     pub wasted: f64,
-    /// Work that first tries asked for, in standard core seconds.
+    /// Work offered by first tries, in standard core seconds.
     pub offered: f64,
-    /// Attempts that wait at hosts, at the bin's end.
+    /// Number of attempts queued at hosts at the end of the bin.
     pub queue: u32,
-    /// Hosts slowed by crowding, at its end.
+    /// Number of hosts slowed by overload at the end of the bin.
     pub slow: u32,
-    /// Hosts that answer, at its end.
+    /// Number of hosts that respond at the end of the bin.
     pub up: u32,
-    /// Core time in use, as a part of all that is up.
+    /// Utilization of the cores of all responding hosts.
     pub busy: f64,
 }
 
 /// Service of a class or tenant.
 #[derive(Clone, Debug, Default, PartialEq, Deserialize, Serialize)]
-pub struct Share {
-    /// Its name.
+pub struct GroupService {
+    /// Name of the class or tenant.
     pub name: String,
-    /// Messages.
+    /// Number of messages.
     pub messages: u64,
-    /// Worth asked.
+    /// Worth of all messages.
     pub asked: f64,
     /// Worth earned.
     pub earned: f64,
-    /// Earned by asked; 1 where nothing was asked.
+    /// Earned worth as a share of the worth of all messages; 1 if there were no messages.
     pub service: f64,
 }
 
-/// How long service took to come back after a trouble.
+/// Recovery of service after a disturbance.
 #[derive(Clone, Debug, PartialEq, Deserialize, Serialize)]
 pub struct Recovery {
-    /// The trouble.
+    /// Kind of the disturbance.
     pub trouble: String,
-    /// When it began, in seconds.
+    /// Start of the disturbance, in seconds.
     pub at_s: f64,
-    /// When it was over, in seconds.
+    /// End of the disturbance, in seconds.
     pub end_s: f64,
-    /// Service in the time before.
+    /// Service in the 10 s before the disturbance.
     pub before: f64,
-    /// Seconds from its end until service was back to 95% of that; absent where it never was.
+    /// Seconds from the end of the disturbance until service reached 95% of the service before; absent if it
+    /// never did.
     pub seconds: Option<f64>,
 }
 
-/// Latencies of served messages, from the first try on, in ms.
+/// Latencies of the served messages of a class from the first try on, in ms.
 #[derive(Clone, Debug, PartialEq, Deserialize, Serialize)]
 pub struct Latency {
-    /// The class.
+    /// Name of the class.
     pub class: String,
-    /// Served messages.
+    /// Number of served messages.
     pub count: u64,
     /// Median.
     pub p50: f64,
-    /// 90 in 100 lie under this.
+    /// 90th percentile.
     pub p90: f64,
-    /// 99 in 100.
+    /// 99th percentile.
     pub p99: f64,
-    /// 999 in 1000.
+    /// 99.9th percentile.
     pub p999: f64,
-    /// The longest.
+    /// Maximum.
     pub max: f64,
 }
 
-/// What a run showed.
+/// Findings about a run.
 #[derive(Clone, Debug, PartialEq, Deserialize, Serialize)]
 pub struct Findings {
-    /// Worth earned by worth asked.
+    /// Earned worth as a share of the worth of all messages.
     pub service: f64,
-    /// The same in the worst 10 s.
+    /// Service in the worst 10 s.
     pub worst_10_s: f64,
-    /// Of the last 10 s, by the service before the first trouble: under 1 where something has stayed broken.
+    /// Service in the last 10 s relative to the service before the first disturbance; below 1 if service has
+    /// not recovered.
     pub at_end: f64,
-    /// The part of the worth that capacity allowed, by the work that first tries asked for, bin by bin.
+    /// Share of the worth that the capacity allowed, bin by bin, given the work offered by first tries.
     pub allowed: f64,
     /// Service by class.
-    pub classes: Vec<Share>,
-    /// Service by tenant within its quota: the named ones, and all others as one.
-    pub tenants: Vec<Share>,
-    /// Jain's index over these tenants' service: 1 where all have the same.
+    pub classes: Vec<GroupService>,
+    /// Service of messages within the quota, by tenant: named tenants, and all others together.
+    pub tenants: Vec<GroupService>,
+    /// Jain's fairness index over the tenants' service; 1 if all tenants have the same.
     pub fairness: f64,
-    /// Messages.
+    /// Number of messages.
     pub messages: u64,
-    /// Tries a message.
+    /// Mean number of tries per message.
     pub tries_per_message: f64,
-    /// Attempts a message.
+    /// Mean number of attempts per message.
     pub attempts_per_message: f64,
-    /// Refusals a try, by cause: over limit, no room, too late, attempts failed.
+    /// Rejections per try, by reason: quota exceeded, no capacity, deadline too close, attempts failed.
     pub refused: [f64; 4],
-    /// Tries that failed or met no gateway, of all.
+    /// Share of the tries that failed or found no gateway.
     pub failed: f64,
-    /// Tries whose client gave up waiting, of all.
+    /// Share of the tries whose client timeout expired.
     pub timed_out: f64,
-    /// The part of the hosts' work that nobody got an answer from.
+    /// Share of the hosts' work whose response was not used.
     pub wasted: f64,
     /// Latencies by class.
     pub latency: Vec<Latency>,
-    /// Recovery from each trouble.
+    /// Recovery from each disturbance that ended early enough to measure.
     pub recovery: Vec<Recovery>,
     /// Rules that were broken.
-    pub broken: Vec<Offences>,
-    /// The time series, in bins of half a second from the start.
+    pub broken: Vec<RuleViolations>,
+    /// Time series in bins of half a second from the start of the run.
     pub bins: Vec<Bin>,
 }
 
 impl Findings {
-    /// The longest recovery in seconds; infinite where service never came back.
+    /// Returns the longest recovery in seconds; infinite if service did not recover.
     pub fn longest_recovery(&self) -> f64 {
         self.recovery.iter().map(|r| r.seconds.unwrap_or(f64::INFINITY)).fold(0.0, f64::max)
     }
 }
 
-/// An attempt of a try as the judge remembers it.
+/// A sent attempt of a try.
 #[derive(Clone, Copy, Debug)]
-pub struct Sent {
-    /// When.
+pub struct SentAttempt {
+    /// Time of sending.
     pub at: Us,
-    /// False once an outcome has proved that it never ran.
+    /// `false` once an outcome has proved that the attempt never ran.
     pub may_have_run: bool,
 }
 
-/// The judge of one run.
+/// Judge of one run.
 #[derive(Debug)]
 pub struct Judge {
     world: World,
@@ -194,91 +196,93 @@
     end: Us,
     bins: Vec<Bin>,
     capacity: f64,
-    classes: Vec<Share>,
-    tenants: Vec<Share>,
+    classes: Vec<GroupService>,
+    tenants: Vec<GroupService>,
     latency: Vec<Histogram<u64>>,
-    offences: [Offences; 4],
-    told: HashMap<(u32, u32), Us>, // Gateway and host: since when it is told of a drain or removal.
-    starts: HashMap<(u32, u32), Us>, // The same of a start: which one it has been told of.
+    violations: [RuleViolations; 4],
+    /// Per gateway and host, when the gateway was told of the host's drain or removal.
+    told_leaving_at: HashMap<(u32, u32), Us>,
+    /// Per gateway and host, the last start of the host that the gateway was told of.
+    told_starts: HashMap<(u32, u32), Us>,
 }
 
-impl Share {
+impl GroupService {
     fn new(name: &str) -> Self {
-        Share { name: name.into(), ..Share::default() }
+        GroupService { name: name.into(), ..GroupService::default() }
     }
 
-    fn ask(&mut self, worth: f64) {
+    fn add_message(&mut self, worth: f64) {
         self.messages += 1;
         self.asked += worth;
     }
 }
 
 impl Judge {
-    /// A judge of a world whose hosts can do `capacity` standard core seconds a second. What begins before `start`
-    /// counts for no service; `end` is when the last message begins.
+    /// Creates the judge of a world whose hosts can do `capacity` standard core seconds per second. Messages
+    /// that begin before `start` do not count for service; arrivals end at `end`.
     pub fn new(world: &World, capacity: f64, start: Us, end: Us) -> Self {
-        let offences = |rule| Offences { rule, count: 0, first: Vec::new() };
+        let violations = |rule| RuleViolations { rule, count: 0, first: Vec::new() };
         let histogram = || Histogram::new(3).map_err(|e| e.to_string());
         let latency = world.classes.iter().filter_map(|_| histogram().ok()).collect();
         Judge {
             world: world.clone(),
             start,
             end,
-            bins: vec![Bin::default(); (end / BIN + 1) as usize],
+            bins: vec![Bin::default(); (end / BIN_US + 1) as usize],
             capacity,
-            classes: world.classes.iter().map(|c| Share::new(&c.name)).collect(),
+            classes: world.classes.iter().map(|c| GroupService::new(&c.name)).collect(),
             tenants: world
                 .tenants
                 .iter()
-                .map(|t| Share::new(&t.name))
-                .chain([Share::new("others")])
+                .map(|t| GroupService::new(&t.name))
+                .chain([GroupService::new("others")])
                 .collect(),
             latency,
-            offences: [
-                offences(Rule::Answered),
-                offences(Rule::Effects),
-                offences(Rule::Drains),
-                offences(Rule::Cold),
+            violations: [
+                violations(Rule::Answered),
+                violations(Rule::Effects),
+                violations(Rule::Drains),
+                violations(Rule::Cold),
             ],
-            told: HashMap::new(),
-            starts: HashMap::new(),
+            told_leaving_at: HashMap::new(),
+            told_starts: HashMap::new(),
         }
     }
 
-    /// The bin of a moment. What comes after the last message counts to the last one.
+    /// Returns the bin of a time; times after the last arrivals belong to the last bin.
     pub fn bin(&mut self, now: Us) -> &mut Bin {
         let last = self.bins.len() - 1;
-        &mut self.bins[((now / BIN) as usize).min(last)]
+        &mut self.bins[((now / BIN_US) as usize).min(last)]
     }
 
-    fn broken(&mut self, rule: Rule, now: Us, what: String) {
-        let offences = &mut self.offences[rule as usize];
-        offences.count += 1;
-        if offences.first.len() < TOLD {
-            offences.first.push(format!("{:.3} s: {what}", now as f64 / 1e6));
+    fn record_violation(&mut self, rule: Rule, now: Us, description: String) {
+        let violations = &mut self.violations[rule as usize];
+        violations.count += 1;
+        if violations.first.len() < MAX_DESCRIBED {
+            violations.first.push(format!("{:.3} s: {description}", now as f64 / 1e6));
         }
     }
 
-    // ---- what clients see ----
+    // ---- client observations ----
 
-    /// A message begins.
-    pub fn asked(&mut self, message: &Message) {
+    /// Records the first try of a message.
+    pub fn message_began(&mut self, message: &Message) {
         let offered = message.work / 1e6;
         let bin = self.bin(message.at);
         bin.asked += message.worth;
         bin.messages += 1;
         bin.offered += offered;
         if message.at >= self.start {
-            let named = message.tenant.min(self.tenants.len() - 1);
-            self.classes[message.class].ask(message.worth);
+            let tenant = message.tenant.min(self.tenants.len() - 1);
+            self.classes[message.class].add_message(message.worth);
             if message.within_quota {
-                self.tenants[named].ask(message.worth);
+                self.tenants[tenant].add_message(message.worth);
             }
         }
     }
 
-    /// A message has been served: its client has the answer.
-    pub fn served(&mut self, now: Us, message: &Message) {
+    /// Records that a client has received a served response.
+    pub fn message_served(&mut self, now: Us, message: &Message) {
         let class = &self.world.classes[message.class];
         let latency = now.saturating_sub(message.at);
         let part = if latency <= us(class.aim_ms) {
@@ -291,116 +295,123 @@
         let earned = part * message.worth;
         self.bin(message.at).earned += earned;
         if message.at >= self.start {
-            let named = message.tenant.min(self.tenants.len() - 1);
+            let tenant = message.tenant.min(self.tenants.len() - 1);
             self.classes[message.class].earned += earned;
             if message.within_quota {
-                self.tenants[named].earned += earned;
+                self.tenants[tenant].earned += earned;
             }
             if let Some(histogram) = self.latency.get_mut(message.class) {
-                // A histogram that resizes itself takes any value.
+                // Recording cannot fail, because the histogram resizes itself.
                 let _ = histogram.record(latency);
             }
         }
     }
 
-    /// A gateway has refused.
-    pub fn refused(&mut self, now: Us, cause: RejectionReason) {
-        self.bin(now).refused[cause as usize] += 1;
+    /// Records a rejection by a gateway.
+    pub fn rejected(&mut self, now: Us, reason: RejectionReason) {
+        self.bin(now).refused[reason as usize] += 1;
     }
 
-    // ---- the rules ----
+    // ---- rules ----
 
-    /// A gateway gave no final answer by the end of its client's patience.
+    /// Records that a gateway gave no final response within the client's timeout.
     pub fn unanswered(&mut self, now: Us, gateway: u32, message: u64) {
-        self.broken(
+        self.record_violation(
             Rule::Answered,
             now,
-            format!("gateway {gateway} left message {message} without an answer"),
+            format!("gateway {gateway} gave message {message} no final response"),
         );
     }
 
-    /// A gateway ended a message a second time, or acted for one that it had ended.
+    /// Records that a gateway acted on a try that it had already ended.
     pub fn after_end(&mut self, now: Us, gateway: u32, message: u64, what: &str) {
-        self.broken(
+        self.record_violation(
             Rule::Answered,
             now,
-            format!("gateway {gateway}: {what} of message {message} after its end"),
+            format!("gateway {gateway}: {what} for message {message} after its end"),
         );
     }
 
-    /// A gateway refuses a message, which tells its client that trying again is harmless.
-    pub fn refusal(&mut self, now: Us, gateway: u32, message: u64, class: usize, sent: &[Sent]) {
+    /// Checks a rejection, which tells the client that a retry is harmless.
+    pub fn check_rejection(
+        &mut self, now: Us, gateway: u32, message: u64, class: usize, sent: &[SentAttempt],
+    ) {
         let ran = sent.iter().any(|s| s.may_have_run);
-        // Where all hosts drop repeats of a keyed message, trying again is harmless.
+        // Keyed messages are not checked, because all hosts drop their repeats.
         if self.world.classes[class].effect == Effect::Unsafe && ran {
-            let what = format!("gateway {gateway} refused message {message}, which may have run");
-            self.broken(Rule::Effects, now, what);
+            let what = format!("gateway {gateway} rejected message {message}, which may have run");
+            self.record_violation(Rule::Effects, now, what);
         }
     }
 
-    /// A gateway sends an attempt; `sent` holds the earlier ones of this try.
+    /// Records and checks an attempt. `sent` holds the earlier attempts of the try; `presumed_told_at` is the
+    /// time from which discovery expects the gateway to know of the host's drain or removal.
     #[allow(clippy::too_many_arguments)]
-    pub fn attempt(
-        &mut self, now: Us, gateway: u32, host: u32, message: u64, class: usize, sent: &[Sent],
-        counts_as_told: Option<Us>,
+    pub fn check_attempt(
+        &mut self, now: Us, gateway: u32, host: u32, message: u64, class: usize, sent: &[SentAttempt],
+        presumed_told_at: Option<Us>,
     ) {
         self.bin(now).attempts += 1;
         if let Some(first) = sent.iter().find(|s| s.may_have_run) {
             let Class { effect, window_ms, .. } = self.world.classes[class];
-            let fine = match effect {
+            let allowed = match effect {
                 Effect::Safe => true,
                 Effect::Keyed => now <= first.at + us(window_ms),
                 Effect::Unsafe => false,
             };
-            if !fine {
-                let what = format!("gateway {gateway} repeated message {message}, which may have run");
-                self.broken(Rule::Effects, now, what);
+            if !allowed {
+                let what = format!("gateway {gateway} sent message {message} again, which may have run");
+                self.record_violation(Rule::Effects, now, what);
             }
         }
-        let told = self.told.get(&(gateway, host)).copied();
-        let told = told.into_iter().chain(counts_as_told).min();
+        let told = self.told_leaving_at.get(&(gateway, host)).copied();
+        let told = told.into_iter().chain(presumed_told_at).min();
         let grace = us(self.world.gateway.drain_grace_ms);
         if let Some(told) = told.filter(|told| now > told + grace) {
-            let late = ms(now - told);
-            let what = format!("gateway {gateway} sent to host {host} {late:.0} ms after its drain or end");
-            self.broken(Rule::Drains, now, what);
+            let late_ms = ms(now - told);
+            let what = format!(
+                "gateway {gateway} sent to host {host} {late_ms:.0} ms after the host's drain or removal"
+            );
+            self.record_violation(Rule::Drains, now, what);
         }
     }
 
-    /// What an outcome proves is told to the attempt itself, in [`Sent`].
+    /// Returns whether an attempt with this outcome may have run.
     pub fn may_have_run(outcome: Outcome) -> bool {
         !outcome.never_ran()
     }
 
-    /// A gateway is told of a host; `leaving` is a drain or an end, `started` its last start.
-    pub fn told(&mut self, now: Us, gateway: u32, host: u32, leaving: bool, started: Us) {
+    /// Records that a gateway was told of a host. `leaving` is true for a drain or removal; `started` is the
+    /// host's last start, 0 if unknown.
+    pub fn gateway_told(&mut self, now: Us, gateway: u32, host: u32, leaving: bool, started: Us) {
         if leaving {
-            self.told.entry((gateway, host)).or_insert(now);
+            self.told_leaving_at.entry((gateway, host)).or_insert(now);
         } else {
-            self.told.remove(&(gateway, host));
+            self.told_leaving_at.remove(&(gateway, host));
         }
         if started > 0 {
-            self.starts.insert((gateway, host), started);
+            self.told_starts.insert((gateway, host), started);
         }
     }
 
-    /// A gateway has died: whoever follows it has been told of nothing.
+    /// Forgets what a dead gateway was told, because its successor starts without that knowledge.
     pub fn forget_gateway(&mut self, gateway: u32) {
-        self.told.retain(|k, _| k.0 != gateway);
-        self.starts.retain(|k, _| k.0 != gateway);
+        self.told_leaving_at.retain(|k, _| k.0 != gateway);
+        self.told_starts.retain(|k, _| k.0 != gateway);
     }
 
-    /// A cold host, started then, has been pushed over by this work of these gateways.
-    pub fn pushed_over(&mut self, now: Us, host: u32, started: Us, sent: &[(u32, f64)]) {
+    /// Records that work from these gateways overloaded a cold host, which had started at `started`. Only
+    /// work of gateways that were told of the start counts as a violation.
+    pub fn cold_host_overloaded(&mut self, now: Us, host: u32, started: Us, sent: &[(u32, f64)]) {
         let all: f64 = sent.iter().map(|s| s.1).sum();
-        let told = |s: &&(u32, f64)| self.starts.get(&(s.0, host)) == Some(&started);
-        let by_told: f64 = sent.iter().filter(told).map(|s| s.1).sum();
-        if by_told * 3.0 >= all * 2.0 {
-            self.broken(Rule::Cold, now, format!("cold host {host} was pushed over"));
+        let told = |s: &&(u32, f64)| self.told_starts.get(&(s.0, host)) == Some(&started);
+        let from_told_gateways: f64 = sent.iter().filter(told).map(|s| s.1).sum();
+        if from_told_gateways * 3.0 >= all * 2.0 {
+            self.record_violation(Rule::Cold, now, format!("cold host {host} went down under overload"));
         }
     }
 
-    // ---- the end ----
+    // ---- findings ----
 
     fn service(bins: &[Bin]) -> f64 {
         let (asked, earned) = bins.iter().fold((0.0, 0.0), |sum, b| (sum.0 + b.asked, sum.1 + b.earned));
@@ -412,46 +423,47 @@
     }
 
     fn recovery(&self, trouble: &Trouble, first: usize) -> Recovery {
-        let whole = (self.end / BIN) as usize;
-        let bin = |s: f64| (((s * 1e6) as Us / BIN) as usize).min(whole);
+        let bin_count = (self.end / BIN_US) as usize;
+        let bin = |s: f64| (((s * 1e6) as Us / BIN_US) as usize).min(bin_count);
         let (from, to) = (bin(trouble.at_s), bin(trouble.at_s + trouble.for_s));
         let before = Self::service(&self.bins[first.max(from.saturating_sub(WORST_BINS))..from.max(first)]);
-        let windows = (to..whole.saturating_sub(RECOVERED_BINS - 1).max(to))
-            .find(|n| Self::service(&self.bins[*n..(*n + RECOVERED_BINS).min(whole)]) >= RECOVERED * before);
+        let windows = (to..bin_count.saturating_sub(RECOVERED_BINS - 1).max(to)).find(|n| {
+            Self::service(&self.bins[*n..(*n + RECOVERED_BINS).min(bin_count)]) >= RECOVERED_SHARE * before
+        });
         let over = trouble.end();
         Recovery {
             trouble: trouble.name().into(),
             at_s: trouble.at_s,
             end_s: trouble.at_s + trouble.for_s,
             before,
-            seconds: windows.map(|n| (n as Us * BIN).saturating_sub(over) as f64 / 1e6),
+            seconds: windows.map(|n| (n as Us * BIN_US).saturating_sub(over) as f64 / 1e6),
         }
     }
 
-    /// What the run showed.
+    /// Returns the findings of the run.
     pub fn findings(mut self, troubles: &[Trouble]) -> Findings {
-        let (first, whole) = ((self.start / BIN) as usize, (self.end / BIN) as usize);
-        let counted = &self.bins[first.min(whole)..whole.max(1)];
+        let (first, bin_count) = ((self.start / BIN_US) as usize, (self.end / BIN_US) as usize);
+        let counted = &self.bins[first.min(bin_count)..bin_count.max(1)];
         let service = Self::service(counted);
         let worst = counted.windows(WORST_BINS.min(counted.len().max(1))).map(Self::service);
         let worst_10_s = worst.fold(1.0, f64::min);
         let from = troubles.iter().map(|t| t.at_s).fold(f64::INFINITY, f64::min);
-        let calm = ((from * 1e6).min(self.end as f64) as Us / BIN) as usize;
+        let calm = ((from * 1e6).min(self.end as f64) as Us / BIN_US) as usize;
         let before = Self::service(&self.bins[first.min(calm)..calm.max(1)]);
         let last = Self::service(&counted[counted.len().saturating_sub(WORST_BINS)..]);
         let allowed = {
-            let most = self.capacity * BIN as f64 / 1e6;
+            let most = self.capacity * BIN_US as f64 / 1e6;
             let part = |b: &Bin| if b.offered > most { most / b.offered } else { 1.0 };
             let asked: f64 = counted.iter().map(|b| b.asked).sum();
             counted.iter().map(|b| part(b) * b.asked).sum::<f64>() / asked.max(1e-9)
         };
         let recovery = troubles
             .iter()
-            .filter(|t| t.end() + RECOVERED_BINS as Us * BIN <= self.end)
+            .filter(|t| t.end() + RECOVERED_BINS as Us * BIN_US <= self.end)
             .map(|t| self.recovery(t, first))
             .collect();
-        for share in self.classes.iter_mut().chain(&mut self.tenants) {
-            share.service = if share.asked > 0.0 { share.earned / share.asked } else { 1.0 };
+        for group in self.classes.iter_mut().chain(&mut self.tenants) {
+            group.service = if group.asked > 0.0 { group.earned / group.asked } else { 1.0 };
         }
         self.tenants.retain(|t| t.messages > 0);
         let sum = |value: &dyn Fn(&Bin) -> f64| self.bins.iter().map(value).sum::<f64>();
@@ -483,13 +495,13 @@
             messages: messages as u64,
             tries_per_message: tries / messages.max(1.0),
             attempts_per_message: sum(&|b| f64::from(b.attempts)) / messages.max(1.0),
-            refused: [0, 1, 2, 3].map(|cause| sum(&|b| f64::from(b.refused[cause])) / tries),
+            refused: [0, 1, 2, 3].map(|reason| sum(&|b| f64::from(b.refused[reason])) / tries),
             failed: sum(&|b| f64::from(b.failed)) / tries,
             timed_out: sum(&|b| f64::from(b.timed_out)) / tries,
             wasted: if work > 0.0 { sum(&|b| b.wasted) / work } else { 0.0 },
             latency: latency.collect(),
             recovery,
-            broken: self.offences.iter().filter(|o| o.count > 0).cloned().collect(),
+            broken: self.violations.iter().filter(|o| o.count > 0).cloned().collect(),
             classes: self.classes,
             tenants: self.tenants,
             bins: self.bins,
--- a/fleet-simulator/src/main.rs
+++ b/fleet-simulator/src/main.rs
@@ -1,25 +1,25 @@
-//! `ternstack-fleet-simulator`: plays experiments in the model and reports on them.
+//! `ternstack-fleet-simulator`: runs experiments in the simulator and reports on them.
 use clap::{Parser, Subcommand};
 use indicatif::{ProgressBar, ProgressStyle};
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
 use std::time::Duration;
 use ternstack_fault_tests::process::{run_gateway, Launch};
-use ternstack_fleet_simulator::drive::Focus;
-use ternstack_fleet_simulator::experiment::{Experiment, Results, Spent};
+use ternstack_fleet_simulator::experiment::{Experiment, Results, WallTime};
 use ternstack_fleet_simulator::judge::Findings;
 use ternstack_fleet_simulator::report;
-use ternstack_fleet_simulator::statistics::{compare, Verdict};
+use ternstack_fleet_simulator::simulation::TraceTarget;
+use ternstack_fleet_simulator::statistics::{compare_variants, Verdict};
 use ternstack_scale_tests::run::Launches;
 
-/// Where the shipped experiments are, from the repository's root.
-const SHIPPED: &str = "fleet-simulator/experiments";
+/// Directory of the shipped experiments, relative to the root of the repository.
+const EXPERIMENTS_FOLDER: &str = "fleet-simulator/experiments";
 
-/// The laboratory: a model of a whole platform in virtual time round the gateways' real decisions.
+/// Simulates a whole platform in virtual time around the gateways' real decisions.
 #[derive(Parser)]
 #[command(name = "ternstack-fleet-simulator", version, about)]
 struct Cli {
-    /// Tell more; twice for the module's own log lines.
+    /// Log more; twice includes the balancer's own log lines
     #[arg(short, long, global = true, action = clap::ArgAction::Count)]
     verbose: u8,
     #[command(subcommand)]
@@ -28,129 +28,130 @@
 
 #[derive(Subcommand)]
 enum Command {
-    /// List the experiments of a folder.
+    /// List the experiments of a folder
     List {
-        /// The folder.
-        #[arg(default_value = SHIPPED)]
+        /// Folder to list
+        #[arg(default_value = EXPERIMENTS_FOLDER)]
         folder: PathBuf,
     },
-    /// Check an experiment's file, and say what it would play.
+    /// Check an experiment file, and print what it would run
     Check {
-        /// The file.
+        /// Experiment file
         file: PathBuf,
     },
-    /// Play an experiment. Exits with 1 if the module broke a rule.
+    /// Run an experiment. Exits with 1 if the balancer broke a rule.
     Run {
-        /// The file.
+        /// Experiment file
         file: PathBuf,
-        /// Seeds, in place of the file's.
+        /// Number of seeds, instead of the file's
         #[arg(long)]
         seeds: Option<u32>,
-        /// Only variants whose names hold this.
+        /// Only run variants whose names contain this text
         #[arg(long)]
         only: Option<String>,
-        /// Runs at once; one for each core where absent.
+        /// Number of concurrent runs; 0 for one per core
         #[arg(long, default_value_t = 0)]
         jobs: usize,
-        /// The folder for NAME.json, NAME.csv and NAME.html.
+        /// Folder for NAME.json, NAME.csv and NAME.html
         #[arg(long)]
         out: Option<PathBuf>,
-        /// Print the results as JSON in place of the table.
+        /// Print the results as JSON instead of a table
         #[arg(long)]
         json: bool,
     },
-    /// Tell whether B is better than A, worse, or noise: paired by seed, variant by variant.
+    /// Compare two results, paired by seed and variant: B is better than A, worse, or the difference is noise
     Compare {
-        /// Results as JSON.
+        /// Results as JSON
         a: PathBuf,
-        /// Results as JSON.
+        /// Results as JSON
         b: PathBuf,
-        /// Print it as JSON.
+        /// Print the comparison as JSON
         #[arg(long)]
         json: bool,
     },
-    /// Show results as a table, and write the page where a folder is given.
+    /// Print results as a table, and write the HTML page if a folder is given
     Show {
-        /// Results as JSON.
+        /// Results as JSON
         results: PathBuf,
-        /// The folder for NAME.html.
+        /// Folder for NAME.html
         #[arg(long)]
         out: Option<PathBuf>,
     },
-    /// Show real gateways under load: a burst, half of the hosts lost, one gateway killed, one cut off. Exits with 1 if a
-    /// promise was broken.
+    /// Run gateway processes under load: a burst, loss of half of the hosts, a killed gateway, and one cut
+    /// off. Exits with 1 if an invariant was violated.
     Demo {
-        /// Plain lines, one a second; there is no other view yet.
+        /// Print plain lines, one per second; currently the only output format
         #[arg(long)]
         plain: bool,
-        /// How long.
+        /// Duration in seconds
         #[arg(long, default_value_t = 20, value_parser = clap::value_parser!(u64).range(10..=600))]
         seconds: u64,
     },
-    /// Work out what each role needs at a size, from a file of sizes, budgets and measured slopes; or measure slopes.
-    Capacity(ternstack_fleet_simulator::capacity::cli::Capacities),
-    /// Play a fleet of hollow gateways before control machines, measure it by role, and judge it from outside. Exits with
-    /// 1 if a promise was broken.
+    /// Compute what each role needs at a size, from a file of sizes, budgets and measured slopes; or measure
+    /// slopes
+    Capacity(ternstack_fleet_simulator::capacity::cli::CapacityArgs),
+    /// Run a fleet of simulated gateways against control servers, measure it by role, and check invariants
+    /// from outside. Exits with 1 if an invariant was violated.
     Scale(Box<ternstack_scale_tests::options::Options>),
-    /// Be a gateway: the demo starts itself so.
+    /// Run as a gateway; the demo starts its gateways with this subcommand
     #[command(hide = true)]
     Gateway {
-        /// What the gateway reads itself.
+        /// Arguments of the gateway
         #[arg(trailing_var_arg = true, allow_hyphen_values = true)]
         rest: Vec<std::ffi::OsString>,
     },
-    /// Be a process of a fleet: the scale run starts itself so.
+    /// Run as a worker process of the scale test, which starts its workers with this subcommand
     #[command(hide = true)]
     Part,
-    /// Print what happened to one message or host of a run, and what was decided about it.
+    /// Print the events and decisions of one message or host in a run
     Trace {
-        /// The experiment's file.
+        /// Experiment file
         file: PathBuf,
-        /// `message:N` or `host:N`.
-        #[arg(value_parser = focus)]
-        what: Focus,
-        /// The run's seed.
+        /// `message:N` or `host:N`
+        #[arg(value_parser = parse_trace_target)]
+        what: TraceTarget,
+        /// Seed of the run
         #[arg(long, default_value_t = 1)]
         seed: u64,
-        /// The variant; the first one where absent.
+        /// Name of the variant; the first if absent
         #[arg(long)]
         variant: Option<String>,
     },
 }
 
-/// Shows real processes of the gateway through a burst, lost hosts, a kill and a cut.
+/// Runs the demo: gateway processes through a burst, lost hosts, a kill and a cut.
 fn demo(seconds: u64) -> Result<ExitCode, String> {
     let launch = Launch::current_program().map_err(|e| e.to_string())?;
     let runtime =
         tokio::runtime::Builder::new_multi_thread().enable_all().build().map_err(|e| e.to_string())?;
-    let kept = runtime
+    let invariants_held = runtime
         .block_on(ternstack_fault_tests::demo::play(&launch, Duration::from_secs(seconds)))
         .map_err(|e| e.to_string())?;
-    Ok(if kept { ExitCode::SUCCESS } else { ExitCode::FAILURE })
+    Ok(if invariants_held { ExitCode::SUCCESS } else { ExitCode::FAILURE })
 }
 
-/// Plays fleets of hollow gateways.
+/// Runs the scale test.
 fn scale(options: &ternstack_scale_tests::options::Options) -> Result<ExitCode, String> {
     let program = std::env::current_exe().map_err(|e| e.to_string())?;
     let part = Launch { program, args: vec!["part".into()], variables: Vec::new() };
     let gateway = Some(Launch::current_program().map_err(|e| e.to_string())?);
-    let kept = ternstack_scale_tests::command::command(options, &Launches { part, gateway })?;
-    Ok(if kept { ExitCode::SUCCESS } else { ExitCode::FAILURE })
+    let invariants_held = ternstack_scale_tests::command::command(options, &Launches { part, gateway })?;
+    Ok(if invariants_held { ExitCode::SUCCESS } else { ExitCode::FAILURE })
 }
 
-fn focus(text: &str) -> Result<Focus, String> {
-    let wanted = || "expected message:N or host:N".to_string();
-    let (kind, number) = text.split_once(':').ok_or_else(wanted)?;
+fn parse_trace_target(text: &str) -> Result<TraceTarget, String> {
+    let expected = || "expected message:N or host:N".to_string();
+    let (kind, number) = text.split_once(':').ok_or_else(expected)?;
     match kind {
-        "message" => number.parse().map(Focus::Message).map_err(|_| wanted()),
-        "host" => number.parse().map(Focus::Host).map_err(|_| wanted()),
-        _ => Err(wanted()),
+        "message" => number.parse().map(TraceTarget::Message).map_err(|_| expected()),
+        "host" => number.parse().map(TraceTarget::Host).map_err(|_| expected()),
+        _ => Err(expected()),
     }
 }
 
 fn main() -> ExitCode {
     let cli = Cli::parse();
-    // It has a log of its own.
+    // A gateway initializes its own log.
     if matches!(cli.command, Command::Gateway { .. }) {
         return run_gateway();
     }
@@ -163,7 +164,7 @@
         _ => tracing::Level::DEBUG,
     };
     tracing_subscriber::fmt().with_max_level(level).with_writer(std::io::stderr).init();
-    match work(cli.command) {
+    match execute(cli.command) {
         Ok(code) => code,
         Err(problem) => {
             eprintln!("ternstack-fleet-simulator: {problem}");
@@ -172,7 +173,7 @@
     }
 }
 
-fn work(command: Command) -> Result<ExitCode, String> {
+fn execute(command: Command) -> Result<ExitCode, String> {
     match command {
         Command::List { folder } => list(&folder)?,
         Command::Check { file } => check(&file)?,
@@ -181,14 +182,14 @@
         }
         Command::Compare { a, b, json } => compare_files(&a, &b, json)?,
         Command::Show { results, out } => {
-            let results = read(&results)?;
+            let results = read_results(&results)?;
             print!("{}", report::table(&results));
             if let Some(out) = out {
-                write(&out, &results, &[])?;
+                write_results(&out, &results, &[])?;
             }
         }
         Command::Demo { plain: _, seconds } => return demo(seconds),
-        Command::Capacity(told) => return ternstack_fleet_simulator::capacity::cli::run(told),
+        Command::Capacity(args) => return ternstack_fleet_simulator::capacity::cli::run(args),
         Command::Scale(options) => return scale(&options),
         Command::Gateway { .. } | Command::Part => {}
         Command::Trace { file, what, seed, variant } => trace(&file, what, seed, variant.as_deref())?,
@@ -228,18 +229,18 @@
 ) -> Result<ExitCode, String> {
     let mut experiment = Experiment::load(file)?;
     experiment.seeds = seeds.unwrap_or(experiment.seeds).max(1);
-    if only.is_some_and(|text| !experiment.only(&text)) {
-        return Err("--only: no variant's name holds that".into());
+    if only.is_some_and(|text| !experiment.retain_variants(&text)) {
+        return Err("--only: expected part of a variant's name".into());
     }
     let runs = experiment.cases().map_err(|(path, e)| format!("{path}: {e}"))?.len() as u64;
     let bar = ProgressBar::new(runs * u64::from(experiment.seeds));
     let style = ProgressStyle::with_template("{msg} {bar:40} {pos}/{len} runs, {eta} to go");
     bar.set_style(style.map_err(|e| e.to_string())?);
     bar.set_message(experiment.name.clone());
-    let (results, spent) = experiment.run(jobs, &|| bar.inc(1))?;
+    let (results, wall_times) = experiment.run(jobs, &|| bar.inc(1))?;
     bar.finish_and_clear();
     if let Some(out) = out {
-        write(out, &results, &spent)?;
+        write_results(out, &results, &wall_times)?;
     }
     if json {
         println!("{}", serde_json::to_string(&results).map_err(|e| e.to_string())?);
@@ -256,24 +257,24 @@
                 }
             }
         }
-        let sum = |part: fn(&Spent) -> f64| spent.iter().map(part).sum::<f64>();
-        let (whole, policy) = (sum(|s| s.whole.as_secs_f64()), sum(|s| s.policy.as_secs_f64()));
-        println!("{whole:.1} s of one core, {policy:.1} s of it in the policies");
+        let sum = |part: fn(&WallTime) -> f64| wall_times.iter().map(part).sum::<f64>();
+        let (total, policy) = (sum(|s| s.total.as_secs_f64()), sum(|s| s.policies.as_secs_f64()));
+        println!("{total:.1} s of one core, {policy:.1} s of it in the policies");
     }
-    // The comparison policies are not held to the rules: they are here to be compared.
+    // Only the balancer is held to the rules; the baselines serve for comparison.
     let module = |v: &&ternstack_fleet_simulator::experiment::VariantResults| {
-        v.policy == ternstack_fleet_simulator::policy::Which::Module
+        v.policy == ternstack_fleet_simulator::policy::PolicyKind::Module
     };
-    let broken: u64 = results.variants.iter().filter(module).map(|v| v.broken()).sum();
+    let broken: u64 = results.variants.iter().filter(module).map(|v| v.violation_count()).sum();
     Ok(if broken > 0 { ExitCode::FAILURE } else { ExitCode::SUCCESS })
 }
 
-fn read(file: &Path) -> Result<Results, String> {
+fn read_results(file: &Path) -> Result<Results, String> {
     let text = std::fs::read_to_string(file).map_err(|e| format!("{}: {e}", file.display()))?;
     serde_json::from_str(&text).map_err(|e| format!("{}: {e}", file.display()))
 }
 
-fn write(out: &Path, results: &Results, spent: &[Spent]) -> Result<(), String> {
+fn write_results(out: &Path, results: &Results, wall_times: &[WallTime]) -> Result<(), String> {
     std::fs::create_dir_all(out).map_err(|e| format!("{}: {e}", out.display()))?;
     let file = |ending: &str, bytes: &[u8]| {
         let path = out.join(format!("{}.{ending}", results.experiment));
@@ -281,16 +282,16 @@
     };
     file("json", serde_json::to_string(results).map_err(|e| e.to_string())?.as_bytes())?;
     file("csv", &report::csv(results)?)?;
-    file("html", report::html(results, spent)?.as_bytes())?;
+    file("html", report::html(results, wall_times)?.as_bytes())?;
     eprintln!("{} written", out.join(format!("{}.{{html,json,csv}}", results.experiment)).display());
     Ok(())
 }
 
-/// A figure that is compared: its name, and whether more of it is better.
-type Figure = (&'static str, fn(&Findings) -> f64);
+/// A compared value: the name and the function that computes it.
+type ComparedValue = (&'static str, fn(&Findings) -> f64);
 
-/// The figures that are compared: more is better of each.
-const FIGURES: [Figure; 5] = [
+/// The compared values; a larger value is better for each.
+const COMPARED_VALUES: [ComparedValue; 5] = [
     ("service", |f| f.service),
     ("worst 10 s", |f| f.worst_10_s),
     ("at end", |f| f.at_end),
@@ -299,30 +300,30 @@
 ];
 
 fn compare_files(a: &Path, b: &Path, json: bool) -> Result<(), String> {
-    let (first, second) = (read(a)?, read(b)?);
+    let (first, second) = (read_results(a)?, read_results(b)?);
     if first.experiment != second.experiment {
         return Err(format!("{} and {} are different experiments", first.experiment, second.experiment));
     }
     let mut all = Vec::new();
     for v in &first.variants {
         let Some(other) = second.variants.iter().find(|o| o.name == v.name) else { continue };
-        for (name, value) in FIGURES {
-            if let Some(paired) = compare(v, other, value) {
+        for (name, value) in COMPARED_VALUES {
+            if let Some(paired) = compare_variants(v, other, value) {
                 all.push(serde_json::json!({"variant": v.name, "figure": name, "paired": paired}));
-                let word = match paired.verdict {
+                let verdict = match paired.verdict {
                     Verdict::Better => "better",
                     Verdict::Worse => "worse",
                     Verdict::Noise => "noise",
                 };
                 if !json {
                     let (d, w, n) = (paired.difference, paired.half_width, paired.pairs);
-                    println!("{:<28} {name:<12} {d:>+8.4} ± {w:.4}  {word} ({n} pairs)", v.name);
+                    println!("{:<28} {name:<12} {d:>+8.4} ± {w:.4}  {verdict} ({n} pairs)", v.name);
                 }
             }
         }
     }
     if all.is_empty() {
-        return Err("no variant has two seeds in both files: nothing can be told".into());
+        return Err("expected a variant with at least two seeds in both files, found none".into());
     }
     if json {
         println!("{}", serde_json::Value::Array(all));
@@ -330,15 +331,15 @@
     Ok(())
 }
 
-fn trace(file: &Path, what: Focus, seed: u64, variant: Option<&str>) -> Result<(), String> {
+fn trace(file: &Path, what: TraceTarget, seed: u64, variant: Option<&str>) -> Result<(), String> {
     let experiment = Experiment::load(file)?;
     let cases = experiment.cases().map_err(|(path, e)| format!("{path}: {e}"))?;
     let case = cases.iter().find(|c| variant.is_none_or(|v| c.name == v));
-    let case = case.ok_or_else(|| format!("{}: no variant has that name", file.display()))?;
-    let (played, _) = experiment.play(case, seed, Some(what))?;
-    if played.trace.is_empty() {
+    let case = case.ok_or_else(|| format!("{}: expected the name of a variant", file.display()))?;
+    let (outcome, _) = experiment.run_case(case, seed, Some(what))?;
+    if outcome.trace.is_empty() {
         return Err(format!("{what:?} did not occur in seed {seed} of {}", case.name));
     }
-    played.trace.iter().for_each(|line| println!("{line}"));
+    outcome.trace.iter().for_each(|line| println!("{line}"));
     Ok(())
 }
--- a/fleet-simulator/src/policy/mod.rs
+++ b/fleet-simulator/src/policy/mod.rs
@@ -1,5 +1,5 @@
-//! What decides for a gateway: the project's module, or what its users would pick instead.
-pub mod rivals;
+//! Policies that decide for a gateway: the project's balancer, and baselines to compare it with.
+pub mod baselines;
 
 use serde::{Deserialize, Serialize};
 use std::cell::Cell;
@@ -7,21 +7,21 @@
 use std::time::{Duration, Instant};
 use ternstack_balancer::{Action, Balancer, Event, Settings};
 
-/// Decides for one gateway, behind the module's own interface.
+/// Decides for one gateway, through the interface of the balancer.
 pub trait Policy {
-    /// Takes one event at a time in ms and appends what is to be done.
-    fn handle(&mut self, now: f64, event: Event, actions: &mut Vec<Action>);
+    /// Handles an event at a time in ms, and appends the resulting actions.
+    fn handle(&mut self, now_ms: f64, event: Event, actions: &mut Vec<Action>);
 }
 
 impl Policy for Balancer {
-    fn handle(&mut self, now: f64, event: Event, actions: &mut Vec<Action>) {
-        Balancer::handle(self, now, event, actions);
+    fn handle(&mut self, now_ms: f64, event: Event, actions: &mut Vec<Action>) {
+        Balancer::handle(self, now_ms, event, actions);
     }
 }
 
-/// Settings of a gateway that is alone before warm hosts in one zone and has no retry to spare: for measuring one
-/// decision, and the limiter by itself.
-pub fn alone(
+/// Returns the settings of a single gateway in one zone, without retries or slow start: for measuring one
+/// decision, and the rate limiter on its own.
+pub fn single_gateway_settings(
     classes: Vec<ternstack_balancer::RequestClass>, tenants: Vec<ternstack_balancer::Tenant>,
 ) -> Settings {
     Settings {
@@ -50,76 +50,82 @@
     }
 }
 
-/// Which policy a variant plays.
+/// Policy of a variant.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Deserialize, Serialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Which {
-    /// The project's module.
+pub enum PolicyKind {
+    /// The project's balancer.
     #[default]
     Module,
-    /// Evenly at random.
+    /// Uniformly random.
     Random,
-    /// One after the other.
+    /// Round robin.
     RoundRobin,
-    /// Where the fewest of the gateway's own attempts are out.
+    /// The host with the fewest outstanding attempts of the gateway.
     LeastOutstanding,
-    /// The better of two drawn at random, by attempts out.
+    /// The better of two random hosts, by outstanding attempts.
     TwoChoices,
-    /// Of two drawn at random the one with the lower peak-sensitive latency times attempts out.
+    /// The better of two random hosts, by peak-sensitive EWMA latency times outstanding attempts.
     PeakEwma,
 }
 
-impl Which {
-    /// All of them.
-    pub const ALL: [Which; 6] = [
-        Which::Module,
-        Which::Random,
-        Which::RoundRobin,
-        Which::LeastOutstanding,
-        Which::TwoChoices,
-        Which::PeakEwma,
+impl PolicyKind {
+    /// All policies, the balancer first.
+    pub const ALL: [PolicyKind; 6] = [
+        PolicyKind::Module,
+        PolicyKind::Random,
+        PolicyKind::RoundRobin,
+        PolicyKind::LeastOutstanding,
+        PolicyKind::TwoChoices,
+        PolicyKind::PeakEwma,
     ];
 
-    /// Its name, in words.
+    /// Returns the name, as reports show it.
     pub fn name(self) -> &'static str {
         match self {
-            Which::Module => "module",
-            Which::Random => "random",
-            Which::RoundRobin => "round robin",
-            Which::LeastOutstanding => "least outstanding",
-            Which::TwoChoices => "two choices",
-            Which::PeakEwma => "peak EWMA",
+            PolicyKind::Module => "module",
+            PolicyKind::Random => "random",
+            PolicyKind::RoundRobin => "round robin",
+            PolicyKind::LeastOutstanding => "least outstanding",
+            PolicyKind::TwoChoices => "two choices",
+            PolicyKind::PeakEwma => "peak EWMA",
         }
     }
 
-    /// Makes the policy of one gateway. `budget` is the part of the first attempts that may be repeated, where the
-    /// policy has such a limit; the module has its own.
-    pub fn make(self, settings: Settings, seed: u64, budget: Option<f64>) -> Result<Box<dyn Policy>, String> {
+    /// Creates the policy of one gateway. `budget` is a baseline's retry budget as a share of the first
+    /// attempts, `None` for no limit; the balancer ignores it because it has its own.
+    ///
+    /// # Errors
+    ///
+    /// Fails if the settings are invalid.
+    pub fn create(
+        self, settings: Settings, seed: u64, budget: Option<f64>,
+    ) -> Result<Box<dyn Policy>, String> {
         settings.check().map_err(|e| e.to_string())?;
         Ok(match self {
-            Which::Module => Box::new(Balancer::new(settings, seed).map_err(|e| e.to_string())?),
-            rival => Box::new(rivals::Rival::new(rival, settings, seed, budget)),
+            PolicyKind::Module => Box::new(Balancer::new(settings, seed).map_err(|e| e.to_string())?),
+            baseline => Box::new(baselines::Baseline::new(baseline, settings, seed, budget)),
         })
     }
 }
 
-/// A policy whose time on the wall is added up. The time goes nowhere near the run itself.
-pub struct Metered {
+/// A policy that records the wall-clock time it uses; the time has no effect on the run.
+pub struct TimedPolicy {
     policy: Box<dyn Policy>,
     spent: Rc<Cell<Duration>>,
 }
 
-impl Metered {
-    /// Adds to `spent` what the policy takes.
+impl TimedPolicy {
+    /// Wraps a policy; the time of each call is added to `spent`.
     pub fn new(policy: Box<dyn Policy>, spent: Rc<Cell<Duration>>) -> Self {
-        Metered { policy, spent }
+        TimedPolicy { policy, spent }
     }
 }
 
-impl Policy for Metered {
-    fn handle(&mut self, now: f64, event: Event, actions: &mut Vec<Action>) {
-        let begun = Instant::now();
-        self.policy.handle(now, event, actions);
-        self.spent.set(self.spent.get() + begun.elapsed());
+impl Policy for TimedPolicy {
+    fn handle(&mut self, now_ms: f64, event: Event, actions: &mut Vec<Action>) {
+        let started = Instant::now();
+        self.policy.handle(now_ms, event, actions);
+        self.spent.set(self.spent.get() + started.elapsed());
     }
 }
--- a/fleet-simulator/src/report.rs
+++ b/fleet-simulator/src/report.rs
@@ -1,51 +1,51 @@
-//! What people and programs read of an experiment: a table, CSV, and one self-contained HTML page with plots.
-use crate::experiment::{Results, Spent, VariantResults};
-use crate::judge::{Bin, Findings, BIN};
+//! Reports on an experiment: a Markdown table, CSV, and a self-contained HTML page with plots.
+use crate::experiment::{Results, VariantResults, WallTime};
+use crate::judge::{Bin, Findings, BIN_US};
 use crate::statistics::Summary;
 use plotters::coord::Shift;
 use plotters::prelude::*;
 use std::fmt::Write as _;
 
-/// Seconds of a bin.
-const BIN_S: f64 = BIN as f64 / 1e6;
-/// So many variants are plotted; a page with more would show nothing.
-const PLOTTED: usize = 12;
+/// Length of a bin, in seconds.
+const BIN_S: f64 = BIN_US as f64 / 1e6;
+/// Largest number of variants in a plot; more curves would be unreadable.
+const MAX_PLOTTED: usize = 12;
 
-/// A row of the table: a variant's figures over its seeds.
+/// Row of the table: figures of a variant over its seeds.
 #[derive(Clone, Debug, PartialEq, serde::Serialize)]
 pub struct Row {
-    /// The variant.
+    /// Name of the variant.
     pub variant: String,
-    /// Seeds.
+    /// Number of seeds.
     pub seeds: usize,
-    /// Worth earned by worth asked.
+    /// Earned worth as a share of the worth of all messages.
     pub service: Summary,
-    /// In the worst 10 s.
+    /// Service in the worst 10 s.
     pub worst_10_s: Summary,
-    /// Of the last 10 s, by the service before the first trouble.
+    /// Service in the last 10 s relative to the service before the first disturbance.
     pub at_end: Summary,
-    /// Service by what capacity allows.
+    /// Service relative to what capacity allowed.
     pub of_allowed: Summary,
-    /// Seconds to recover from the worst trouble, over the seeds in which service came back.
+    /// Seconds to recover from the worst disturbance, over the seeds in which service recovered.
     pub recovery_s: Summary,
-    /// Seeds in which service never came back after some trouble.
+    /// Number of seeds in which service did not recover from some disturbance.
     pub never_back: usize,
-    /// Tries a message.
+    /// Tries per message.
     pub tries: Summary,
-    /// Attempts a message.
+    /// Attempts per message.
     pub attempts: Summary,
-    /// Refusals a try.
+    /// Rejections per try.
     pub refused: Summary,
-    /// Work that nobody got an answer from.
+    /// Share of the hosts' work whose response was not used.
     pub wasted: Summary,
-    /// Jain's index over the tenants.
+    /// Jain's fairness index over the tenants' service.
     pub fairness: Summary,
-    /// Offences against the rules.
+    /// Number of violations against the rules.
     pub broken: u64,
 }
 
 impl Row {
-    /// The figures of a variant.
+    /// Computes the row of a variant.
     pub fn of(v: &VariantResults) -> Self {
         let sum = |value: &dyn Fn(&Findings) -> f64| Summary::of(&v.values(value));
         let longest = v.values(Findings::longest_recovery);
@@ -64,11 +64,11 @@
             refused: sum(&|f| f.refused.iter().sum()),
             wasted: sum(&|f| f.wasted),
             fairness: sum(&|f| f.fairness),
-            broken: v.broken(),
+            broken: v.violation_count(),
         }
     }
 
-    /// Its cells, as a table shows them.
+    /// Formats the cells of the table.
     fn cells(&self) -> Vec<String> {
         let two = |s: &Summary| format!("{:.2}", s.mean);
         vec![
@@ -90,8 +90,8 @@
     }
 }
 
-/// Heads of the table, in the order of its cells.
-const HEADS: [&str; 14] = [
+/// Column headings of the table, in the order of the cells.
+const HEADINGS: [&str; 14] = [
     "variant",
     "service",
     "worst seed",
@@ -108,12 +108,12 @@
     "rules broken",
 ];
 
-/// The table in Markdown, which terminals show as well.
+/// Formats the results as a Markdown table.
 pub fn table(results: &Results) -> String {
     let rows: Vec<Vec<String>> = results.variants.iter().map(|v| Row::of(v).cells()).collect();
     let width =
-        |n: usize| rows.iter().map(|r| r[n].chars().count()).chain([HEADS[n].len()]).max().unwrap_or(0);
-    let widths: Vec<usize> = (0..HEADS.len()).map(width).collect();
+        |n: usize| rows.iter().map(|r| r[n].chars().count()).chain([HEADINGS[n].len()]).max().unwrap_or(0);
+    let widths: Vec<usize> = (0..HEADINGS.len()).map(width).collect();
     let mut text = String::new();
     let mut line = |cells: &[String]| {
         let padded = cells.iter().zip(&widths).enumerate().map(|(n, (cell, width))| {
@@ -126,7 +126,7 @@
         });
         let _ = writeln!(text, "| {} |", padded.collect::<Vec<_>>().join(" | "));
     };
-    line(&HEADS.map(String::from));
+    line(&HEADINGS.map(String::from));
     let rules = widths.iter().enumerate().map(|(n, w)| match n {
         0 => "-".repeat(*w),
         _ => format!("{}:", "-".repeat(w - 1)),
@@ -136,7 +136,11 @@
     text
 }
 
-/// The series of all runs as CSV: a line a bin.
+/// Writes the time series of all runs as CSV, one line per bin.
+///
+/// # Errors
+///
+/// Fails if a record cannot be serialized.
 pub fn csv(results: &Results) -> Result<Vec<u8>, String> {
     let mut writer = csv::Writer::from_writer(Vec::new());
     writer
@@ -167,10 +171,10 @@
     for v in &results.variants {
         for run in &v.runs {
             for (n, b) in run.findings.bins.iter().enumerate() {
-                let [limit, room, late, failed] = b.refused;
+                let [quota_exceeded, no_capacity, too_late, attempts_failed] = b.refused;
                 let row = (
                     (&v.name, run.seed, n as f64 * BIN_S, b.asked, b.earned, b.messages, b.tries, b.attempts),
-                    (limit, room, late, failed, b.failed, b.timed_out),
+                    (quota_exceeded, no_capacity, too_late, attempts_failed, b.failed, b.timed_out),
                     (b.work, b.wasted, b.offered, b.queue, b.slow, b.up, b.busy),
                 );
                 writer.serialize(row).map_err(|e| e.to_string())?;
@@ -180,32 +184,32 @@
     writer.into_inner().map_err(|e| e.to_string())
 }
 
-type Drawing<'a> = DrawingArea<SVGBackend<'a>, Shift>;
-type Failure = Box<dyn std::error::Error>;
+type PlotArea<'a> = DrawingArea<SVGBackend<'a>, Shift>;
+type PlotError = Box<dyn std::error::Error>;
 
-/// A curve over time, the mean of a variant's seeds.
+/// A curve over time: the mean over a variant's seeds.
 struct Curve {
     name: String,
     points: Vec<(f64, f64)>,
 }
 
-/// A value of each bin over the seeds, as the ratio of two sums or a mean.
-fn curve(v: &VariantResults, over: &dyn Fn(&Bin) -> f64, under: &dyn Fn(&Bin) -> f64) -> Curve {
+/// Computes the ratio of two sums over the seeds, second by second.
+fn curve(v: &VariantResults, numerator: &dyn Fn(&Bin) -> f64, denominator: &dyn Fn(&Bin) -> f64) -> Curve {
     let bins = v.runs.iter().map(|r| r.findings.bins.len()).min().unwrap_or(0);
-    // Two bins are one second: what a reader takes a rate by.
+    // Two bins make one second, the unit of the plotted rates.
     let points = (0..bins / 2).map(|n| {
         let all = v.runs.iter().flat_map(|r| &r.findings.bins[2 * n..2 * n + 2]);
-        let (a, b) = all.fold((0.0, 0.0), |sum, bin| (sum.0 + over(bin), sum.1 + under(bin)));
+        let (a, b) = all.fold((0.0, 0.0), |sum, bin| (sum.0 + numerator(bin), sum.1 + denominator(bin)));
         ((2 * n) as f64 * BIN_S, if b > 0.0 { a / b } else { 0.0 })
     });
     Curve { name: v.name.clone(), points: points.collect() }
 }
 
-/// One plot as SVG text, with the troubles marked.
-fn plot(results: &Results, title: &str, curves: &[Curve]) -> Result<String, Failure> {
+/// Draws a plot as SVG, with the time spans of disturbances marked.
+fn plot(results: &Results, title: &str, curves: &[Curve]) -> Result<String, PlotError> {
     let mut svg = String::new();
     {
-        let root: Drawing = SVGBackend::with_string(&mut svg, (940, 260)).into_drawing_area();
+        let root: PlotArea = SVGBackend::with_string(&mut svg, (940, 260)).into_drawing_area();
         root.fill(&WHITE)?;
         let top = curves.iter().flat_map(|c| &c.points).map(|p| p.1).fold(0.0, f64::max);
         let top = if top > 0.0 { top * 1.08 } else { 1.0 };
@@ -235,7 +239,7 @@
     Ok(svg)
 }
 
-/// Which colour is which curve: one line for all plots that show the same ones.
+/// Formats a legend, shared by all plots with the same curves.
 fn legend(names: impl Iterator<Item = String>) -> String {
     let entry = |(n, name): (usize, String)| {
         let RGBAColor(red, green, blue, _) = Palette99::pick(n).to_rgba();
@@ -248,13 +252,13 @@
     text.replace('&', "&amp;").replace('<', "&lt;").replace('>', "&gt;")
 }
 
-/// The plots of a page: a title, and a curve for each variant.
+/// Returns the plots of a page: titles, and one curve per variant.
 fn plots(results: &Results) -> Vec<(&'static str, Vec<Curve>)> {
-    let shown = &results.variants[..results.variants.len().min(PLOTTED)];
+    let shown = &results.variants[..results.variants.len().min(MAX_PLOTTED)];
     let one = |_: &Bin| 1.0;
     let second = |_: &Bin| BIN_S;
-    let each = |over: &dyn Fn(&Bin) -> f64, under: &dyn Fn(&Bin) -> f64| -> Vec<Curve> {
-        shown.iter().map(|v| curve(v, over, under)).collect()
+    let each = |numerator: &dyn Fn(&Bin) -> f64, denominator: &dyn Fn(&Bin) -> f64| -> Vec<Curve> {
+        shown.iter().map(|v| curve(v, numerator, denominator)).collect()
     };
     let refused = |b: &Bin| f64::from(b.refused.iter().sum::<u32>());
     vec![
@@ -277,18 +281,18 @@
     ]
 }
 
-/// What keeps a jam alive, in one plot for the first variant: causes of refusal.
-fn causes(results: &Results) -> Vec<Curve> {
+/// Returns the rates of rejection by reason for the first variant.
+fn rejection_reasons(results: &Results) -> Vec<Curve> {
     let Some(v) = results.variants.first() else { return Vec::new() };
     let names = ["over limit", "no room", "too late", "attempts failed"];
-    let cause = |n: usize| Curve {
+    let reason = |n: usize| Curve {
         name: names[n].into(),
         ..curve(v, &move |b: &Bin| f64::from(b.refused[n]), &|_| BIN_S)
     };
-    (0..names.len()).map(cause).collect()
+    (0..names.len()).map(reason).collect()
 }
 
-/// Latencies of served messages as a table: the median over the seeds of each percentile.
+/// Formats latencies of served messages as a table: the median over the seeds of each percentile.
 fn latencies(results: &Results) -> String {
     let mut text =
         String::from("<table><tr><th>variant<th>class<th>p50<th>p90<th>p99<th>p99.9<th>longest</tr>\n");
@@ -310,8 +314,12 @@
     text + "</table>\n"
 }
 
-/// One self-contained page. `spent` tells what time the runs took, where it is known.
-pub fn html(results: &Results, spent: &[Spent]) -> Result<String, String> {
+/// Formats a self-contained HTML page. `spent` holds the times of the runs, or is empty if unknown.
+///
+/// # Errors
+///
+/// Fails if a plot cannot be drawn.
+pub fn html(results: &Results, wall_times: &[WallTime]) -> Result<String, String> {
     let mut page = String::new();
     let _ = write!(
         page,
@@ -328,7 +336,7 @@
         results.variants.first().map_or(0, |v| v.runs.len()),
     );
     page.push_str("<table><tr>");
-    HEADS.iter().for_each(|head| page.push_str(&format!("<th>{head}")));
+    HEADINGS.iter().for_each(|heading| page.push_str(&format!("<th>{heading}")));
     page.push_str("</tr>\n");
     for v in &results.variants {
         page.push_str("<tr>");
@@ -336,15 +344,15 @@
         page.push_str("</tr>\n");
     }
     page.push_str("</table>\n<h2>Over time in seconds, mean of the seeds</h2>\n");
-    page.push_str(&legend(results.variants.iter().take(PLOTTED).map(|v| v.name.clone())));
+    page.push_str(&legend(results.variants.iter().take(MAX_PLOTTED).map(|v| v.name.clone())));
     for (title, curves) in plots(results) {
         page.push_str(&plot(results, title, &curves).map_err(|e| e.to_string())?);
     }
     let first = results.variants.first().map_or("", |v| &v.name);
     let title = format!("refusals a second by cause: {first}");
-    let causes = causes(results);
-    page.push_str(&plot(results, &title, &causes).map_err(|e| e.to_string())?);
-    page.push_str(&legend(causes.iter().map(|c| c.name.clone())));
+    let rejection_reasons = rejection_reasons(results);
+    page.push_str(&plot(results, &title, &rejection_reasons).map_err(|e| e.to_string())?);
+    page.push_str(&legend(rejection_reasons.iter().map(|c| c.name.clone())));
     page.push_str("<h2>Latency of served messages from their first try on, in ms, the median seed</h2>\n");
     page.push_str(&latencies(results));
     page.push_str("<h2>Rules broken</h2>\n<ul>\n");
@@ -359,17 +367,17 @@
         }
     }
     page.push_str("</ul>\n");
-    if !spent.is_empty() {
+    if !wall_times.is_empty() {
         page.push_str(
             "<h2>What the runs took</h2>\n<table><tr><th>variant<th>s<th>of it in the policy</tr>\n",
         );
-        for (v, s) in results.variants.iter().zip(spent) {
-            let (whole, policy) = (s.whole.as_secs_f64(), s.policy.as_secs_f64());
+        for (v, s) in results.variants.iter().zip(wall_times) {
+            let (total, policy) = (s.total.as_secs_f64(), s.policies.as_secs_f64());
             let name = escape(&v.name);
             let _ = writeln!(
                 page,
-                "<tr><td>{name}<td>{whole:.2}<td>{:.0}%</tr>",
-                100.0 * policy / whole.max(1e-9)
+                "<tr><td>{name}<td>{total:.2}<td>{:.0}%</tr>",
+                100.0 * policy / total.max(1e-9)
             );
         }
         page.push_str("</table>\n");
--- a/fleet-simulator/src/statistics.rs
+++ b/fleet-simulator/src/statistics.rs
@@ -1,25 +1,25 @@
-//! Figures over seeds: mean, spread, worst, and whether two variants differ by more than noise.
+//! Statistics over seeds: mean, deviation, extremes, and paired comparisons of variants.
 use crate::experiment::VariantResults;
 use crate::judge::Findings;
 use serde::{Deserialize, Serialize};
 use statrs::distribution::{ContinuousCDF, StudentsT};
 use statrs::statistics::Statistics;
 
-/// A figure over the seeds of a variant.
+/// Summary of a value over the seeds of a variant.
 #[derive(Clone, Copy, Debug, PartialEq, Deserialize, Serialize)]
 pub struct Summary {
-    /// Its mean.
+    /// Mean.
     pub mean: f64,
-    /// Its standard deviation; 0 for one seed.
+    /// Standard deviation; 0 for a single seed.
     pub spread: f64,
-    /// The least.
+    /// Smallest value.
     pub least: f64,
-    /// The greatest.
+    /// Largest value.
     pub most: f64,
 }
 
 impl Summary {
-    /// Sums up some values; zeros for none.
+    /// Summarizes values; all zeros for none.
     pub fn of(values: &[f64]) -> Self {
         if values.is_empty() {
             return Summary { mean: 0.0, spread: 0.0, least: 0.0, most: 0.0 };
@@ -31,33 +31,34 @@
     }
 }
 
-/// What a comparison says.
+/// Verdict of a comparison.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Verdict {
-    /// The second is better by more than noise.
+    /// The second variant is significantly better.
     Better,
-    /// It is worse by more than noise.
+    /// The second variant is significantly worse.
     Worse,
-    /// The interval holds no difference.
+    /// The confidence interval includes no difference.
     Noise,
 }
 
-/// A paired comparison of one figure.
+/// Paired comparison of one value.
 #[derive(Clone, Debug, PartialEq, Deserialize, Serialize)]
-pub struct Paired {
-    /// Pairs.
+pub struct PairedComparison {
+    /// Number of pairs.
     pub pairs: usize,
-    /// Mean difference, the second less the first.
+    /// Mean difference, second minus first.
     pub difference: f64,
-    /// Half the width of its interval of confidence of 95%.
+    /// Half the width of the 95% confidence interval of the difference.
     pub half_width: f64,
-    /// What that says, where more is better.
+    /// Verdict, where a larger value is better.
     pub verdict: Verdict,
 }
 
-/// Compares by pairs. `None` for fewer than two pairs: nothing can be told from one.
-pub fn paired(first: &[f64], second: &[f64]) -> Option<Paired> {
+/// Compares two series pair by pair. Returns `None` for fewer than two pairs, because their variance is
+/// unknown.
+pub fn compare_pairs(first: &[f64], second: &[f64]) -> Option<PairedComparison> {
     let differences: Vec<f64> = first.iter().zip(second).map(|(a, b)| b - a).collect();
     let pairs = differences.len();
     if pairs < 2 {
@@ -74,13 +75,15 @@
     } else {
         Verdict::Noise
     };
-    Some(Paired { pairs, difference, half_width, verdict })
+    Some(PairedComparison { pairs, difference, half_width, verdict })
 }
 
-/// Compares a figure of two variants, seed by seed; seeds that only one of them has are left out.
-pub fn compare(a: &VariantResults, b: &VariantResults, value: impl Fn(&Findings) -> f64) -> Option<Paired> {
+/// Compares a value of two variants seed by seed; seeds that only one of them has are left out.
+pub fn compare_variants(
+    a: &VariantResults, b: &VariantResults, value: impl Fn(&Findings) -> f64,
+) -> Option<PairedComparison> {
     let of = |v: &VariantResults, seed| v.runs.iter().find(|r| r.seed == seed).map(|r| value(&r.findings));
     let pairs = a.runs.iter().filter_map(|r| Some((value(&r.findings), of(b, r.seed)?)));
     let (first, second): (Vec<f64>, Vec<f64>) = pairs.unzip();
-    paired(&first, &second)
+    compare_pairs(&first, &second)
 }
--- a/fleet-simulator/src/world/clients.rs
+++ b/fleet-simulator/src/world/clients.rs
@@ -1,7 +1,7 @@
-//! Clients: an open loop of messages that are drawn ahead, and what a client does once a try has ended.
+//! Clients: an open loop of messages that are drawn in advance, and the retry behaviour of a client.
 //!
-//! Arrivals do not wait for answers. Whatever is drawn for a message comes from the arrivals' own stream, or from
-//! the message's own: no decision of a gateway changes any other message.
+//! Arrivals do not wait for responses. All random values of a message come from the arrival stream or from
+//! the message's own stream, so that a gateway's decision about one message never changes another message.
 use super::draw::{stream, Purpose};
 use super::spec::{self, BackOff, Class, Effect, World};
 use super::{us, Us};
@@ -11,103 +11,103 @@
 use rand_distr::{Distribution, Exp1, Zipf};
 use rand_pcg::Pcg64Mcg;
 
-/// A message: a first try and all that follows from it.
+/// A message: a client's first try together with all retries.
 #[derive(Clone, Debug)]
 pub struct Message {
-    /// Its number, from 0.
+    /// Number of the message in the run, from 0.
     pub number: u64,
-    /// When its client first sends it.
+    /// Time of the first try.
     pub at: Us,
-    /// Its class.
+    /// Index of the class.
     pub class: usize,
-    /// Its tenant.
+    /// Index of the tenant.
     pub tenant: usize,
-    /// What it concerns.
+    /// Cache key at the hosts.
     pub key: u32,
-    /// Where its client enters.
+    /// Zone in which the client enters the platform.
     pub zone: u32,
-    /// What it is worth in full.
+    /// Worth of a response within the latency objective.
     pub worth: f64,
-    /// Its tenant is within its quota.
+    /// Whether the tenant was within its quota at the first try.
     pub within_quota: bool,
     /// Work on a standard core, in microseconds.
     pub work: f64,
-    /// For how long a host that serves it waits on others.
+    /// Time that a host spends waiting on other systems while it serves the message.
     pub wait: Us,
-    /// Its client heeds advice.
-    pub heeds: bool,
-    /// Its client leaves by then.
-    pub leaves: Us,
-    /// For all that is drawn for it later.
+    /// Whether the client honours Retry-After.
+    pub honors_retry_after: bool,
+    /// Time at which the client disconnects early; `Us::MAX` for never.
+    pub disconnects_at: Us,
+    /// Random stream for the client's retries and the noise of attempts.
     pub rng: Pcg64Mcg,
 }
 
-/// More traffic for a while, of all tenants or of one.
+/// A temporary increase of traffic, of all tenants or of one.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Surge {
-    /// From when to when.
+    /// Start.
     pub from: Us,
-    /// Its end.
+    /// End.
     pub to: Us,
-    /// How long it takes to rise, and to fall.
+    /// Duration of the rise after the start, and of the fall before the end.
     pub rise: Us,
-    /// How many times the usual.
-    pub times: f64,
-    /// Whose traffic; all where absent.
+    /// Multiple of the usual traffic at the peak.
+    pub multiple: f64,
+    /// Index of the tenant that the surge is limited to; `None` for all tenants.
     pub tenant: Option<usize>,
 }
 
 impl Surge {
-    /// How many times the usual at a moment.
+    /// Returns the multiple of the usual traffic at a time.
     fn at(&self, now: Us) -> f64 {
         if now < self.from || now >= self.to {
             return 1.0;
         }
         let edge = (now - self.from).min(self.to - now) as f64;
-        1.0 + (self.times - 1.0) * (edge / self.rise.max(1) as f64).min(1.0)
+        1.0 + (self.multiple - 1.0) * (edge / self.rise.max(1) as f64).min(1.0)
     }
 }
 
-/// A quota as a bucket that fills with it and holds a second's worth.
+/// Token bucket of a quota; holds the tokens of one second, and at least one.
 #[derive(Clone, Copy, Debug)]
-struct Bucket {
+struct TokenBucket {
     per_s: f64,
-    level: f64,
+    tokens: f64,
     at: Us,
 }
 
-impl Bucket {
+impl TokenBucket {
     fn take(&mut self, now: Us) -> bool {
         if self.per_s <= 0.0 {
             return true;
         }
         let gained = (now - self.at) as f64 / 1e6 * self.per_s;
-        self.level = (self.level + gained).min(self.per_s.max(1.0));
+        self.tokens = (self.tokens + gained).min(self.per_s.max(1.0));
         self.at = now;
-        let within = self.level >= 1.0;
-        self.level -= f64::from(u8::from(within));
-        within
+        let has_token = self.tokens >= 1.0;
+        self.tokens -= f64::from(u8::from(has_token));
+        has_token
     }
 }
 
-/// The messages of a run, in the order of their times.
+/// Generator of the messages of a run, in the order of their times.
 #[derive(Debug)]
 pub struct Arrivals {
     world: World,
     rng: ChaCha8Rng,
     now: f64,
-    count: u64,
+    next_number: u64,
     per_us: f64,
     surges: Vec<Surge>,
     tenants: WeightedAliasIndex<f64>,
-    parts: Vec<f64>,
+    tenant_shares: Vec<f64>,
     classes: WeightedAliasIndex<f64>,
     keys: Zipf<f64>,
-    buckets: Vec<Bucket>,
+    buckets: Vec<TokenBucket>,
 }
 
-/// The part of the traffic of each tenant, the named ones first.
-fn tenant_parts(world: &World) -> Vec<f64> {
+/// Returns the share of the traffic of each tenant, named tenants first.
+fn tenant_shares_of(world: &World) -> Vec<f64> {
     let named: f64 = world.tenants.iter().map(|t| t.part).sum();
     let scale = (1.0 - world.crowd_share) / named.max(1e-12);
     let crowd: Vec<f64> = (1..=world.crowd_tenants).map(|n| 1.0 / f64::from(n)).collect();
@@ -117,63 +117,69 @@
 }
 
 impl Arrivals {
-    /// Messages at `per_s` a second, and what the quotas are, for hosts that can serve `can_per_s`.
+    /// Creates the arrivals at a mean rate of `per_s` messages a second. Quotas are shares of `can_per_s`,
+    /// the messages a second that all hosts can serve.
+    ///
+    /// # Errors
+    ///
+    /// Fails if the shares or the key distribution of the world are invalid.
     pub fn new(
-        world: &World, per_s: f64, can_per_s: f64, surges: Vec<Surge>, seed: u64,
+        world: &World, per_s: f64, capacity_per_s: f64, surges: Vec<Surge>, seed: u64,
     ) -> Result<Self, String> {
-        let parts = tenant_parts(world);
-        let alias = |parts: Vec<f64>| WeightedAliasIndex::new(parts).map_err(|e| e.to_string());
-        let quota = |n: usize| world.tenants.get(n).map_or(0.0, |t| t.quota * can_per_s);
-        let bucket = |n| Bucket { per_s: quota(n), level: quota(n).max(1.0), at: 0 };
+        let tenant_shares = tenant_shares_of(world);
+        let weighted = |weights: Vec<f64>| WeightedAliasIndex::new(weights).map_err(|e| e.to_string());
+        let quota = |n: usize| world.tenants.get(n).map_or(0.0, |t| t.quota * capacity_per_s);
+        let bucket = |n| TokenBucket { per_s: quota(n), tokens: quota(n).max(1.0), at: 0 };
         Ok(Arrivals {
             rng: stream(seed, Purpose::Arrivals, 0),
             now: 0.0,
-            count: 0,
+            next_number: 0,
             per_us: per_s / 1e6,
             surges,
-            tenants: alias(parts.clone())?,
-            buckets: (0..parts.len()).map(bucket).collect(),
-            parts,
-            classes: alias(world.classes.iter().map(|c| c.part).collect())?,
+            tenants: weighted(tenant_shares.clone())?,
+            buckets: (0..tenant_shares.len()).map(bucket).collect(),
+            tenant_shares,
+            classes: weighted(world.classes.iter().map(|c| c.part).collect())?,
             keys: Zipf::new(f64::from(world.keys), world.key_zipf).map_err(|e| e.to_string())?,
             world: world.clone(),
         })
     }
 
-    /// The quota of each tenant, in messages a second; 0 for none.
+    /// Returns the quota of each tenant in messages a second; 0 for none.
     pub fn quotas(&self) -> Vec<f64> {
         self.buckets.iter().map(|b| b.per_s).collect()
     }
 
-    /// How many times the usual rate, and by how much the flooding tenants go beyond theirs.
-    fn rate(&self, now: Us) -> (f64, f64) {
+    /// Returns the rate at a time relative to the mean, without and of the surges of single tenants.
+    fn rate_multiple(&self, now: Us) -> (f64, f64) {
         let phase = std::f64::consts::TAU * now as f64 / (self.world.swing_s * 1e6);
         let swing = 1.0 + self.world.swing * phase.sin();
         let all = |s: &&Surge| s.tenant.is_none();
         let base: f64 = swing * self.surges.iter().filter(all).map(|s| s.at(now)).product::<f64>();
-        let extra = |s: &Surge| s.tenant.map_or(0.0, |t| self.parts[t] * (s.at(now) - 1.0));
+        let extra = |s: &Surge| s.tenant.map_or(0.0, |t| self.tenant_shares[t] * (s.at(now) - 1.0));
         (base, base * self.surges.iter().map(extra).sum::<f64>())
     }
 
-    fn most(&self) -> f64 {
+    fn max_rate_multiple(&self) -> f64 {
         let product: f64 =
-            self.surges.iter().filter(|s| s.tenant.is_none()).map(|s| s.times.max(1.0)).product();
-        let extra = |s: &Surge| s.tenant.map_or(0.0, |t| self.parts[t] * (s.times - 1.0).max(0.0));
+            self.surges.iter().filter(|s| s.tenant.is_none()).map(|s| s.multiple.max(1.0)).product();
+        let extra = |s: &Surge| s.tenant.map_or(0.0, |t| self.tenant_shares[t] * (s.multiple - 1.0).max(0.0));
         (1.0 + self.world.swing) * product * (1.0 + self.surges.iter().map(extra).sum::<f64>())
     }
 
-    /// The next message, unless it would come at `end` or later.
+    /// Returns the next message, or `None` if its time would be `end` or later.
     pub fn next(&mut self, end: Us) -> Option<Message> {
-        let most = self.most();
+        let max_multiple = self.max_rate_multiple();
         let (at, extra) = loop {
             let gap: f64 = Exp1.sample(&mut self.rng);
-            self.now += gap / (self.per_us * most);
+            self.now += gap / (self.per_us * max_multiple);
             if self.now >= end as f64 {
                 return None;
             }
-            let (base, extra) = self.rate(self.now as Us);
-            // Thinning: of a steady stream at the highest rate, as much stays as the rate of the moment asks.
-            if self.rng.random::<f64>() * most < base + extra {
+            let (base, extra) = self.rate_multiple(self.now as Us);
+            // Thinning: candidates arrive at the highest possible rate, and each is kept with the probability
+            // that gives the current rate.
+            if self.rng.random::<f64>() * max_multiple < base + extra {
                 break (self.now as Us, extra / (base + extra));
             }
         };
@@ -182,7 +188,7 @@
 
     fn message(&mut self, at: Us, extra: f64) -> Message {
         let tenant = if extra > 0.0 && self.rng.random::<f64>() < extra {
-            self.flooding(at)
+            self.surging_tenant(at)
         } else {
             self.tenants.sample(&mut self.rng)
         };
@@ -198,10 +204,10 @@
             1 + (((draw - first) / (1.0 - first)) * f64::from(zones - 1)) as u32
         };
         let within_quota = self.buckets[tenant].take(at);
-        let leaves = self.rng.random::<f64>() < clients.leave;
-        let leaves_after = self.rng.random::<f64>() * spec.deadline_ms;
+        let disconnects_early = self.rng.random::<f64>() < clients.leave;
+        let disconnects_after_ms = self.rng.random::<f64>() * spec.deadline_ms;
         let message = Message {
-            number: self.count,
+            number: self.next_number,
             at,
             class,
             tenant,
@@ -211,47 +217,47 @@
             within_quota,
             work: spec.work_ms * 1000.0 * spec.work.draw(&mut self.rng),
             wait: us(spec.wait_ms * spec.wait.draw(&mut self.rng)),
-            heeds: self.rng.random::<f64>() < clients.heed,
-            leaves: if leaves { at + us(leaves_after) } else { Us::MAX },
+            honors_retry_after: self.rng.random::<f64>() < clients.heed,
+            disconnects_at: if disconnects_early { at + us(disconnects_after_ms) } else { Us::MAX },
             rng: Pcg64Mcg::seed_from_u64(self.rng.random()),
         };
-        self.count += 1;
+        self.next_number += 1;
         message
     }
 
-    /// One of those that flood now, by how much each goes beyond its usual.
-    fn flooding(&mut self, now: Us) -> usize {
-        let extra = |s: &Surge| s.tenant.map(|t| (t, self.parts[t] * (s.at(now) - 1.0).max(0.0)));
-        let floods: Vec<(usize, f64)> = self.surges.iter().filter_map(extra).collect();
-        let mut at = self.rng.random::<f64>() * floods.iter().map(|f| f.1).sum::<f64>();
-        let drawn = floods.iter().find(|f| {
+    /// Draws one of the tenants that have a surge, weighted by the extra traffic of each.
+    fn surging_tenant(&mut self, now: Us) -> usize {
+        let extra = |s: &Surge| s.tenant.map(|t| (t, self.tenant_shares[t] * (s.at(now) - 1.0).max(0.0)));
+        let surges: Vec<(usize, f64)> = self.surges.iter().filter_map(extra).collect();
+        let mut at = self.rng.random::<f64>() * surges.iter().map(|f| f.1).sum::<f64>();
+        let drawn = surges.iter().find(|f| {
             at -= f.1;
             at < 0.0
         });
-        drawn.or(floods.last()).map_or(0, |f| f.0)
+        drawn.or(surges.last()).map_or(0, |f| f.0)
     }
 }
 
-/// How a try ended, as its client sees it.
+/// End of a try, as the client sees it.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum TryEnd {
-    /// With a served answer.
+pub enum TryOutcome {
+    /// The client received a served response.
     Served,
-    /// Refused, perhaps with advice when to come back.
-    Refused {
-        /// The advice.
+    /// A gateway rejected the try.
+    Rejected {
+        /// Value of Retry-After; 0 for none.
         retry_after: Us,
     },
-    /// Failed.
+    /// A gateway failed the try.
     Failed,
-    /// No gateway was reached.
+    /// No gateway could be reached.
     Unreachable,
-    /// Nothing came in the time that the client gave the try.
+    /// The client's timeout for the try expired.
     TimedOut,
 }
 
-/// How long a client waits for a try that it begins now: the last one gets all that is left.
-pub fn patience(spec: &spec::Clients, class: &Class, message: &Message, now: Us, tries_before: u32) -> Us {
+/// Returns the client timeout of a try that begins at `now`; the last try gets the rest of the deadline.
+pub fn try_timeout(spec: &spec::Clients, class: &Class, message: &Message, now: Us, tries_before: u32) -> Us {
     let left = (message.at + us(class.deadline_ms)).saturating_sub(now);
     if tries_before >= spec.retries {
         left
@@ -260,16 +266,16 @@
     }
 }
 
-/// When the client tries again, if it does.
-pub fn again(
-    spec: &spec::Clients, class: &Class, message: &mut Message, now: Us, tries: u32, end: TryEnd,
+/// Returns the time of the client's next try, or `None` if the client does not retry.
+pub fn next_try_at(
+    spec: &spec::Clients, class: &Class, message: &mut Message, now: Us, tries: u32, outcome: TryOutcome,
 ) -> Option<Us> {
-    let harmless = matches!(end, TryEnd::Refused { .. } | TryEnd::Unreachable);
-    let permitted = match (class.effect, end) {
-        (_, TryEnd::Served) => false,
+    let never_ran = matches!(outcome, TryOutcome::Rejected { .. } | TryOutcome::Unreachable);
+    let permitted = match (class.effect, outcome) {
+        (_, TryOutcome::Served) => false,
         (Effect::Safe, _) => true,
-        (Effect::Keyed, _) => harmless || now < message.at + us(class.window_ms),
-        (Effect::Unsafe, _) => harmless,
+        (Effect::Keyed, _) => never_ran || now < message.at + us(class.window_ms),
+        (Effect::Unsafe, _) => never_ran,
     };
     if !permitted || tries > spec.retries {
         return None;
@@ -278,15 +284,15 @@
         BackOff::None => 0,
         BackOff::Fixed => us(spec.back_off_ms),
         BackOff::Exponential => {
-            let most = spec.back_off_ms * 2f64.powi(tries as i32);
-            us(most * message.rng.random::<f64>())
+            let max_backoff_ms = spec.back_off_ms * 2f64.powi(tries as i32);
+            us(max_backoff_ms * message.rng.random::<f64>())
         }
     };
-    if let TryEnd::Refused { retry_after } = end {
-        if message.heeds {
+    if let TryOutcome::Rejected { retry_after } = outcome {
+        if message.honors_retry_after {
             wait = wait.max(retry_after.min(us(spec.heed_most_ms)));
         }
     }
     let at = now + wait;
-    (at < message.at + us(class.deadline_ms) && at < message.leaves).then_some(at)
+    (at < message.at + us(class.deadline_ms) && at < message.disconnects_at).then_some(at)
 }
