--- a/fleet-simulator/benches/decision.rs
+++ b/fleet-simulator/benches/decision.rs
@@ -1,5 +1,6 @@
 //! Cost of one decision of the balancer by the size of the fleet: arrival and end of a request, with a load
-//! report. One gateway uses all hosts. `cargo bench -p ternstack-fleet-simulator` prints microseconds per request.
+//! report. One gateway uses all hosts. `cargo bench -p ternstack-fleet-simulator` prints microseconds per
+//! request.
 use criterion::{criterion_group, criterion_main, BenchmarkId, Criterion, Throughput};
 use ternstack_balancer::{
     Action, Arrival, AttemptEnd, Balancer, DeduplicationScope, EndpointId, EndpointRecord, Event,
--- a/fleet-simulator/src/capacity/limits.rs
+++ b/fleet-simulator/src/capacity/limits.rs
@@ -174,7 +174,7 @@
     let error = 1.0 / in_window.sqrt();
     let cells = std::f64::consts::E * s.requests * t.window_s / (error * in_window);
     let depth = 4.0;
-    let sketch_bytes = at_gateway * depth * (4.0 + t.count_bytes);
+    let sketches = at_gateway * depth * (4.0 + t.count_bytes);
     let gossip_bytes = s.tenants * entry / t.window_s;
     let reuse = s.mean_requests_per_s() * t.window_s / s.gateways;
     vec![
@@ -242,10 +242,10 @@
         Approach {
             name: "count-min sketches, merged",
             formula: "requests x 4 rows x (cell + count) + tenants x over / hold x entry".into(),
-            bytes_per_s: sketch_bytes + returned_bytes,
+            bytes_per_s: sketches + returned_bytes,
             late_s: t.reaction_s(),
             error: format!("{}, with {:.0} million cells a row at the owner", percent(error), cells / 1e6),
-            verdict: format!("no: {}, more than the counts themselves", verdict(sketch_bytes + returned_bytes)),
+            verdict: format!("no: {}, more than the counts themselves", verdict(sketches + returned_bytes)),
         },
         Approach {
             name: "gossip of all counts",
--- a/fleet-simulator/src/capacity/load.rs
+++ b/fleet-simulator/src/capacity/load.rs
@@ -66,7 +66,7 @@
     let mut configured = config(load.instances, 1, discovery.at, list);
     configured["settings"]["limits"]["conn_idle_ms"] = json!(load.idle.as_secs_f64() * 1000.0);
     let gateway = Gateway::start(&configured)?;
-    // Measures the gateway's idle cost, after one second of load in which connections are established.
+    // Connections are established in one second of load; then the gateway's cost without load is measured.
     let warm_up = LoadParameters { length: Duration::from_secs(1), ..*load };
     runtime.block_on(run_clients(&warm_up, &gateway, &hosts, &recorder))?;
     let idle_from = gateway.settled_cpu_us()?;
@@ -94,8 +94,9 @@
 
 #[derive(Default)]
 struct ClientResults {
-    /// Latencies in ms, sorted.
+    /// Latencies through the gateway, in ms, sorted.
     through: Vec<f64>,
+    /// Latencies of requests sent directly to the hosts, in ms, sorted.
     direct: Vec<f64>,
     failed: u64,
     sockets: f64,
--- a/fleet-simulator/src/experiment.rs
+++ b/fleet-simulator/src/experiment.rs
@@ -188,39 +188,43 @@
 
     /// Checks all values; the error holds the path of the first invalid key, and what was expected.
     fn check(&self) -> Result<(), (String, String)> {
-        let need = |ok: bool, key: &str, wanted: &str| {
+        let ensure = |ok: bool, key: &str, expected: &str| {
             if ok {
                 Ok(())
             } else {
-                Err((key.to_string(), wanted.to_string()))
+                Err((key.to_string(), expected.to_string()))
             }
         };
-        need(!self.name.is_empty(), "name", "expected a name")?;
-        need((1..=10_000).contains(&self.seeds), "seeds", "expected 1 to 10000")?;
-        need(
+        ensure(!self.name.is_empty(), "name", "expected a name")?;
+        ensure((1..=10_000).contains(&self.seeds), "seeds", "expected 1 to 10000")?;
+        ensure(
             self.length_s > 0.0 && self.length_s <= 86_400.0,
             "length_s",
             "expected above 0 and at most 86400",
         )?;
-        need(
+        ensure(
             self.warm_up_s >= 0.0 && self.warm_up_s < self.length_s,
             "warm_up_s",
             "expected 0 or more, and less than length_s",
         )?;
         for (n, variant) in self.variant.iter().enumerate() {
             let key = |name: &str| format!("variant[{n}].{name}");
-            need(!variant.name.is_empty(), &key("name"), "expected a name")?;
+            ensure(!variant.name.is_empty(), &key("name"), "expected a name")?;
             let other = self.variant[..n].iter().any(|v| v.name == variant.name);
-            need(!other, &key("name"), "expected a name that no other variant has")?;
-            need(variant.budget.is_none_or(|b| (0.0..=1.0).contains(&b)), &key("budget"), "expected 0 to 1")?;
-            need(
+            ensure(!other, &key("name"), "expected a name that no other variant has")?;
+            ensure(
+                variant.budget.is_none_or(|b| (0.0..=1.0).contains(&b)),
+                &key("budget"),
+                "expected 0 to 1",
+            )?;
+            ensure(
                 variant.budget.is_none() || variant.policy != PolicyKind::Module,
                 &key("budget"),
                 "expected no budget, because the module has its own",
             )?;
         }
         for (path, values) in &self.sweep {
-            need(!values.is_empty(), &format!("sweep.{path}"), "expected at least one value")?;
+            ensure(!values.is_empty(), &format!("sweep.{path}"), "expected at least one value")?;
         }
         self.cases().map(|_| ())
     }
--- a/fleet-simulator/src/judge.rs
+++ b/fleet-simulator/src/judge.rs
@@ -427,7 +427,7 @@
         let bin = |s: f64| (((s * 1e6) as Us / BIN_US) as usize).min(bin_count);
         let (from, to) = (bin(trouble.at_s), bin(trouble.at_s + trouble.for_s));
         let before = Self::service(&self.bins[first.max(from.saturating_sub(WORST_BINS))..from.max(first)]);
-        let windows = (to..bin_count.saturating_sub(RECOVERED_BINS - 1).max(to)).find(|n| {
+        let recovered_bin = (to..bin_count.saturating_sub(RECOVERED_BINS - 1).max(to)).find(|n| {
             Self::service(&self.bins[*n..(*n + RECOVERED_BINS).min(bin_count)]) >= RECOVERED_SHARE * before
         });
         let over = trouble.end();
@@ -436,7 +436,7 @@
             at_s: trouble.at_s,
             end_s: trouble.at_s + trouble.for_s,
             before,
-            seconds: windows.map(|n| (n as Us * BIN_US).saturating_sub(over) as f64 / 1e6),
+            seconds: recovered_bin.map(|n| (n as Us * BIN_US).saturating_sub(over) as f64 / 1e6),
         }
     }
 
--- a/fleet-simulator/src/simulation.rs
+++ b/fleet-simulator/src/simulation.rs
@@ -163,9 +163,9 @@
     message: Message,
     tries: u32,
     /// The client has its final result or sends no further try.
-    over: bool,
+    finished: bool,
     /// Tries of the message that have not been removed yet.
-    held: u32,
+    open_tries: u32,
 }
 
 struct Try {
@@ -175,7 +175,7 @@
     /// End of the client's timeout.
     deadline: Us,
     /// The client no longer waits for the try.
-    over: bool,
+    client_done: bool,
     /// The try has reached the gateway.
     reached_gateway: bool,
     /// The gateway has ended the try, or has learned that the client disconnected.
@@ -466,8 +466,8 @@
         }
     }
 
-    fn trace_if(&mut self, trace_target: TraceTarget, line: impl FnOnce() -> String) {
-        if self.setup.trace_target == Some(trace_target) {
+    fn trace_if(&mut self, subject: TraceTarget, line: impl FnOnce() -> String) {
+        if self.setup.trace_target == Some(subject) {
             let line = line();
             self.trace.push(format!("{:>12.3} ms  {line}", ms(self.now)));
         }
@@ -500,19 +500,19 @@
                 self.on_discovery_delivery(&delivery, incarnation)
             }
             Event::TryAtGateway(key) => self.on_try_at_gateway(key),
-            Event::ClientDisconnected(key, at_end) => self.on_client_disconnected(key, at_end),
+            Event::ClientDisconnected(key, timed_out) => self.on_client_disconnected(key, timed_out),
             Event::GatewayTimer(gateway, incarnation, token) => {
                 if self.gateways[gateway as usize].incarnation == incarnation {
                     self.deliver_event(gateway, PolicyEvent::Timer { token });
                 }
             }
-            Event::ResponseAtClient(key, end) => self.on_response(key, end),
+            Event::ResponseAtClient(key, outcome) => self.on_response(key, outcome),
             Event::ClientTimeout(key) => self.on_client_timeout(key),
             Event::TryBegins(key) => self.begin_try(key),
             Event::MessageArrives(message) => {
                 self.next_arrival();
                 self.judge.message_began(&message);
-                let state = MessageState { message: *message, tries: 0, over: false, held: 0 };
+                let state = MessageState { message: *message, tries: 0, finished: false, open_tries: 0 };
                 let key = self.messages.insert(state);
                 self.begin_try(key);
             }
@@ -535,9 +535,9 @@
         let class = &self.world.classes[state.message.class];
         let wait = try_timeout(&self.clients, class, &state.message, self.now, state.tries);
         let deadline = self.now + wait;
-        let gives_up = deadline.min(state.message.disconnects_at.max(self.now));
+        let gives_up_at = deadline.min(state.message.disconnects_at.max(self.now));
         state.tries += 1;
-        state.held += 1;
+        state.open_tries += 1;
         let draw: f64 = state.message.rng.random();
         let (zone, number, tries) = (state.message.zone, state.message.number, state.tries);
         self.judge.bin(self.now).tries += 1;
@@ -550,7 +550,7 @@
             gateway: gateway as u32,
             incarnation,
             deadline,
-            over: false,
+            client_done: false,
             reached_gateway: false,
             ended: !alive,
             sent: Vec::new(),
@@ -569,36 +569,36 @@
             self.judge.bin(self.now).failed += 1;
             self.schedule(self.now + 2 * latency, Event::ResponseAtClient(try_key, TryOutcome::Unreachable));
         }
-        self.schedule(gives_up, Event::ClientTimeout(try_key));
+        self.schedule(gives_up_at, Event::ClientTimeout(try_key));
     }
 
-    fn on_response(&mut self, key: TryKey, end: TryOutcome) {
-        let Some(t) = self.tries.get_mut(key).filter(|t| !t.over) else { return };
-        t.over = true;
+    fn on_response(&mut self, key: TryKey, outcome: TryOutcome) {
+        let Some(t) = self.tries.get_mut(key).filter(|t| !t.client_done) else { return };
+        t.client_done = true;
         let message = t.message;
         if let Some(state) = self.messages.get_mut(message) {
             let number = state.message.number;
-            if end == TryOutcome::Served && !state.over {
-                state.over = true;
+            if outcome == TryOutcome::Served && !state.finished {
+                state.finished = true;
                 let served = state.message.clone();
                 self.judge.message_served(self.now, &served);
             }
-            self.trace_if(TraceTarget::Message(number), || format!("the client receives {end:?}"));
+            self.trace_if(TraceTarget::Message(number), || format!("the client receives {outcome:?}"));
         }
-        self.retry_or_finish(message, end);
+        self.retry_or_finish(message, outcome);
         self.remove_finished_try(key);
     }
 
     fn on_client_timeout(&mut self, key: TryKey) {
-        let Some(t) = self.tries.get_mut(key).filter(|t| !t.over) else { return };
-        t.over = true;
+        let Some(t) = self.tries.get_mut(key).filter(|t| !t.client_done) else { return };
+        t.client_done = true;
         let (message, deadline) = (t.message, t.deadline);
-        let at_end = self.now >= deadline;
+        let timed_out = self.now >= deadline;
         if !t.ended {
             let slack = us(self.world.gateway.slack_ms);
             let latency = self.network.to_client();
-            let at = self.now + if at_end { slack.max(latency) } else { latency };
-            self.schedule(at, Event::ClientDisconnected(key, at_end));
+            let at = self.now + if timed_out { slack.max(latency) } else { latency };
+            self.schedule(at, Event::ClientDisconnected(key, timed_out));
         }
         self.judge.bin(self.now).timed_out += 1;
         if let Some(state) = self.messages.get(message) {
@@ -609,16 +609,16 @@
         self.remove_finished_try(key);
     }
 
-    fn retry_or_finish(&mut self, key: MessageKey, end: TryOutcome) {
+    fn retry_or_finish(&mut self, key: MessageKey, outcome: TryOutcome) {
         let Some(state) = self.messages.get_mut(key) else { return };
-        if state.over {
+        if state.finished {
             return;
         }
         let class = &self.world.classes[state.message.class];
-        let next = next_try_at(&self.clients, class, &mut state.message, self.now, state.tries, end);
+        let next = next_try_at(&self.clients, class, &mut state.message, self.now, state.tries, outcome);
         match next {
             Some(at) => self.schedule(at, Event::TryBegins(key)),
-            None => state.over = true,
+            None => state.finished = true,
         }
     }
 
@@ -626,14 +626,14 @@
     /// with its last try.
     fn remove_finished_try(&mut self, key: TryKey) {
         let Some(t) = self.tries.get(key) else { return };
-        if !t.over || !t.ended || t.outstanding > 0 {
+        if !t.client_done || !t.ended || t.outstanding > 0 {
             return;
         }
         let message = t.message;
         self.tries.remove(key);
         if let Some(state) = self.messages.get_mut(message) {
-            state.held -= 1;
-            if state.over && state.held == 0 {
+            state.open_tries -= 1;
+            if state.finished && state.open_tries == 0 {
                 self.messages.remove(message);
             }
         }
@@ -679,9 +679,9 @@
         }
         let incarnation = self.gateways[gateway as usize].incarnation;
         self.judge.forget_gateway(gateway);
-        let held: Vec<TryKey> =
+        let unfinished: Vec<TryKey> =
             self.tries.iter().filter(|(_, t)| t.gateway == gateway && !t.ended).map(|(k, _)| k).collect();
-        for key in held {
+        for key in unfinished {
             if let Some(t) = self.tries.get_mut(key) {
                 t.ended = true;
             }
@@ -690,9 +690,9 @@
             self.schedule(self.now + latency, Event::ResponseAtClient(key, TryOutcome::Failed));
             self.remove_finished_try(key);
         }
-        let out: Vec<AttemptKey> =
+        let awaited: Vec<AttemptKey> =
             self.attempts.iter().filter(|(_, a)| a.gateway == gateway && a.awaited).map(|(k, _)| k).collect();
-        for key in out {
+        for key in awaited {
             self.release_from_gateway(key, false);
         }
         let notice = self.now + us(self.world.front.notice_ms);
@@ -734,9 +734,9 @@
             }
             Action::Reject { request, reason, retry_after_ms } => {
                 let retry_after = us(retry_after_ms);
-                self.final_answer(gateway, request, TryOutcome::Rejected { retry_after }, Some(reason));
+                self.end_try(gateway, request, TryOutcome::Rejected { retry_after }, Some(reason));
             }
-            Action::Fail { request } => self.final_answer(gateway, request, TryOutcome::Failed, None),
+            Action::Fail { request } => self.end_try(gateway, request, TryOutcome::Failed, None),
             Action::Timer { at_ms: at, token } => {
                 let at = self.run_time_of(at).max(self.now + 1);
                 self.schedule(at, Event::GatewayTimer(gateway, incarnation, token));
@@ -769,8 +769,8 @@
     }
 
     /// Ends a try that the gateway rejects or fails.
-    fn final_answer(
-        &mut self, gateway: u32, request: RequestId, end: TryOutcome,
+    fn end_try(
+        &mut self, gateway: u32, request: RequestId, outcome: TryOutcome,
         reason: Option<ternstack_balancer::RejectionReason>,
     ) {
         let key = TryKey::from(KeyData::from_ffi(request.0));
@@ -782,7 +782,7 @@
         if t.ended {
             // The try may have ended in the same instant; a second final response is a violation only while
             // the client has not received the first.
-            if !t.over {
+            if !t.client_done {
                 self.judge.after_end(self.now, gateway, number, "a second final response");
             }
             return;
@@ -796,25 +796,24 @@
             None => self.judge.bin(self.now).failed += 1,
         }
         self.trace_if(TraceTarget::Message(number), || match reason {
-            Some(reason) => format!("gateway {gateway} rejects the try: {reason:?}, {end:?}"),
+            Some(reason) => format!("gateway {gateway} rejects the try: {reason:?}, {outcome:?}"),
             None => format!("gateway {gateway} fails the try"),
         });
         if let Some(t) = self.tries.get_mut(key) {
             t.ended = true;
         }
         let latency = self.network.to_client();
-        self.schedule(self.now + latency, Event::ResponseAtClient(key, end));
+        self.schedule(self.now + latency, Event::ResponseAtClient(key, outcome));
     }
 
     /// Tells a gateway that the client of a try has disconnected.
-    fn on_client_disconnected(&mut self, key: TryKey, at_end: bool) {
+    fn on_client_disconnected(&mut self, key: TryKey, timed_out: bool) {
         let Some(t) = self.tries.get_mut(key).filter(|t| !t.ended) else { return };
         t.ended = true;
         let (gateway, message, reached_gateway) = (t.gateway, t.message, t.reached_gateway);
         if reached_gateway {
-            if at_end {
-                let number =
-                    self.messages.get(message).map_or(0, |message_number| message_number.message.number);
+            if timed_out {
+                let number = self.messages.get(message).map_or(0, |state| state.message.number);
                 self.judge.unanswered(self.now, gateway, number);
             }
             self.deliver_event(gateway, PolicyEvent::ClientDisconnected { request: Self::request_id(key) });
@@ -844,7 +843,7 @@
         let message = &mut state.message;
         let number = t.attempts.len() as u32;
         if t.ended {
-            if !t.over {
+            if !t.client_done {
                 self.judge.after_end(self.now, gateway, message.number, "an attempt");
             }
             return not_sent(number);
@@ -990,7 +989,7 @@
         }
         let latency_ms = ms(self.now - sent_at);
         self.trace_attempt(message, host, || {
-            format!("gateway {gateway} receives the outcome of attempt {number}: {outcome:?} after {latency_ms:.1} ms")
+            format!("gateway {gateway} receives attempt {number}: {outcome:?} after {latency_ms:.1} ms")
         });
         if let Some(a) = self.attempts.get(key) {
             // Work is wasted if the host served the attempt but another response was sent to the client.
@@ -1081,7 +1080,7 @@
     fn on_attempt_at_host(&mut self, key: AttemptKey) {
         let Some(a) = self.attempts.get(key) else { return };
         let (host, message) = (a.host, a.message);
-        let job = HostAttempt {
+        let host_attempt = HostAttempt {
             id: key.data().as_ffi(),
             work: a.work,
             wait: a.wait,
@@ -1091,7 +1090,7 @@
             handshake: a.new_connection,
         };
         self.advance_host(host);
-        match self.hosts[host as usize].offer(self.now, job) {
+        match self.hosts[host as usize].offer(self.now, host_attempt) {
             OfferResult::Accepted => {
                 let attempts_at_host = self.hosts[host as usize].in_flight_count();
                 self.trace_attempt(message, host, || {
@@ -1117,7 +1116,7 @@
     }
 
     /// Ends the attempts that are lost with their host and drops the idle connections to the host. With
-    /// `told`, the gateways receive connection errors; otherwise they receive nothing.
+    /// `with_errors`, the gateways receive connection errors; otherwise they receive nothing.
     fn end_lost_attempts(&mut self, host: u32, lost: Vec<u64>, with_errors: bool) {
         for id in lost {
             let key = AttemptKey::from(KeyData::from_ffi(id));
@@ -1232,13 +1231,13 @@
     }
 
     fn send_endpoint_update(&mut self, gateway: u32, kind: UpdateKind, entries: &[Entry]) {
-        let mut members = Vec::with_capacity(entries.len());
+        let mut records = Vec::with_capacity(entries.len());
         for e in entries {
             self.judge.gateway_told(self.now, gateway, e.host, e.state != State::Serving, e.started);
             self.trace_if(TraceTarget::Host(e.host), || {
                 format!("gateway {gateway} learns of state {:?}", e.state)
             });
-            members.push(EndpointRecord {
+            records.push(EndpointRecord {
                 endpoint: EndpointId(e.host),
                 zone: e.zone,
                 cell: e.cell,
@@ -1253,7 +1252,7 @@
                 started_at_ms: if e.started == 0 { 0.0 } else { Self::gateway_clock_ms(e.started) },
             });
         }
-        self.deliver_event(gateway, PolicyEvent::EndpointUpdate { kind, endpoints: members });
+        self.deliver_event(gateway, PolicyEvent::EndpointUpdate { kind, endpoints: records });
     }
 
     // ---- disturbances ----
@@ -1263,9 +1262,9 @@
             WorldChange::StopHost(host, status) => self.stop_host(host, status),
             WorldChange::StartHost(host) => self.start_host(host, true),
             WorldChange::ResumeHost(host) => self.start_host(host, false),
-            WorldChange::Neighbour(host, stream_part) => {
+            WorldChange::Neighbour(host, share) => {
                 self.advance_host(host);
-                self.hosts[host as usize].set_neighbour(self.now, stream_part);
+                self.hosts[host as usize].set_neighbour(self.now, share);
                 self.schedule_host(host);
             }
             WorldChange::FreezeReports(host, frozen) => self.hosts[host as usize].set_reports_frozen(frozen),
@@ -1283,8 +1282,8 @@
             }
             WorldChange::DiscoveryStale(stale) => self.discovery.set_stale(self.now, stale),
             WorldChange::ReplaceHost { drain, abrupt } => {
-                let gateway = |h: &usize| !self.removed[*h] && !self.draining[*h];
-                let Some(old) = (self.next_to_replace..self.hosts.len()).find(gateway) else { return Ok(()) };
+                let remains = |h: &usize| !self.removed[*h] && !self.draining[*h];
+                let Some(old) = (self.next_to_replace..self.hosts.len()).find(remains) else { return Ok(()) };
                 self.next_to_replace = old + 1;
                 if abrupt {
                     self.remove_host(old as u32);
@@ -1314,8 +1313,8 @@
 
     fn sample_series(&mut self) {
         let in_flight = self.in_flight();
-        for (peak_in_flight, now) in self.peak_in_flight.iter_mut().zip(in_flight) {
-            *peak_in_flight = now.max(*peak_in_flight);
+        for (peak, now) in self.peak_in_flight.iter_mut().zip(in_flight) {
+            *peak = now.max(*peak);
         }
         let (mut queue, mut slow, mut up, mut busy, mut cores) = (0, 0, 0, 0.0, 0.0);
         for (n, host) in self.hosts.iter_mut().enumerate() {
--- a/fleet-simulator/src/trouble.rs
+++ b/fleet-simulator/src/trouble.rs
@@ -5,7 +5,7 @@
 use crate::world::clients::Surge;
 use crate::world::draw::{stream, Purpose, Span};
 use crate::world::hosts::HostStatus;
-use crate::world::spec::{need, World};
+use crate::world::spec::{ensure, World};
 use crate::world::{us, Us};
 use rand::seq::SliceRandom;
 use rand::RngExt;
@@ -207,62 +207,62 @@
     pub fn check(&self, world: &World) -> Result<(), String> {
         let is_share = |x: f64| x > 0.0 && x <= 1.0;
         let at_least_1 = |x: f64| x.is_finite() && x >= 1.0;
-        need(self.at_s.is_finite() && self.at_s > 0.0, "at_s", "expected a number above 0")?;
-        need(self.for_s.is_finite() && self.for_s > 0.0, "for_s", "expected a number above 0")?;
+        ensure(self.at_s.is_finite() && self.at_s > 0.0, "at_s", "expected a number above 0")?;
+        ensure(self.for_s.is_finite() && self.for_s > 0.0, "for_s", "expected a number above 0")?;
         match &self.what {
             TroubleKind::Burst { times, rise_s } => {
-                need(at_least_1(*times), "what.burst.times", "expected 1 or more")?;
-                need(*rise_s >= 0.0, "what.burst.rise_s", "expected 0 or more")
+                ensure(at_least_1(*times), "what.burst.times", "expected 1 or more")?;
+                ensure(*rise_s >= 0.0, "what.burst.rise_s", "expected 0 or more")
             }
             TroubleKind::TenantFlood { tenant, times, rise_s } => {
-                need(
+                ensure(
                     *tenant < world.tenants.len(),
                     "what.tenant_flood.tenant",
                     "expected the index of a tenant",
                 )?;
-                need(at_least_1(*times), "what.tenant_flood.times", "expected 1 or more")?;
-                need(*rise_s >= 0.0, "what.tenant_flood.rise_s", "expected 0 or more")
+                ensure(at_least_1(*times), "what.tenant_flood.times", "expected 1 or more")?;
+                ensure(*rise_s >= 0.0, "what.tenant_flood.rise_s", "expected 0 or more")
             }
-            TroubleKind::ZoneLoss { zone, .. } => need(
+            TroubleKind::ZoneLoss { zone, .. } => ensure(
                 (*zone as usize) < world.zones.len(),
                 "what.zone_loss.zone",
                 "expected the index of a zone",
             ),
             TroubleKind::Replacement { every_s, drain_s, .. } => {
-                need(*every_s > 0.0, "what.replacement.every_s", "expected a number above 0")?;
-                need(*drain_s >= 0.0, "what.replacement.drain_s", "expected 0 or more")
+                ensure(*every_s > 0.0, "what.replacement.every_s", "expected a number above 0")?;
+                ensure(*drain_s >= 0.0, "what.replacement.drain_s", "expected 0 or more")
             }
             TroubleKind::Neighbour { part, takes, on_off_s } => {
                 let (low, high) = takes.bounds();
-                need(is_share(*part), "what.neighbour.part", "expected above 0, at most 1")?;
-                need(
+                ensure(is_share(*part), "what.neighbour.part", "expected above 0, at most 1")?;
+                ensure(
                     low >= 0.0 && high < 1.0 && low <= high,
                     "what.neighbour.takes",
                     "expected 0 to under 1",
                 )?;
-                need(*on_off_s > 0.0, "what.neighbour.on_off_s", "expected a number above 0")
+                ensure(*on_off_s > 0.0, "what.neighbour.on_off_s", "expected a number above 0")
             }
             TroubleKind::Crowding { part, times } => {
-                need(is_share(*part), "what.crowding.part", "expected above 0, at most 1")?;
-                need(at_least_1(*times), "what.crowding.times", "expected 1 or more")
+                ensure(is_share(*part), "what.crowding.part", "expected above 0, at most 1")?;
+                ensure(at_least_1(*times), "what.crowding.times", "expected 1 or more")
             }
             TroubleKind::FailingClass { part, class, errors } => {
-                need(is_share(*part), "what.failing_class.part", "expected above 0, at most 1")?;
-                need(
+                ensure(is_share(*part), "what.failing_class.part", "expected above 0, at most 1")?;
+                ensure(
                     *class < world.classes.len(),
                     "what.failing_class.class",
                     "expected the index of a class",
                 )?;
-                need(is_share(*errors), "what.failing_class.errors", "expected above 0, at most 1")
+                ensure(is_share(*errors), "what.failing_class.errors", "expected above 0, at most 1")
             }
             TroubleKind::GatewayCrash { part }
             | TroubleKind::Silent { part, .. }
             | TroubleKind::HostCrash { part }
             | TroubleKind::FrozenReports { part } => {
-                need(is_share(*part), "what.*.part", "expected above 0, at most 1")
+                ensure(is_share(*part), "what.*.part", "expected above 0, at most 1")
             }
             TroubleKind::RetryStorm { retries } => {
-                need(*retries <= 100, "what.retry_storm.retries", "expected 0 to 100")
+                ensure(*retries <= 100, "what.retry_storm.retries", "expected 0 to 100")
             }
             TroubleKind::DiscoveryDown | TroubleKind::StaleList => Ok(()),
         }
@@ -294,9 +294,9 @@
                 });
             }
             TroubleKind::ZoneLoss { zone, silent, gateways } => {
-                let life = if silent { HostStatus::Silent } else { HostStatus::Dead };
+                let status = if silent { HostStatus::Silent } else { HostStatus::Dead };
                 for host in (0..hosts).filter(|h| zones[*h as usize] == zone) {
-                    start_and_end(WorldChange::StopHost(host, life), WorldChange::StartHost(host));
+                    start_and_end(WorldChange::StopHost(host, status), WorldChange::StartHost(host));
                 }
                 let in_zone = |g: &u32| g % world.zones.len() as u32 == zone;
                 for gateway in (0..world.gateways).filter(|g| gateways && in_zone(g)) {
--- a/fleet-simulator/src/world/clients.rs
+++ b/fleet-simulator/src/world/clients.rs
@@ -150,7 +150,8 @@
         self.buckets.iter().map(|b| b.per_s).collect()
     }
 
-    /// Returns the rate at a time relative to the mean, without and of the surges of single tenants.
+    /// Returns two rates at a time, relative to the mean rate: the rate without the surges of single tenants, and
+    /// the additional rate of these surges.
     fn rate_multiple(&self, now: Us) -> (f64, f64) {
         let phase = std::f64::consts::TAU * now as f64 / (self.world.swing_s * 1e6);
         let swing = 1.0 + self.world.swing * phase.sin();
--- a/fleet-simulator/src/world/spec.rs
+++ b/fleet-simulator/src/world/spec.rs
@@ -538,17 +538,17 @@
 }
 
 /// Checks the value of a key; the error names the key and the expected value.
-pub(crate) fn need(ok: bool, key: impl Into<String>, wanted: &str) -> Result<(), String> {
+pub(crate) fn ensure(ok: bool, key: impl Into<String>, expected: &str) -> Result<(), String> {
     if ok {
         Ok(())
     } else {
-        Err(format!("{}: {wanted}", key.into()))
+        Err(format!("{}: {expected}", key.into()))
     }
 }
 
-fn whole_span(span: Span, key: String, least: f64) -> Result<(), String> {
+fn check_span(span: Span, key: String, least: f64) -> Result<(), String> {
     let (low, high) = span.bounds();
-    need(
+    ensure(
         low.is_finite() && high.is_finite() && low >= least && low <= high,
         key,
         &format!("expected a number of at least {least}, or a range [low, high] of such numbers"),
@@ -565,89 +565,89 @@
         let positive = |x: f64| x.is_finite() && x > 0.0;
         let share = |x: f64| (0.0..=1.0).contains(&x);
         let at_least_0 = |x: f64| x.is_finite() && x >= 0.0;
-        need(self.gateways >= 1 && self.gateways <= 10_000, "gateways", "expected 1 to 10000")?;
-        need(self.hosts >= 1 && self.hosts <= 100_000, "hosts", "expected 1 to 100000")?;
-        need(!self.zones.is_empty(), "zones", "expected at least one name")?;
-        need(positive(self.load), "load", "expected a number above 0")?;
-        need(self.rate_per_s.is_none_or(positive), "rate_per_s", "expected a number above 0")?;
-        need(self.first_zone_share.is_none_or(share), "first_zone_share", "expected 0 to 1")?;
-        need(self.first_zone_hosts.is_none_or(share), "first_zone_hosts", "expected 0 to 1")?;
-        need((0.0..1.0).contains(&self.swing), "swing", "expected 0 or more, and under 1")?;
-        need(positive(self.swing_s), "swing_s", "expected a number above 0")?;
-        need(self.keys >= 1, "keys", "expected 1 or more")?;
-        need(at_least_0(self.key_zipf), "key_zipf", "expected 0 or more")?;
-        need(share(self.over_quota_worth), "over_quota_worth", "expected 0 to 1")?;
-        need(!self.classes.is_empty(), "classes", "expected at least one")?;
+        ensure(self.gateways >= 1 && self.gateways <= 10_000, "gateways", "expected 1 to 10000")?;
+        ensure(self.hosts >= 1 && self.hosts <= 100_000, "hosts", "expected 1 to 100000")?;
+        ensure(!self.zones.is_empty(), "zones", "expected at least one name")?;
+        ensure(positive(self.load), "load", "expected a number above 0")?;
+        ensure(self.rate_per_s.is_none_or(positive), "rate_per_s", "expected a number above 0")?;
+        ensure(self.first_zone_share.is_none_or(share), "first_zone_share", "expected 0 to 1")?;
+        ensure(self.first_zone_hosts.is_none_or(share), "first_zone_hosts", "expected 0 to 1")?;
+        ensure((0.0..1.0).contains(&self.swing), "swing", "expected 0 or more, and under 1")?;
+        ensure(positive(self.swing_s), "swing_s", "expected a number above 0")?;
+        ensure(self.keys >= 1, "keys", "expected 1 or more")?;
+        ensure(at_least_0(self.key_zipf), "key_zipf", "expected 0 or more")?;
+        ensure(share(self.over_quota_worth), "over_quota_worth", "expected 0 to 1")?;
+        ensure(!self.classes.is_empty(), "classes", "expected at least one")?;
         for (n, c) in self.classes.iter().enumerate() {
             let key = |name: &str| format!("classes[{n}].{name}");
-            need(positive(c.part), key("part"), "expected a number above 0")?;
-            need(positive(c.work_ms), key("work_ms"), "expected a number above 0")?;
+            ensure(positive(c.part), key("part"), "expected a number above 0")?;
+            ensure(positive(c.work_ms), key("work_ms"), "expected a number above 0")?;
             for (name, shape) in [("work", c.work), ("wait", c.wait)] {
                 if let Some(problem) = shape.problem() {
                     return Err(format!("{}: {problem}", key(name)));
                 }
             }
-            need(at_least_0(c.attempt_noise), key("attempt_noise"), "expected 0 or more")?;
-            need(at_least_0(c.wait_ms), key("wait_ms"), "expected 0 or more")?;
-            need(positive(c.aim_ms), key("aim_ms"), "expected a number above 0")?;
-            need(
+            ensure(at_least_0(c.attempt_noise), key("attempt_noise"), "expected 0 or more")?;
+            ensure(at_least_0(c.wait_ms), key("wait_ms"), "expected 0 or more")?;
+            ensure(positive(c.aim_ms), key("aim_ms"), "expected a number above 0")?;
+            ensure(
                 positive(c.deadline_ms) && c.deadline_ms >= c.aim_ms,
                 key("deadline_ms"),
                 "expected aim_ms or more",
             )?;
-            need(positive(c.worth), key("worth"), "expected a number above 0")?;
-            need(share(c.late_worth), key("late_worth"), "expected 0 to 1")?;
-            need(at_least_0(c.window_ms), key("window_ms"), "expected 0 or more")?;
+            ensure(positive(c.worth), key("worth"), "expected a number above 0")?;
+            ensure(share(c.late_worth), key("late_worth"), "expected 0 to 1")?;
+            ensure(at_least_0(c.window_ms), key("window_ms"), "expected 0 or more")?;
         }
-        need(
+        ensure(
             self.tenants.len() + self.crowd_tenants as usize > 0,
             "tenants",
             "expected at least one, or crowd_tenants",
         )?;
         for (n, t) in self.tenants.iter().enumerate() {
-            need(positive(t.part), format!("tenants[{n}].part"), "expected a number above 0")?;
-            need(at_least_0(t.quota), format!("tenants[{n}].quota"), "expected 0 or more")?;
+            ensure(positive(t.part), format!("tenants[{n}].part"), "expected a number above 0")?;
+            ensure(at_least_0(t.quota), format!("tenants[{n}].quota"), "expected 0 or more")?;
         }
-        need(share(self.crowd_share), "crowd_share", "expected 0 to 1")?;
-        need(
+        ensure(share(self.crowd_share), "crowd_share", "expected 0 to 1")?;
+        ensure(
             (self.crowd_share > 0.0) == (self.crowd_tenants > 0),
             "crowd_share",
             "expected above 0 if and only if crowd_tenants is",
         )?;
-        need(!self.kinds.is_empty(), "kinds", "expected at least one")?;
+        ensure(!self.kinds.is_empty(), "kinds", "expected at least one")?;
         for (n, kind) in self.kinds.iter().enumerate() {
             kind.check(&format!("kinds[{n}]"))?;
         }
         let c = &self.clients;
-        need(c.retries <= 100, "clients.retries", "expected 0 to 100")?;
-        need(c.try_share > 0.0 && c.try_share <= 1.0, "clients.try_share", "expected above 0, at most 1")?;
-        need(at_least_0(c.back_off_ms), "clients.back_off_ms", "expected 0 or more")?;
-        need(share(c.heed), "clients.heed", "expected 0 to 1")?;
-        need(at_least_0(c.heed_most_ms), "clients.heed_most_ms", "expected 0 or more")?;
-        need(share(c.leave), "clients.leave", "expected 0 to 1")?;
-        need(at_least_0(self.front.notice_ms), "front.notice_ms", "expected 0 or more")?;
+        ensure(c.retries <= 100, "clients.retries", "expected 0 to 100")?;
+        ensure(c.try_share > 0.0 && c.try_share <= 1.0, "clients.try_share", "expected above 0, at most 1")?;
+        ensure(at_least_0(c.back_off_ms), "clients.back_off_ms", "expected 0 or more")?;
+        ensure(share(c.heed), "clients.heed", "expected 0 to 1")?;
+        ensure(at_least_0(c.heed_most_ms), "clients.heed_most_ms", "expected 0 or more")?;
+        ensure(share(c.leave), "clients.leave", "expected 0 to 1")?;
+        ensure(at_least_0(self.front.notice_ms), "front.notice_ms", "expected 0 or more")?;
         let n = &self.network;
         for (name, x) in [("same_ms", n.same_ms), ("cross_ms", n.cross_ms), ("client_ms", n.client_ms)] {
-            need(at_least_0(x), format!("network.{name}"), "expected 0 or more")?;
+            ensure(at_least_0(x), format!("network.{name}"), "expected 0 or more")?;
         }
-        need(at_least_0(n.jitter), "network.jitter", "expected 0 or more")?;
+        ensure(at_least_0(n.jitter), "network.jitter", "expected 0 or more")?;
         let d = &self.discovery;
         for (name, x) in [("notice_ms", d.notice_ms), ("silent_notice_ms", d.silent_notice_ms)] {
-            need(at_least_0(x), format!("discovery.{name}"), "expected 0 or more")?;
+            ensure(at_least_0(x), format!("discovery.{name}"), "expected 0 or more")?;
         }
-        need(at_least_0(d.spread_ms), "discovery.spread_ms", "expected 0 or more")?;
-        need(d.period_ms >= 1.0, "discovery.period_ms", "expected 1 or more")?;
-        need(d.capacity >= 1, "discovery.capacity", "expected 1 or more")?;
-        need(at_least_0(d.call_ms), "discovery.call_ms", "expected 0 or more")?;
-        need(positive(d.timeout_ms), "discovery.timeout_ms", "expected a number above 0")?;
+        ensure(at_least_0(d.spread_ms), "discovery.spread_ms", "expected 0 or more")?;
+        ensure(d.period_ms >= 1.0, "discovery.period_ms", "expected 1 or more")?;
+        ensure(d.capacity >= 1, "discovery.capacity", "expected 1 or more")?;
+        ensure(at_least_0(d.call_ms), "discovery.call_ms", "expected 0 or more")?;
+        ensure(positive(d.timeout_ms), "discovery.timeout_ms", "expected a number above 0")?;
         let g = &self.gateway;
-        need(g.max_attempts >= 1, "gateway.max_attempts", "expected 1 or more")?;
-        need(positive(g.dial_timeout_ms), "gateway.dial_timeout_ms", "expected a number above 0")?;
-        need(positive(g.tick_ms), "gateway.tick_ms", "expected a number above 0")?;
-        need(at_least_0(g.drain_grace_ms), "gateway.drain_grace_ms", "expected 0 or more")?;
-        need(positive(g.ask_within_ms), "gateway.ask_within_ms", "expected a number above 0")?;
-        need(at_least_0(g.slack_ms), "gateway.slack_ms", "expected 0 or more")?;
-        need(g.size_noise.is_finite(), "gateway.size_noise", "expected a number")
+        ensure(g.max_attempts >= 1, "gateway.max_attempts", "expected 1 or more")?;
+        ensure(positive(g.dial_timeout_ms), "gateway.dial_timeout_ms", "expected a number above 0")?;
+        ensure(positive(g.tick_ms), "gateway.tick_ms", "expected a number above 0")?;
+        ensure(at_least_0(g.drain_grace_ms), "gateway.drain_grace_ms", "expected 0 or more")?;
+        ensure(positive(g.ask_within_ms), "gateway.ask_within_ms", "expected a number above 0")?;
+        ensure(at_least_0(g.slack_ms), "gateway.slack_ms", "expected 0 or more")?;
+        ensure(g.size_noise.is_finite(), "gateway.size_noise", "expected a number")
     }
 }
 
@@ -655,41 +655,41 @@
     fn check(&self, path: &str) -> Result<(), String> {
         let key = |name: &str| format!("{path}.{name}");
         let positive = |x: f64| x.is_finite() && x > 0.0;
-        need(positive(self.part), key("part"), "expected a number above 0")?;
-        need(self.cores >= 1, key("cores"), "expected 1 or more")?;
-        whole_span(self.speed, key("speed"), 1e-6)?;
-        whole_span(self.slots, key("slots"), 1.0)?;
-        whole_span(self.room, key("room"), 0.0)?;
-        whole_span(self.error_part, key("error_part"), 0.0)?;
-        need(self.error_part.bounds().1 <= 1.0, key("error_part"), "expected 0 to 1")?;
-        whole_span(self.cold.share, key("cold.share"), 1e-3)?;
-        need(self.cold.share.bounds().1 <= 1.0, key("cold.share"), "expected at most 1")?;
-        whole_span(self.cold.warm_ms, key("cold.warm_ms"), 0.0)?;
-        need(self.cold.fall_multiple >= 0.0, key("cold.fall_multiple"), "expected 0 or more")?;
-        need(positive(self.cold.fall_ms), key("cold.fall_ms"), "expected a number above 0")?;
+        ensure(positive(self.part), key("part"), "expected a number above 0")?;
+        ensure(self.cores >= 1, key("cores"), "expected 1 or more")?;
+        check_span(self.speed, key("speed"), 1e-6)?;
+        check_span(self.slots, key("slots"), 1.0)?;
+        check_span(self.room, key("room"), 0.0)?;
+        check_span(self.error_part, key("error_part"), 0.0)?;
+        ensure(self.error_part.bounds().1 <= 1.0, key("error_part"), "expected 0 to 1")?;
+        check_span(self.cold.share, key("cold.share"), 1e-3)?;
+        ensure(self.cold.share.bounds().1 <= 1.0, key("cold.share"), "expected at most 1")?;
+        check_span(self.cold.warm_ms, key("cold.warm_ms"), 0.0)?;
+        ensure(self.cold.fall_multiple >= 0.0, key("cold.fall_multiple"), "expected 0 or more")?;
+        ensure(positive(self.cold.fall_ms), key("cold.fall_ms"), "expected a number above 0")?;
         if let Some(c) = self.crowding {
-            need(positive(c.at), key("crowding.at"), "expected a number above 0")?;
-            need(c.slower >= 1.0, key("crowding.slower"), "expected 1 or more")?;
-            need(c.below > 0.0 && c.below < 1.0, key("crowding.below"), "expected between 0 and 1")?;
+            ensure(positive(c.at), key("crowding.at"), "expected a number above 0")?;
+            ensure(c.slower >= 1.0, key("crowding.slower"), "expected 1 or more")?;
+            ensure(c.below > 0.0 && c.below < 1.0, key("crowding.below"), "expected between 0 and 1")?;
             for (name, x) in [("over_ms", c.over_ms), ("rest_ms", c.rest_ms), ("most_ms", c.most_ms)] {
-                need(positive(x), key(&format!("crowding.{name}")), "expected a number above 0")?;
+                ensure(positive(x), key(&format!("crowding.{name}")), "expected a number above 0")?;
             }
         }
         if let Some(p) = self.pause {
-            need(positive(p.every_ms), key("pause.every_ms"), "expected a number above 0")?;
-            need(p.length_ms >= 0.0, key("pause.length_ms"), "expected 0 or more")?;
+            ensure(positive(p.every_ms), key("pause.every_ms"), "expected a number above 0")?;
+            ensure(p.length_ms >= 0.0, key("pause.length_ms"), "expected 0 or more")?;
         }
         let c = &self.connections;
-        need(c.most >= 1, key("connections.most"), "expected 1 or more")?;
-        need(c.handshake_ms >= 0.0, key("connections.handshake_ms"), "expected 0 or more")?;
-        need(positive(c.idle_ms), key("connections.idle_ms"), "expected a number above 0")?;
+        ensure(c.most >= 1, key("connections.most"), "expected 1 or more")?;
+        ensure(c.handshake_ms >= 0.0, key("connections.handshake_ms"), "expected 0 or more")?;
+        ensure(positive(c.idle_ms), key("connections.idle_ms"), "expected a number above 0")?;
         if let Some(m) = self.memory {
-            need(m.keys >= 1, key("memory.keys"), "expected 1 or more")?;
-            need(m.keep_ms >= 0.0, key("memory.keep_ms"), "expected 0 or more")?;
-            need((0.0..1.0).contains(&m.saves), key("memory.saves"), "expected 0 or more, and under 1")?;
+            ensure(m.keys >= 1, key("memory.keys"), "expected 1 or more")?;
+            ensure(m.keep_ms >= 0.0, key("memory.keep_ms"), "expected 0 or more")?;
+            ensure((0.0..1.0).contains(&m.saves), key("memory.saves"), "expected 0 or more, and under 1")?;
         }
-        need(self.report.period_ms >= 1.0, key("report.period_ms"), "expected 1 or more")?;
-        need(self.report.delay_ms >= 0.0, key("report.delay_ms"), "expected 0 or more")?;
-        need(self.report.noise >= 0.0, key("report.noise"), "expected 0 or more")
+        ensure(self.report.period_ms >= 1.0, key("report.period_ms"), "expected 1 or more")?;
+        ensure(self.report.delay_ms >= 0.0, key("report.delay_ms"), "expected 0 or more")?;
+        ensure(self.report.noise >= 0.0, key("report.noise"), "expected 0 or more")
     }
 }
--- a/fleet-simulator/tests/capacity.rs
+++ b/fleet-simulator/tests/capacity.rs
@@ -1,5 +1,5 @@
-//! Capacity planning: computed rows, errors in the file, tables, and the simulation that confirms the bound on a
-//! tenant's limit.
+//! Capacity planning: computed rows, errors in the file, tables, and the simulation that confirms the bound
+//! on a tenant's limit.
 use std::path::PathBuf;
 use std::process::Command;
 use ternstack_fleet_simulator::capacity::limits::{simulate_tenant, LimitTerms, Sizes};
@@ -230,7 +230,8 @@
                 .expect("the simulation is valid");
             let bound = terms.max_steady_throughput(quota).expect("the error is below 1");
             assert!(outcome.mean <= bound, "quota {quota}, {multiple} times: {outcome:?}, {bound}");
-            // One-sided, three deviations allow 0.13% of independent samples, but steps of one window are correlated.
+            // One-sided, three deviations allow 0.13% of independent samples, but steps of one window are
+            // correlated.
             assert!(outcome.beyond <= 0.006, "quota {quota}, {multiple} times: {outcome:?}");
             let first: f64 = (0..40)
                 .map(|seed| {
--- a/fleet-simulator/tests/cold.rs
+++ b/fleet-simulator/tests/cold.rs
@@ -1,5 +1,5 @@
-//! Hosts that return cold: no fleet of gateways may overload such a host until it goes down, whatever the size
-//! and settings of the fleet, and none may leave the host without work.
+//! Hosts that return cold: no fleet of gateways may overload such a host until it goes down, whatever the
+//! size and settings of the fleet, and none may leave the host without work.
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use ternstack_fleet_simulator::experiment::Experiment;
@@ -9,8 +9,8 @@
 /// Start and duration of the zone loss, in seconds.
 const ZONE_LOSS_S: (f64, f64) = (4.0, 5.0);
 
-/// Draws an experiment from a seed, in which a zone is lost and returns cold; also returns the warm-up time in
-/// seconds. With even seeds, the hosts become unreachable, so that discovery removes them late.
+/// Draws an experiment from a seed, in which a zone is lost and returns cold; also returns the warm-up time
+/// in seconds. With even seeds, the hosts become unreachable, so that discovery removes them late.
 fn experiment_for_seed(seed: u64) -> (Experiment, f64) {
     let mut rng = ChaCha8Rng::seed_from_u64(seed);
     // The first seeds use sizes at which cold hosts were once overloaded, the others random sizes.
@@ -88,7 +88,8 @@
     let cold = started + 300.0 * warm_up_s..started + 1000.0 * warm_up_s;
     let sent =
         outcome.trace.iter().filter(|l| l.contains("sends attempt") && cold.contains(&time(l))).count();
-    // One attempt per second is about 1/14 of what a warm host can serve, and more than probes alone would send.
+    // One attempt per second is about 1/14 of what a warm host can serve, and more than probes alone would
+    // send.
     assert!(
         sent as f64 > 0.7 * warm_up_s,
         "seed {seed}: expected at least one attempt per second of warming up, got {sent} in {:.1} s",
--- a/fleet-simulator/tests/experiments.rs
+++ b/fleet-simulator/tests/experiments.rs
@@ -105,7 +105,8 @@
 fn trace_shows_events_of_a_message_and_of_a_host() {
     let experiment = small_experiment();
     let case = experiment.cases().expect("the cases are valid").remove(0);
-    let trace = |focus| experiment.run_case(&case, 1, Some(focus)).expect("the simulation completes").0.trace;
+    let trace =
+        |target| experiment.run_case(&case, 1, Some(target)).expect("the simulation completes").0.trace;
     let message = trace(TraceTarget::Message(7));
     assert!(message[0].contains("try 1 to gateway"), "{message:?}");
     assert!(message.iter().any(|l| l.contains("the client")), "{message:?}");
@@ -173,8 +174,8 @@
 #[test]
 fn balancer_recovers_from_a_jam_once_its_cause_is_gone() {
     for (seed, f) in findings("jam", 3) {
-        // When attempts were given up early and sent again, service stayed at 0.77 to 0.82 in these seeds, and seven
-        // of 20 seeds never recovered.
+        // When attempts were given up early and sent again, service stayed at 0.77 to 0.82 in these seeds,
+        // and seven of 20 seeds never recovered.
         assert!(f.service > 0.85 && f.at_end > 0.95, "seed {seed}: {} {}", f.service, f.at_end);
         assert_eq!(f.broken, []);
     }
@@ -182,7 +183,8 @@
 
 #[test]
 fn large_fleets_of_gateways_keep_service_and_rules() {
-    // With twelve gateways per host, a single outstanding attempt from each gateway already overloads the host.
+    // With twelve gateways per host, a single outstanding attempt from each gateway already overloads the
+    // host.
     for (name, seeds, min_service) in
         [("fleet-herd", 2, 0.9), ("fleet-zone", 1, 0.7), ("fleet-join", 2, 0.93)]
     {
@@ -195,9 +197,9 @@
 
 #[test]
 fn balancer_does_not_repeat_slow_attempts_until_a_burst_becomes_a_jam() {
-    // Attempts given up at the latency objective kept running at the host while the client retried, which gave
-    // service of 0.46 to 0.66. Overloaded hosts that got new work before they had recovered gave 0.61 with 350
-    // gateways, 0.74 with 90 and 0.75 with 40.
+    // Attempts given up at the latency objective kept running at the host while the client retried, which
+    // gave service of 0.46 to 0.66. Overloaded hosts that got new work before they had recovered gave 0.61
+    // with 350 gateways, 0.74 with 90 and 0.75 with 40.
     for (size, min_service) in [((350, 100), 0.7), ((90, 60), 0.77), ((40, 20), 0.785)] {
         let runs = findings_at("mass-choke", 3, Some(size));
         let mean = runs.iter().map(|(_, f)| f.service).sum::<f64>() / runs.len() as f64;
--- a/fleet-simulator/tests/shipped_experiments.rs
+++ b/fleet-simulator/tests/shipped_experiments.rs
@@ -1,5 +1,5 @@
-//! Every shipped experiment parses to the recorded values: digests of the experiment and of all its worlds, both
-//! serialized with the keys of the file format.
+//! Every shipped experiment parses to the recorded values: digests of the experiment and of all its worlds,
+//! both serialized with the keys of the file format.
 
 use std::fmt::Write as _;
 use std::path::{Path, PathBuf};
--- a/fleet-simulator/tests/theory.rs
+++ b/fleet-simulator/tests/theory.rs
@@ -176,7 +176,7 @@
 
 #[test]
 fn balancer_rate_estimate_converges_to_its_analytical_value() {
-    const DECAY_PER_MS: f64 = std::f64::consts::LN_2 / 2000.0; // The half-life of the balancer's estimate is 2 s.
+    const DECAY_PER_MS: f64 = std::f64::consts::LN_2 / 2000.0; // Half-life of the estimate: 2 s.
     const QUOTA_PER_S: f64 = 20.0;
     let class = RequestClass {
         name: "read".into(),
@@ -198,8 +198,9 @@
             Event::EndpointUpdate { kind: UpdateKind::Cached, endpoints: vec![record] },
             &mut actions,
         );
-        // No request is ever answered, so that the fleet is full and the quota applies. Retry-After is the time in which
-        // the estimate falls to the quota, times 1 to 1.5, so that the smallest of many values gives the estimate.
+        // No request is ever answered, so that the fleet is full and the quota applies. Retry-After is the
+        // time in which the estimate falls to the quota, times 1 to 1.5, so that the smallest of many values
+        // gives the estimate.
         let (mut min_retry_after_ms, mut rejected, mut counted) = (f64::INFINITY, 0, 0);
         for n in 0..20_000u64 {
             now += gap_ms;
--- a/fleet-simulator/tests/world.rs
+++ b/fleet-simulator/tests/world.rs
@@ -76,7 +76,8 @@
     assert!(!host.is_slow());
     advance_until(&mut host, 1500 * MS);
     assert!(host.is_slow());
-    // At a quarter of the speed, the rest of 5 s of work takes more than 14 s; the host recovers only after that.
+    // At a quarter of the speed, the rest of 5 s of work takes more than 14 s; the host recovers only after
+    // that.
     advance_until(&mut host, 14_000 * MS);
     assert!(host.is_slow() && host.in_flight_count() > 0);
     advance_until(&mut host, 25_000 * MS);
