--- a/fleet-simulator/src/capacity.rs
+++ b/fleet-simulator/src/capacity.rs
@@ -48,7 +48,7 @@
     /// Name by which rows and later figures refer to the figure.
     pub name: NameRef,
     /// Constant factor.
-    #[serde(default = "one")]
+    #[serde(default = "default_factor")]
     pub factor: f64,
     /// Figures to multiply by.
     #[serde(default)]
@@ -107,7 +107,7 @@
     /// Figure at which the slope is evaluated; required if the slope has points.
     pub at: Option<NameRef>,
     /// Constant factor.
-    #[serde(default = "one")]
+    #[serde(default = "default_factor")]
     pub factor: f64,
     /// Figures to multiply by.
     #[serde(default)]
@@ -145,7 +145,7 @@
     Start,
 }
 
-fn one() -> f64 {
+fn default_factor() -> f64 {
     1.0
 }
 
--- a/fleet-simulator/src/capacity/cli.rs
+++ b/fleet-simulator/src/capacity/cli.rs
@@ -51,7 +51,7 @@
 /// Describes the problem for the user.
 pub fn run(args: CapacityArgs) -> Result<ExitCode, String> {
     if let Some(Measure::Measure { what, commit, runs }) = args.measure {
-        measure::all(&what, &commit, runs)?;
+        measure::run_measurements(&what, &commit, runs)?;
         return Ok(ExitCode::SUCCESS);
     }
     let capacity = Capacity::load(&args.file)?;
--- a/fleet-simulator/src/capacity/control.rs
+++ b/fleet-simulator/src/capacity/control.rs
@@ -1,6 +1,6 @@
 //! Cost of the control server's state machines without sockets: polls, responses and their frames, and a
 //! gateway's snapshot.
-use super::gateway::{resident, tenant, thread_cpu_us};
+use super::gateway::{resident_bytes, tenant, thread_cpu_us};
 use std::net::{Ipv4Addr, SocketAddrV4};
 use std::path::Path;
 use std::time::Instant;
@@ -183,11 +183,11 @@
     let poll_bytes = encode_frame(&Message::PollRequest(complete_poll(member(0), scopes)))?.len() as f64;
     // Creating and dropping one poll first keeps the allocator's own growth out of the measurement.
     drop(complete_poll(member(0), scopes));
-    let before = resident(Path::new("/proc/self/status"))?;
+    let before = resident_bytes(Path::new("/proc/self/status"))?;
     for n in 0..followers {
         std::hint::black_box(lessor.handle_poll(0.0, &store, 1900.0, &complete_poll(member(n), scopes)));
     }
-    let more = resident(Path::new("/proc/self/status"))? - before;
+    let more = resident_bytes(Path::new("/proc/self/status"))? - before;
     match lessor.follower_count() == followers as usize {
         true => Ok(([more / f64::from(followers), poll_bytes], lessor)),
         false => Err("the lessor did not accept every member".into()),
--- a/fleet-simulator/src/capacity/gateway.rs
+++ b/fleet-simulator/src/capacity/gateway.rs
@@ -14,9 +14,9 @@
 pub struct Gateway {
     child: Child,
     /// Address on which the gateway listens.
-    pub at: SocketAddr,
+    pub address: SocketAddr,
     /// Time from the start until `/ready` returned 200.
-    pub ready: Duration,
+    pub ready_after: Duration,
     _folder: tempfile::TempDir,
 }
 
@@ -38,8 +38,8 @@
         command.env_remove("LB_DISCOVERY").env_remove("LB_LOG").env_remove("LB_NAME");
         let started = Instant::now();
         let child = command.stdin(Stdio::null()).stderr(Stdio::piped()).spawn().map_err(start_error)?;
-        let at = SocketAddr::from((Ipv4Addr::LOCALHOST, 0));
-        let mut gateway = Gateway { child, at, ready: Duration::ZERO, _folder: folder };
+        let address = SocketAddr::from((Ipv4Addr::LOCALHOST, 0));
+        let mut gateway = Gateway { child, address, ready_after: Duration::ZERO, _folder: folder };
         let log = gateway.child.stderr.take().ok_or("gateway: expected the log on stderr")?;
         let (address_sender, address_receiver) = std::sync::mpsc::channel();
         // The log is read to its end, so that the gateway never blocks on a full pipe.
@@ -51,32 +51,32 @@
                 }
             }
         });
-        gateway.at = address_receiver
+        gateway.address = address_receiver
             .recv_timeout(READY_WITHIN)
             .map_err(|e| format!("gateway: expected a log line with its address within 60 s: {e}"))?;
-        let mut stream = TcpStream::connect(gateway.at).map_err(start_error)?;
+        let mut stream = TcpStream::connect(gateway.address).map_err(start_error)?;
         stream
             .write_all(b"GET /ready HTTP/1.1\r\nHost: g\r\nConnection: close\r\n\r\n")
             .map_err(start_error)?;
-        let mut answer = String::new();
-        stream.read_to_string(&mut answer).map_err(start_error)?;
-        if !answer.starts_with("HTTP/1.1 200") {
+        let mut response = String::new();
+        stream.read_to_string(&mut response).map_err(start_error)?;
+        if !response.starts_with("HTTP/1.1 200") {
             return Err(format!(
                 "gateway: expected status 200 from /ready, got: {}",
-                answer.lines().next().unwrap_or("no response")
+                response.lines().next().unwrap_or("no response")
             ));
         }
-        gateway.ready = started.elapsed();
+        gateway.ready_after = started.elapsed();
         Ok(gateway)
     }
 
-    fn proc(&self, name: &str) -> std::path::PathBuf {
+    fn proc_path(&self, name: &str) -> std::path::PathBuf {
         format!("/proc/{}/{name}", self.child.id()).into()
     }
 
     /// Returns the CPU time of all threads, in us.
     pub fn cpu_us(&self) -> Result<f64, String> {
-        let tasks = std::fs::read_dir(self.proc("task"))
+        let tasks = std::fs::read_dir(self.proc_path("task"))
             .map_err(|e| format!("gateway: cannot list its threads: {e}"))?;
         let cpu_times = tasks.filter_map(|task| schedstat_cpu_us(&task.ok()?.path().join("schedstat")));
         Ok(cpu_times.sum())
@@ -101,14 +101,14 @@
     }
 
     /// Returns the resident memory, in bytes.
-    pub fn resident(&self) -> Result<f64, String> {
-        resident(&self.proc("status"))
+    pub fn resident_bytes(&self) -> Result<f64, String> {
+        resident_bytes(&self.proc_path("status"))
     }
 
     /// Returns the number of open sockets.
     pub fn sockets(&self) -> Result<usize, String> {
-        let files =
-            std::fs::read_dir(self.proc("fd")).map_err(|e| format!("gateway: cannot list its files: {e}"))?;
+        let files = std::fs::read_dir(self.proc_path("fd"))
+            .map_err(|e| format!("gateway: cannot list its files: {e}"))?;
         let is_socket = |path: std::path::PathBuf| {
             std::fs::read_link(path).is_ok_and(|to| to.to_string_lossy().starts_with("socket:"))
         };
@@ -131,7 +131,7 @@
 }
 
 /// Returns the resident memory in a process's `status` file, in bytes.
-pub fn resident(status: &std::path::Path) -> Result<f64, String> {
+pub fn resident_bytes(status: &std::path::Path) -> Result<f64, String> {
     let text = std::fs::read_to_string(status).map_err(|e| format!("{}: {e}", status.display()))?;
     let line = text.lines().find_map(|l| l.strip_prefix("VmRSS:"));
     let kib = line.and_then(|l| l.trim().trim_end_matches("kB").trim().parse::<f64>().ok());
@@ -201,7 +201,7 @@
 #[derive(Debug)]
 pub struct Discovery {
     /// Address on which the stub listens.
-    pub at: SocketAddr,
+    pub address: SocketAddr,
     shared: SharedState,
 }
 
@@ -209,7 +209,7 @@
     /// Starts a stub that serves `list` with revision 1.
     pub fn start(list: &Value) -> Result<Self, String> {
         let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).map_err(|e| e.to_string())?;
-        let at = listener.local_addr().map_err(|e| e.to_string())?;
+        let address = listener.local_addr().map_err(|e| e.to_string())?;
         let state = DiscoveryState { rev: 1, complete: list.to_string(), ..DiscoveryState::default() };
         let shared: SharedState = Arc::new((Mutex::new(state), Condvar::new()));
         let listener_state = shared.clone();
@@ -220,7 +220,7 @@
                 std::thread::spawn(move || serve(stream, &shared));
             }
         });
-        Ok(Discovery { at, shared })
+        Ok(Discovery { address, shared })
     }
 
     /// Returns the number of calls received.
@@ -229,7 +229,7 @@
     }
 
     /// Publishes a change, and waits until the gateway has read it and called again.
-    pub fn publish(&self, target: &Value) -> Result<(), String> {
+    pub fn publish_change(&self, target: &Value) -> Result<(), String> {
         let mut state = lock(&self.shared);
         state.rev += 1;
         state.change = json!({"rev": state.rev, "all": false, "targets": [target]}).to_string();
@@ -254,7 +254,7 @@
 
 fn serve(stream: TcpStream, shared: &SharedState) {
     let _ = stream.set_nodelay(true);
-    let Ok(mut answers) = stream.try_clone() else { return };
+    let Ok(mut writer) = stream.try_clone() else { return };
     let mut lines = BufReader::new(stream).lines().map_while(Result::ok);
     while let Some(first) = lines.next() {
         while lines.next().is_some_and(|line| !line.is_empty()) {}
@@ -275,7 +275,7 @@
             }
         };
         let head = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n", text.len());
-        if answers.write_all((head + &text).as_bytes()).is_err() {
+        if writer.write_all((head + &text).as_bytes()).is_err() {
             return;
         }
     }
--- a/fleet-simulator/src/capacity/load.rs
+++ b/fleet-simulator/src/capacity/load.rs
@@ -63,7 +63,7 @@
     let targets: Vec<_> = hosts.iter().enumerate().map(|(n, s)| host(n, s.addresses[0], "SERVING")).collect();
     let list = json!({"rev": 1, "all": true, "targets": targets});
     let discovery = Discovery::start(&list)?;
-    let mut configured = config(load.instances, 1, discovery.at, list);
+    let mut configured = config(load.instances, 1, discovery.address, list);
     configured["settings"]["limits"]["conn_idle_ms"] = json!(load.idle.as_secs_f64() * 1000.0);
     let gateway = Gateway::start(&configured)?;
     // Connections are established in one second of load; then the gateway's cost without load is measured.
@@ -81,7 +81,7 @@
         cpu_us: cpu_us / through.len().max(1) as f64,
         added_ms: [added(0.5), added(0.99)],
         connections: results.sockets,
-        resident_bytes: gateway.resident()?,
+        resident_bytes: gateway.resident_bytes()?,
         requests: through.len() as u64,
         failed: results.failed,
     })
@@ -109,7 +109,7 @@
     let count = (load.length.as_secs_f64() / interval_per_client.as_secs_f64()) as usize;
     let mut tasks = Vec::new();
     for client in 0..CLIENTS {
-        let mut through = Client::new(0, gateway.at, recorder);
+        let mut through = Client::new(0, gateway.address, recorder);
         let at = hosts[client % hosts.len()].addresses[0];
         let mut direct = Client::new(1, at, recorder);
         // Starts are staggered, so that clients do not send at the same time.
--- a/fleet-simulator/src/capacity/measure.rs
+++ b/fleet-simulator/src/capacity/measure.rs
@@ -4,7 +4,7 @@
 //! runs counts, because other programs may use the machine.
 use super::control::{self, key, measure_snapshot};
 use super::decision::WarmBalancer;
-use super::gateway::{config, host, hosts, resident, tenant, thread_cpu_us, Discovery, Gateway};
+use super::gateway::{config, host, hosts, resident_bytes, tenant, thread_cpu_us, Discovery, Gateway};
 use super::load::{apply_load, LoadParameters};
 use super::{Growth, Slope};
 use clap::ValueEnum;
@@ -46,25 +46,25 @@
 /// # Errors
 ///
 /// Fails at the first measurement that fails.
-pub fn all(what: &[Measurement], commit: &str, runs: u32) -> Result<(), String> {
+pub fn run_measurements(what: &[Measurement], commit: &str, runs: u32) -> Result<(), String> {
     let all = Measurement::value_variants();
     for what in if what.is_empty() { all } else { what } {
         let printer = Printer { what: *what, commit };
         match what {
-            Measurement::Decision => decision(&printer, runs)?,
-            Measurement::Tenants => tenants(&printer, runs)?,
-            Measurement::List => list(&printer, runs)?,
-            Measurement::DataPath => data_path(&printer, runs)?,
-            Measurement::Start => start(&printer, runs)?,
-            Measurement::WholeState => whole_state(&printer, runs)?,
-            Measurement::Wire => wire(&printer)?,
-            Measurement::Control => control_machines(&printer, runs)?,
+            Measurement::Decision => measure_decision(&printer, runs)?,
+            Measurement::Tenants => measure_tenants(&printer, runs)?,
+            Measurement::List => measure_list(&printer, runs)?,
+            Measurement::DataPath => measure_data_path(&printer, runs)?,
+            Measurement::Start => measure_start(&printer, runs)?,
+            Measurement::WholeState => measure_whole_state(&printer, runs)?,
+            Measurement::Wire => measure_wire(&printer)?,
+            Measurement::Control => measure_control(&printer, runs)?,
         }
     }
     Ok(())
 }
 
-/// Source of a value.
+/// Prints measured slopes in the format of the capacity file, with their source.
 struct Printer<'a> {
     what: Measurement,
     commit: &'a str,
@@ -145,7 +145,7 @@
 /// Requests per second for each host: 3.2 million for 200,000 hosts.
 const REQUESTS_PER_HOST_PER_S: f64 = 16.0;
 
-fn decision(printer: &Printer, runs: u32) -> Result<(), String> {
+fn measure_decision(printer: &Printer, runs: u32) -> Result<(), String> {
     // The load per host does not depend on the number of hosts; the gateways share it.
     for (name, instances) in [("decision_of_8900", 8900), ("decision_of_300", 300), ("decision_alone", 1)] {
         let mut points = Vec::new();
@@ -163,28 +163,28 @@
     for hosts in [54, 200, 1000, 5000] {
         let gap_ms = 1000.0 * 8900.0 / (REQUESTS_PER_HOST_PER_S * f64::from(hosts));
         let count = 54_000 / hosts;
-        let before = resident(Path::new("/proc/self/status"))?;
+        let before = resident_bytes(Path::new("/proc/self/status"))?;
         for _ in 0..count {
             kept.push(WarmBalancer::new(hosts, 8900, gap_ms)?);
         }
-        let more = resident(Path::new("/proc/self/status"))? - before;
+        let more = resident_bytes(Path::new("/proc/self/status"))? - before;
         points.push([f64::from(hosts), more / f64::from(count) / 1e6]);
     }
     printer.print_slope("module_memory", "MB resident a module", "hosts of a list", &points);
     Ok(())
 }
 
-fn tenants(printer: &Printer, runs: u32) -> Result<(), String> {
+fn measure_tenants(printer: &Printer, runs: u32) -> Result<(), String> {
     let (mut look_ups, mut read, mut memory, mut ready) = (Vec::new(), Vec::new(), Vec::new(), Vec::new());
     let list = hosts(54);
     let discovery = Discovery::start(&list)?;
     // Memory of a gateway with one tenant, which is subtracted.
-    let one = Gateway::start(&config(8900, 1, discovery.at, list.clone()))?;
+    let one = Gateway::start(&config(8900, 1, discovery.address, list.clone()))?;
     one.settled_cpu_us()?;
-    let base = one.resident()? / 1e6;
+    let base = one.resident_bytes()? / 1e6;
     for count in [100, 1_000, 10_000, 100_000, 670_000_usize] {
         let n = count as f64;
-        let config = config(8900, count, discovery.at, list.clone());
+        let config = config(8900, count, discovery.address, list.clone());
         let deployment =
             ternstack_settings::Deployment::from_json(&config["settings"]).map_err(|e| e.to_string())?;
         // The step visits names evenly over the whole range.
@@ -212,9 +212,9 @@
         let (mut bytes, mut ms) = (f64::INFINITY, f64::INFINITY);
         for _ in 0..runs {
             let gateway = Gateway::start(&config)?;
-            ms = ms.min(gateway.ready.as_secs_f64() * 1000.0);
+            ms = ms.min(gateway.ready_after.as_secs_f64() * 1000.0);
             gateway.settled_cpu_us()?;
-            bytes = bytes.min(gateway.resident()? / 1e6);
+            bytes = bytes.min(gateway.resident_bytes()? / 1e6);
         }
         // Smaller differences are noise of the allocator.
         if bytes - base > 0.1 {
@@ -237,14 +237,14 @@
 /// Number of consecutive changes that are averaged.
 const AVERAGED_CHANGES: usize = 20;
 
-fn list(printer: &Printer, runs: u32) -> Result<(), String> {
+fn measure_list(printer: &Printer, runs: u32) -> Result<(), String> {
     let (mut sent, mut whole, mut memory, mut change) = (Vec::new(), Vec::new(), Vec::new(), Vec::new());
     let empty = json!({"rev": 0, "all": true, "targets": []});
     // Cost of a gateway with one host, which is subtracted.
     let mut one = list_cost(&empty, 1)?;
     for _ in 1..runs {
-        let again = list_cost(&empty, 1)?;
-        (one.cpu_us, one.resident) = (one.cpu_us.min(again.cpu_us), one.resident.min(again.resident));
+        let repeated = list_cost(&empty, 1)?;
+        (one.cpu_us, one.resident) = (one.cpu_us.min(repeated.cpu_us), one.resident.min(repeated.resident));
     }
     for count in [500, 2_000, 8_000, 20_000_usize] {
         let n = count as f64;
@@ -275,14 +275,14 @@
 
 fn list_cost(empty: &Value, count: usize) -> Result<ListCost, String> {
     let discovery = Discovery::start(&hosts(count))?;
-    let gateway = Gateway::start(&config(8900, 1, discovery.at, empty.clone()))?;
+    let gateway = Gateway::start(&config(8900, 1, discovery.address, empty.clone()))?;
     discovery.wait_for(2)?;
     let cpu_us = gateway.settled_cpu_us()?;
-    let resident = gateway.resident()?;
+    let resident = gateway.resident_bytes()?;
     let at = SocketAddr::from(([10, 0, 0, 1], 8080));
     let from = gateway.cpu_us()?;
     for n in 0..AVERAGED_CHANGES {
-        discovery.publish(&host(0, at, if n % 2 == 0 { "DRAINING" } else { "SERVING" }))?;
+        discovery.publish_change(&host(0, at, if n % 2 == 0 { "DRAINING" } else { "SERVING" }))?;
     }
     let change_us = (gateway.settled_cpu_us()? - from) / AVERAGED_CHANGES as f64;
     Ok(ListCost { cpu_us, resident, change_us })
@@ -306,7 +306,7 @@
 /// Requests per second at each gateway: 3.2 million over 8,900 gateways.
 const REQUESTS_PER_GATEWAY_PER_S: f64 = 360.0;
 
-fn data_path(printer: &Printer, runs: u32) -> Result<(), String> {
+fn measure_data_path(printer: &Printer, runs: u32) -> Result<(), String> {
     let load = LoadParameters {
         hosts: 54,
         instances: 1,
@@ -371,13 +371,13 @@
     Ok(())
 }
 
-fn start(printer: &Printer, runs: u32) -> Result<(), String> {
+fn measure_start(printer: &Printer, runs: u32) -> Result<(), String> {
     let mut ready = Vec::new();
     for count in [54, 500, 2_000, 8_000, 20_000_usize] {
         let list = hosts(count);
         let discovery = Discovery::start(&list)?;
-        let config = config(8900, 1, discovery.at, list);
-        let ms = smallest(runs, || Ok(Gateway::start(&config)?.ready.as_secs_f64() * 1000.0))?;
+        let config = config(8900, 1, discovery.address, list);
+        let ms = smallest(runs, || Ok(Gateway::start(&config)?.ready_after.as_secs_f64() * 1000.0))?;
         ready.push([count as f64, ms]);
     }
     printer.print_slope("list_ready", "ms to ready, real gateway", "hosts known at the start", &ready);
@@ -387,17 +387,17 @@
 /// Tenants per host.
 const TENANTS_PER_HOST: f64 = 3.35;
 
-fn whole_state(printer: &Printer, runs: u32) -> Result<(), String> {
+fn measure_whole_state(printer: &Printer, runs: u32) -> Result<(), String> {
     let mut slopes: BTreeMap<&str, Vec<[f64; 2]>> = BTreeMap::new();
     for count in [2_000, 20_000, 100_000, 200_000_usize] {
-        let mut add = |name, value| slopes.entry(name).or_default().push([count as f64, value]);
+        let mut add_point = |name, value| slopes.entry(name).or_default().push([count as f64, value]);
         let host = |n: usize| {
             let address = format!("10.{}.{}.{}:8080", n >> 16, n >> 8 & 255, n & 255);
             (format!("server-{n:06}"), Host { address, draining: false })
         };
-        let many = (count as f64 * TENANTS_PER_HOST) as usize;
+        let tenant_count = (count as f64 * TENANTS_PER_HOST) as usize;
         let rules = Rules {
-            quotas: (0..many).map(|n| (tenant(n), 10)).collect(),
+            quotas: (0..tenant_count).map(|n| (tenant(n), 10)).collect(),
             hosts: (0..count).map(host).collect(),
             list_rev: 1,
             ..Rules::default()
@@ -418,17 +418,17 @@
             rules: rules.clone(),
         };
         let text = serde_json::to_vec(&version).map_err(|e| e.to_string())?;
-        add("whole_state_bytes", text.len() as f64 / 1e6);
-        add(
+        add_point("whole_state_bytes", text.len() as f64 / 1e6);
+        add_point(
             "whole_state_look",
             cpu_us_per_call(runs, || drop(std::hint::black_box(validate(&rules, &seen, false))))? / 1e3,
         );
-        add(
+        add_point(
             "whole_state_digest",
             cpu_us_per_call(runs, || drop(std::hint::black_box(rules.digest())))? / 1e3,
         );
         let compare = || drop(std::hint::black_box(conflicts(&rules, &other)));
-        add("whole_state_compare", cpu_us_per_call(runs, compare)? / 1e3);
+        add_point("whole_state_compare", cpu_us_per_call(runs, compare)? / 1e3);
     }
     for (name, points) in &slopes {
         let unit = if name.ends_with("bytes") { "MB of JSON a version" } else { "ms of CPU a version" };
@@ -438,7 +438,7 @@
 }
 
 /// Measures the size of frames by the changes or entries in them, at the revisions that a year brings.
-fn wire(printer: &Printer) -> Result<(), String> {
+fn measure_wire(printer: &Printer) -> Result<(), String> {
     const NUMBER: u64 = 22_000_000;
     let bytes = |message: Message| -> Result<f64, String> {
         let mut frame = Vec::new();
@@ -504,7 +504,7 @@
     Ok(())
 }
 
-fn control_machines(printer: &Printer, runs: u32) -> Result<(), String> {
+fn measure_control(printer: &Printer, runs: u32) -> Result<(), String> {
     // Memory is measured first, before earlier measurements leave freed memory behind.
     let (mut kept, mut poll_bytes, mut lessors) = (Vec::new(), Vec::new(), Vec::new());
     for scopes in [100, 1_000, 4_000, 11_496] {
--- a/fleet-simulator/src/trouble.rs
+++ b/fleet-simulator/src/disturbance.rs
@@ -1,5 +1,5 @@
-//! Troubles: disturbances of the world, such as faults, traffic surges and rollouts. An experiment file
-//! describes them; before a run they are expanded into single changes with fixed times. Each trouble draws
+//! Disturbances of the world, such as faults, traffic surges and rollouts. An experiment file
+//! describes them; before a run they are expanded into single changes with fixed times. Each disturbance draws
 //! from its own random stream, so that it affects the same hosts at the same times whatever a gateway
 //! decides.
 use crate::world::clients::Surge;
@@ -16,19 +16,19 @@
 /// A disturbance that lasts for a while.
 #[derive(Clone, Debug, PartialEq, Deserialize, Serialize)]
 #[serde(deny_unknown_fields)]
-pub struct Trouble {
+pub struct Disturbance {
     /// Start, in seconds from the start of the run.
     pub at_s: f64,
     /// Duration, in seconds.
     pub for_s: f64,
     /// Kind and parameters.
-    pub what: TroubleKind,
+    pub what: DisturbanceKind,
 }
 
 /// Kinds of disturbances.
 #[derive(Clone, Debug, PartialEq, Deserialize, Serialize)]
 #[serde(rename_all = "snake_case", deny_unknown_fields)]
-pub enum TroubleKind {
+pub enum DisturbanceKind {
     /// A traffic surge of all tenants.
     Burst {
         /// Multiple of the usual traffic at the peak.
@@ -173,7 +173,7 @@
     pub surges: Vec<Surge>,
 }
 
-impl Trouble {
+impl Disturbance {
     /// Returns the end time.
     pub fn end(&self) -> Us {
         us((self.at_s + self.for_s) * 1000.0)
@@ -182,20 +182,20 @@
     /// Returns the name of the kind, as reports show it.
     pub fn name(&self) -> &'static str {
         match self.what {
-            TroubleKind::Burst { .. } => "burst",
-            TroubleKind::TenantFlood { .. } => "tenant flood",
-            TroubleKind::ZoneLoss { .. } => "zone loss",
-            TroubleKind::GatewayCrash { .. } => "gateway crash",
-            TroubleKind::Replacement { .. } => "replacement",
-            TroubleKind::Neighbour { .. } => "neighbour",
-            TroubleKind::Crowding { .. } => "crowding",
-            TroubleKind::Silent { .. } => "silent hosts",
-            TroubleKind::HostCrash { .. } => "host crash",
-            TroubleKind::DiscoveryDown => "discovery down",
-            TroubleKind::StaleList => "stale list",
-            TroubleKind::FrozenReports { .. } => "frozen reports",
-            TroubleKind::FailingClass { .. } => "failing class",
-            TroubleKind::RetryStorm { .. } => "retry storm",
+            DisturbanceKind::Burst { .. } => "burst",
+            DisturbanceKind::TenantFlood { .. } => "tenant flood",
+            DisturbanceKind::ZoneLoss { .. } => "zone loss",
+            DisturbanceKind::GatewayCrash { .. } => "gateway crash",
+            DisturbanceKind::Replacement { .. } => "replacement",
+            DisturbanceKind::Neighbour { .. } => "neighbour",
+            DisturbanceKind::Crowding { .. } => "crowding",
+            DisturbanceKind::Silent { .. } => "silent hosts",
+            DisturbanceKind::HostCrash { .. } => "host crash",
+            DisturbanceKind::DiscoveryDown => "discovery down",
+            DisturbanceKind::StaleList => "stale list",
+            DisturbanceKind::FrozenReports { .. } => "frozen reports",
+            DisturbanceKind::FailingClass { .. } => "failing class",
+            DisturbanceKind::RetryStorm { .. } => "retry storm",
         }
     }
 
@@ -210,11 +210,11 @@
         ensure(self.at_s.is_finite() && self.at_s > 0.0, "at_s", "expected a number above 0")?;
         ensure(self.for_s.is_finite() && self.for_s > 0.0, "for_s", "expected a number above 0")?;
         match &self.what {
-            TroubleKind::Burst { times, rise_s } => {
+            DisturbanceKind::Burst { times, rise_s } => {
                 ensure(at_least_1(*times), "what.burst.times", "expected 1 or more")?;
                 ensure(*rise_s >= 0.0, "what.burst.rise_s", "expected 0 or more")
             }
-            TroubleKind::TenantFlood { tenant, times, rise_s } => {
+            DisturbanceKind::TenantFlood { tenant, times, rise_s } => {
                 ensure(
                     *tenant < world.tenants.len(),
                     "what.tenant_flood.tenant",
@@ -223,16 +223,16 @@
                 ensure(at_least_1(*times), "what.tenant_flood.times", "expected 1 or more")?;
                 ensure(*rise_s >= 0.0, "what.tenant_flood.rise_s", "expected 0 or more")
             }
-            TroubleKind::ZoneLoss { zone, .. } => ensure(
+            DisturbanceKind::ZoneLoss { zone, .. } => ensure(
                 (*zone as usize) < world.zones.len(),
                 "what.zone_loss.zone",
                 "expected the index of a zone",
             ),
-            TroubleKind::Replacement { every_s, drain_s, .. } => {
+            DisturbanceKind::Replacement { every_s, drain_s, .. } => {
                 ensure(*every_s > 0.0, "what.replacement.every_s", "expected a number above 0")?;
                 ensure(*drain_s >= 0.0, "what.replacement.drain_s", "expected 0 or more")
             }
-            TroubleKind::Neighbour { part, takes, on_off_s } => {
+            DisturbanceKind::Neighbour { part, takes, on_off_s } => {
                 let (low, high) = takes.bounds();
                 ensure(is_share(*part), "what.neighbour.part", "expected above 0, at most 1")?;
                 ensure(
@@ -242,11 +242,11 @@
                 )?;
                 ensure(*on_off_s > 0.0, "what.neighbour.on_off_s", "expected a number above 0")
             }
-            TroubleKind::Crowding { part, times } => {
+            DisturbanceKind::Crowding { part, times } => {
                 ensure(is_share(*part), "what.crowding.part", "expected above 0, at most 1")?;
                 ensure(at_least_1(*times), "what.crowding.times", "expected 1 or more")
             }
-            TroubleKind::FailingClass { part, class, errors } => {
+            DisturbanceKind::FailingClass { part, class, errors } => {
                 ensure(is_share(*part), "what.failing_class.part", "expected above 0, at most 1")?;
                 ensure(
                     *class < world.classes.len(),
@@ -255,27 +255,27 @@
                 )?;
                 ensure(is_share(*errors), "what.failing_class.errors", "expected above 0, at most 1")
             }
-            TroubleKind::GatewayCrash { part }
-            | TroubleKind::Silent { part, .. }
-            | TroubleKind::HostCrash { part }
-            | TroubleKind::FrozenReports { part } => {
+            DisturbanceKind::GatewayCrash { part }
+            | DisturbanceKind::Silent { part, .. }
+            | DisturbanceKind::HostCrash { part }
+            | DisturbanceKind::FrozenReports { part } => {
                 ensure(is_share(*part), "what.*.part", "expected above 0, at most 1")
             }
-            TroubleKind::RetryStorm { retries } => {
+            DisturbanceKind::RetryStorm { retries } => {
                 ensure(*retries <= 100, "what.retry_storm.retries", "expected 0 to 100")
             }
-            TroubleKind::DiscoveryDown | TroubleKind::StaleList => Ok(()),
+            DisturbanceKind::DiscoveryDown | DisturbanceKind::StaleList => Ok(()),
         }
     }
 
-    /// Adds the changes and surges of the trouble to a plan. `zones` holds the zone of each host.
+    /// Adds the changes and surges of the disturbance to a plan. `zones` holds the zone of each host.
     fn add_to_plan(&self, rng: &mut ChaCha8Rng, world: &World, zones: &[u32], plan: &mut Plan) {
         let (from, to) = (us(self.at_s * 1000.0), self.end());
         let hosts = zones.len() as u32;
         let mut start_and_end =
             |on: WorldChange, off: WorldChange| plan.changes.extend([(from, on), (to, off)]);
         match self.what {
-            TroubleKind::Burst { times, rise_s } => {
+            DisturbanceKind::Burst { times, rise_s } => {
                 plan.surges.push(Surge {
                     from,
                     to,
@@ -284,7 +284,7 @@
                     tenant: None,
                 });
             }
-            TroubleKind::TenantFlood { tenant, times, rise_s } => {
+            DisturbanceKind::TenantFlood { tenant, times, rise_s } => {
                 plan.surges.push(Surge {
                     from,
                     to,
@@ -293,7 +293,7 @@
                     tenant: Some(tenant),
                 });
             }
-            TroubleKind::ZoneLoss { zone, silent, gateways } => {
+            DisturbanceKind::ZoneLoss { zone, silent, gateways } => {
                 let status = if silent { HostStatus::Silent } else { HostStatus::Dead };
                 for host in (0..hosts).filter(|h| zones[*h as usize] == zone) {
                     start_and_end(WorldChange::StopHost(host, status), WorldChange::StartHost(host));
@@ -303,19 +303,19 @@
                     start_and_end(WorldChange::Gateway(gateway, false), WorldChange::Gateway(gateway, true));
                 }
             }
-            TroubleKind::GatewayCrash { part } => {
+            DisturbanceKind::GatewayCrash { part } => {
                 for gateway in sample_indexes(rng, world.gateways, part) {
                     start_and_end(WorldChange::Gateway(gateway, false), WorldChange::Gateway(gateway, true));
                 }
             }
-            TroubleKind::Replacement { every_s, drain_s, abrupt } => {
+            DisturbanceKind::Replacement { every_s, drain_s, abrupt } => {
                 let mut at = from;
                 while at < to {
                     plan.changes.push((at, WorldChange::ReplaceHost { drain: us(drain_s * 1000.0), abrupt }));
                     at += us(every_s * 1000.0).max(1);
                 }
             }
-            TroubleKind::Neighbour { part, takes, on_off_s } => {
+            DisturbanceKind::Neighbour { part, takes, on_off_s } => {
                 for host in sample_indexes(rng, hosts, part) {
                     let takes = takes.draw(rng);
                     let (mut at, mut on) = (from, true);
@@ -327,7 +327,7 @@
                     plan.changes.push((to, WorldChange::Neighbour(host, 0.0)));
                 }
             }
-            TroubleKind::Crowding { part, times } => {
+            DisturbanceKind::Crowding { part, times } => {
                 for host in sample_indexes(rng, hosts, part) {
                     start_and_end(
                         WorldChange::Neighbour(host, 1.0 - 1.0 / times),
@@ -335,14 +335,14 @@
                     );
                 }
             }
-            TroubleKind::Silent { part, cold } => {
+            DisturbanceKind::Silent { part, cold } => {
                 for host in sample_indexes(rng, hosts, part) {
                     let back =
                         if cold { WorldChange::StartHost(host) } else { WorldChange::ResumeHost(host) };
                     start_and_end(WorldChange::StopHost(host, HostStatus::Silent), back);
                 }
             }
-            TroubleKind::HostCrash { part } => {
+            DisturbanceKind::HostCrash { part } => {
                 for host in sample_indexes(rng, hosts, part) {
                     start_and_end(
                         WorldChange::StopHost(host, HostStatus::Dead),
@@ -350,13 +350,13 @@
                     );
                 }
             }
-            TroubleKind::DiscoveryDown => {
+            DisturbanceKind::DiscoveryDown => {
                 start_and_end(WorldChange::DiscoveryDown(true), WorldChange::DiscoveryDown(false))
             }
-            TroubleKind::StaleList => {
+            DisturbanceKind::StaleList => {
                 start_and_end(WorldChange::DiscoveryStale(true), WorldChange::DiscoveryStale(false))
             }
-            TroubleKind::FrozenReports { part } => {
+            DisturbanceKind::FrozenReports { part } => {
                 for host in sample_indexes(rng, hosts, part) {
                     start_and_end(
                         WorldChange::FreezeReports(host, true),
@@ -364,7 +364,7 @@
                     );
                 }
             }
-            TroubleKind::FailingClass { part, class, errors } => {
+            DisturbanceKind::FailingClass { part, class, errors } => {
                 for host in sample_indexes(rng, hosts, part) {
                     start_and_end(
                         WorldChange::FailClass(host, Some((class, errors))),
@@ -372,7 +372,7 @@
                     );
                 }
             }
-            TroubleKind::RetryStorm { retries } => {
+            DisturbanceKind::RetryStorm { retries } => {
                 start_and_end(WorldChange::RetryStorm(Some(retries)), WorldChange::RetryStorm(None))
             }
         }
@@ -389,12 +389,12 @@
 }
 
 impl Plan {
-    /// Expands the troubles of a run. `zones` holds the zone of each host.
-    pub fn new(troubles: &[Trouble], world: &World, zones: &[u32], seed: u64) -> Self {
+    /// Expands the disturbances of a run. `zones` holds the zone of each host.
+    pub fn new(disturbances: &[Disturbance], world: &World, zones: &[u32], seed: u64) -> Self {
         let mut plan = Plan::default();
-        for (n, trouble) in troubles.iter().enumerate() {
-            let mut rng = stream(seed, Purpose::Trouble, n as u64);
-            trouble.add_to_plan(&mut rng, world, zones, &mut plan);
+        for (n, disturbance) in disturbances.iter().enumerate() {
+            let mut rng = stream(seed, Purpose::Disturbance, n as u64);
+            disturbance.add_to_plan(&mut rng, world, zones, &mut plan);
         }
         // The sort is stable, so that changes of the same time stay in the order of the file.
         plan.changes.sort_by_key(|change| change.0);
--- a/fleet-simulator/src/experiment.rs
+++ b/fleet-simulator/src/experiment.rs
@@ -1,9 +1,9 @@
 //! Experiments: a TOML file describes the world, its disturbances, the seeds, and the variants to compare.
 //! Unknown keys and invalid values are rejected with file, line and key.
+use crate::disturbance::Disturbance;
 use crate::judge::Findings;
 use crate::policy::{PolicyKind, TimedPolicy};
 use crate::simulation::{simulate, RunOutcome, Setup, TraceTarget};
-use crate::trouble::Trouble;
 use crate::world::spec::World;
 use crate::world::us;
 use rayon::prelude::*;
@@ -30,7 +30,7 @@
     /// Time at which arrivals end, in seconds.
     #[serde(default = "default_length_s")]
     pub length_s: f64,
-    /// Messages that begin before this time, in seconds, are left out of the service figures.
+    /// Length of the warm-up in seconds; messages that begin earlier are left out of the service figures.
     #[serde(default = "default_warm_up_s")]
     pub warm_up_s: f64,
     /// World of all variants.
@@ -38,7 +38,7 @@
     pub world: World,
     /// Disturbances during each run.
     #[serde(default)]
-    pub trouble: Vec<Trouble>,
+    pub trouble: Vec<Disturbance>,
     /// Variants to compare; if empty, all policies, the baselines with and without a retry budget.
     #[serde(default)]
     pub variant: Vec<Variant>,
@@ -88,7 +88,7 @@
     /// World with the variant's and the sweep's values.
     pub world: World,
     /// Disturbances with the variant's and the sweep's values.
-    pub troubles: Vec<Trouble>,
+    pub disturbances: Vec<Disturbance>,
 }
 
 /// Splits a path into its keys and list indexes.
@@ -246,7 +246,7 @@
         #[derive(Deserialize)]
         struct Patched {
             world: World,
-            trouble: Vec<Trouble>,
+            trouble: Vec<Disturbance>,
         }
         let patched: Patched =
             root.try_into().map_err(|e: toml::de::Error| (key("world".into()), e.to_string()))?;
@@ -254,8 +254,8 @@
             let (own_key, problem) = e.split_once(": ").unwrap_or(("", &e));
             (key(format!("world.{own_key}")), if last.is_some() { e.clone() } else { problem.to_string() })
         })?;
-        for (n, trouble) in patched.trouble.iter().enumerate() {
-            trouble.check(&patched.world).map_err(|e| {
+        for (n, disturbance) in patched.trouble.iter().enumerate() {
+            disturbance.check(&patched.world).map_err(|e| {
                 let (own_key, problem) = e.split_once(": ").unwrap_or(("", &e));
                 (
                     key(format!("trouble[{n}].{own_key}")),
@@ -266,7 +266,7 @@
         let values: Vec<String> = swept.iter().map(|(path, value)| format!("{path}={value}")).collect();
         let name = [variant.name.clone()].into_iter().chain(values).collect::<Vec<_>>().join(" ");
         let Variant { policy, budget, .. } = *variant;
-        Ok(Case { name, policy, budget, world: patched.world, troubles: patched.trouble })
+        Ok(Case { name, policy, budget, world: patched.world, disturbances: patched.trouble })
     }
 
     /// Keeps only the variants whose names contain `text`. Returns whether any remain.
@@ -317,7 +317,7 @@
         };
         let outcome = simulate(&Setup {
             world: &case.world,
-            troubles: &case.troubles,
+            disturbances: &case.disturbances,
             seed,
             warm_up: us(self.warm_up_s * 1000.0),
             length: us(self.length_s * 1000.0),
@@ -361,7 +361,7 @@
             wall_times[c].total += run_time.total;
             wall_times[c].policies += run_time.policies;
         }
-        let troubles = self.trouble.iter().map(|t| TroubleSpan {
+        let spans = self.trouble.iter().map(|t| DisturbanceSpan {
             name: t.name().into(),
             at_s: t.at_s,
             end_s: t.at_s + t.for_s,
@@ -373,7 +373,7 @@
             warm_up_s: self.warm_up_s,
             hosts: self.world.hosts,
             gateways: self.world.gateways,
-            troubles: troubles.collect(),
+            troubles: spans.collect(),
             variants,
         };
         Ok((results, wall_times))
@@ -403,7 +403,7 @@
 
 /// Time span of a disturbance, as marked in a report.
 #[derive(Clone, Debug, PartialEq, Deserialize, Serialize)]
-pub struct TroubleSpan {
+pub struct DisturbanceSpan {
     /// Kind of the disturbance.
     pub name: String,
     /// Start, in seconds.
@@ -442,14 +442,14 @@
     pub about: String,
     /// Time at which arrivals ended, in seconds.
     pub length_s: f64,
-    /// Messages that began before this time, in seconds, are left out of the service figures.
+    /// Length of the warm-up in seconds; messages that began earlier are left out of the service figures.
     pub warm_up_s: f64,
     /// Number of hosts at the start.
     pub hosts: u32,
     /// Number of gateways.
     pub gateways: u32,
     /// Disturbances during each run.
-    pub troubles: Vec<TroubleSpan>,
+    pub troubles: Vec<DisturbanceSpan>,
     /// Results of the variants.
     pub variants: Vec<VariantResults>,
 }
--- a/fleet-simulator/src/judge.rs
+++ b/fleet-simulator/src/judge.rs
@@ -1,6 +1,6 @@
 //! Judges a run from the observed traffic between clients, gateways, hosts and discovery, independently of
 //! the policies: checks the rules and measures the service that clients received.
-use crate::trouble::Trouble;
+use crate::disturbance::Disturbance;
 use crate::world::clients::Message;
 use crate::world::spec::{Class, Effect, World};
 use crate::world::{ms, us, Us};
@@ -422,42 +422,43 @@
         }
     }
 
-    fn recovery(&self, trouble: &Trouble, first: usize) -> Recovery {
+    fn recovery(&self, disturbance: &Disturbance, first: usize) -> Recovery {
         let bin_count = (self.end / BIN_US) as usize;
         let bin = |s: f64| (((s * 1e6) as Us / BIN_US) as usize).min(bin_count);
-        let (from, to) = (bin(trouble.at_s), bin(trouble.at_s + trouble.for_s));
+        let (from, to) = (bin(disturbance.at_s), bin(disturbance.at_s + disturbance.for_s));
         let before = Self::service(&self.bins[first.max(from.saturating_sub(WORST_BINS))..from.max(first)]);
         let recovered_bin = (to..bin_count.saturating_sub(RECOVERED_BINS - 1).max(to)).find(|n| {
             Self::service(&self.bins[*n..(*n + RECOVERED_BINS).min(bin_count)]) >= RECOVERED_SHARE * before
         });
-        let over = trouble.end();
+        let end_us = disturbance.end();
         Recovery {
-            trouble: trouble.name().into(),
-            at_s: trouble.at_s,
-            end_s: trouble.at_s + trouble.for_s,
+            trouble: disturbance.name().into(),
+            at_s: disturbance.at_s,
+            end_s: disturbance.at_s + disturbance.for_s,
             before,
-            seconds: recovered_bin.map(|n| (n as Us * BIN_US).saturating_sub(over) as f64 / 1e6),
+            seconds: recovered_bin.map(|n| (n as Us * BIN_US).saturating_sub(end_us) as f64 / 1e6),
         }
     }
 
     /// Returns the findings of the run.
-    pub fn findings(mut self, troubles: &[Trouble]) -> Findings {
+    pub fn findings(mut self, disturbances: &[Disturbance]) -> Findings {
         let (first, bin_count) = ((self.start / BIN_US) as usize, (self.end / BIN_US) as usize);
         let counted = &self.bins[first.min(bin_count)..bin_count.max(1)];
         let service = Self::service(counted);
         let worst = counted.windows(WORST_BINS.min(counted.len().max(1))).map(Self::service);
         let worst_10_s = worst.fold(1.0, f64::min);
-        let from = troubles.iter().map(|t| t.at_s).fold(f64::INFINITY, f64::min);
-        let calm = ((from * 1e6).min(self.end as f64) as Us / BIN_US) as usize;
-        let before = Self::service(&self.bins[first.min(calm)..calm.max(1)]);
+        let from = disturbances.iter().map(|t| t.at_s).fold(f64::INFINITY, f64::min);
+        let first_disturbance_bin = ((from * 1e6).min(self.end as f64) as Us / BIN_US) as usize;
+        let before =
+            Self::service(&self.bins[first.min(first_disturbance_bin)..first_disturbance_bin.max(1)]);
         let last = Self::service(&counted[counted.len().saturating_sub(WORST_BINS)..]);
         let allowed = {
-            let most = self.capacity * BIN_US as f64 / 1e6;
-            let part = |b: &Bin| if b.offered > most { most / b.offered } else { 1.0 };
+            let max_offered = self.capacity * BIN_US as f64 / 1e6;
+            let part = |b: &Bin| if b.offered > max_offered { max_offered / b.offered } else { 1.0 };
             let asked: f64 = counted.iter().map(|b| b.asked).sum();
             counted.iter().map(|b| part(b) * b.asked).sum::<f64>() / asked.max(1e-9)
         };
-        let recovery = troubles
+        let recovery = disturbances
             .iter()
             .filter(|t| t.end() + RECOVERED_BINS as Us * BIN_US <= self.end)
             .map(|t| self.recovery(t, first))
@@ -501,7 +502,7 @@
             wasted: if work > 0.0 { sum(&|b| b.wasted) / work } else { 0.0 },
             latency: latency.collect(),
             recovery,
-            broken: self.violations.iter().filter(|o| o.count > 0).cloned().collect(),
+            broken: self.violations.iter().filter(|v| v.count > 0).cloned().collect(),
             classes: self.classes,
             tenants: self.tenants,
             bins: self.bins,
--- a/fleet-simulator/src/main.rs
+++ b/fleet-simulator/src/main.rs
@@ -214,8 +214,8 @@
     let cases = experiment.cases().map_err(|(path, e)| format!("{}: {path}: {e}", file.display()))?;
     println!("{}: {}", experiment.name, experiment.about);
     println!("{} seeds of {} s", experiment.seeds, experiment.length_s);
-    for trouble in &experiment.trouble {
-        println!("  from {} s for {} s: {}", trouble.at_s, trouble.for_s, trouble.name());
+    for disturbance in &experiment.trouble {
+        println!("  from {} s for {} s: {}", disturbance.at_s, disturbance.for_s, disturbance.name());
     }
     for case in cases {
         let budget = case.budget.map_or(String::new(), |b| format!(", retry budget {b}"));
--- a/fleet-simulator/src/policy/mod.rs
+++ b/fleet-simulator/src/policy/mod.rs
@@ -109,7 +109,7 @@
     }
 }
 
-/// A policy that records the wall-clock time it uses; the time has no effect on the run.
+/// Wrapper that records the wall-clock time of a policy; the time has no effect on the run.
 pub struct TimedPolicy {
     policy: Box<dyn Policy>,
     spent: Rc<Cell<Duration>>,
--- a/fleet-simulator/src/report.rs
+++ b/fleet-simulator/src/report.rs
@@ -211,19 +211,19 @@
     {
         let root: PlotArea = SVGBackend::with_string(&mut svg, (940, 260)).into_drawing_area();
         root.fill(&WHITE)?;
-        let top = curves.iter().flat_map(|c| &c.points).map(|p| p.1).fold(0.0, f64::max);
-        let top = if top > 0.0 { top * 1.08 } else { 1.0 };
+        let max_y = curves.iter().flat_map(|c| &c.points).map(|p| p.1).fold(0.0, f64::max);
+        let max_y = if max_y > 0.0 { max_y * 1.08 } else { 1.0 };
         let mut chart = ChartBuilder::on(&root)
             .caption(title, ("sans-serif", 16))
             .margin(8)
             .x_label_area_size(24)
             .y_label_area_size(48)
-            .build_cartesian_2d(0.0..results.length_s, 0.0..top)?;
+            .build_cartesian_2d(0.0..results.length_s, 0.0..max_y)?;
         chart.configure_mesh().light_line_style(WHITE).draw()?;
         for mark in &results.troubles {
-            let area = [(mark.at_s, 0.0), (mark.end_s, top)];
+            let area = [(mark.at_s, 0.0), (mark.end_s, max_y)];
             chart.draw_series([Rectangle::new(area, RED.mix(0.08).filled())])?;
-            let name = Text::new(mark.name.clone(), (mark.at_s, top * 0.98), ("sans-serif", 11));
+            let name = Text::new(mark.name.clone(), (mark.at_s, max_y * 0.98), ("sans-serif", 11));
             chart.draw_series([name])?;
         }
         for (n, curve) in curves.iter().enumerate() {
@@ -255,29 +255,29 @@
 /// Returns the plots of a page: titles, and one curve per variant.
 fn plots(results: &Results) -> Vec<(&'static str, Vec<Curve>)> {
     let shown = &results.variants[..results.variants.len().min(MAX_PLOTTED)];
-    let one = |_: &Bin| 1.0;
-    let second = |_: &Bin| BIN_S;
-    let each = |numerator: &dyn Fn(&Bin) -> f64, denominator: &dyn Fn(&Bin) -> f64| -> Vec<Curve> {
+    let per_bin = |_: &Bin| 1.0;
+    let per_second = |_: &Bin| BIN_S;
+    let curves = |numerator: &dyn Fn(&Bin) -> f64, denominator: &dyn Fn(&Bin) -> f64| -> Vec<Curve> {
         shown.iter().map(|v| curve(v, numerator, denominator)).collect()
     };
     let refused = |b: &Bin| f64::from(b.refused.iter().sum::<u32>());
     vec![
         (
             "service: worth earned by worth asked, by when the message began",
-            each(&|b| b.earned, &|b| b.asked),
+            curves(&|b| b.earned, &|b| b.asked),
         ),
-        ("tries a second, the first ones included", each(&|b| f64::from(b.tries), &second)),
+        ("tries a second, the first ones included", curves(&|b| f64::from(b.tries), &per_second)),
         (
             "tries a message: what clients' retries add",
-            each(&|b| f64::from(b.tries), &|b| f64::from(b.messages)),
+            curves(&|b| f64::from(b.tries), &|b| f64::from(b.messages)),
         ),
-        ("refusals a second", each(&refused, &second)),
-        ("attempts sent to hosts a second", each(&|b| f64::from(b.attempts), &second)),
-        ("attempts that wait at hosts", each(&|b| f64::from(b.queue), &one)),
-        ("core time in use", each(&|b| b.busy, &one)),
-        ("part of the hosts' work that nobody got an answer from", each(&|b| b.wasted, &|b| b.work)),
-        ("hosts slowed by crowding", each(&|b| f64::from(b.slow), &one)),
-        ("hosts that answer", each(&|b| f64::from(b.up), &one)),
+        ("refusals a second", curves(&refused, &per_second)),
+        ("attempts sent to hosts a second", curves(&|b| f64::from(b.attempts), &per_second)),
+        ("attempts that wait at hosts", curves(&|b| f64::from(b.queue), &per_bin)),
+        ("core time in use", curves(&|b| b.busy, &per_bin)),
+        ("part of the hosts' work that nobody got an answer from", curves(&|b| b.wasted, &|b| b.work)),
+        ("hosts slowed by crowding", curves(&|b| f64::from(b.slow), &per_bin)),
+        ("hosts that answer", curves(&|b| f64::from(b.up), &per_bin)),
     ]
 }
 
--- a/fleet-simulator/src/simulation.rs
+++ b/fleet-simulator/src/simulation.rs
@@ -4,9 +4,9 @@
 //! were scheduled: first changes of the world, then hosts complete and accept attempts, then gateways receive
 //! their events (outcomes before endpoint updates, endpoint updates before requests, requests before timers),
 //! then clients.
+use crate::disturbance::{Disturbance, Plan, WorldChange};
 use crate::judge::{Findings, Judge, SentAttempt};
 use crate::policy::Policy;
-use crate::trouble::{Plan, Trouble, WorldChange};
 use crate::world::clients::{next_try_at, try_timeout, Arrivals, Message, TryOutcome};
 use crate::world::discovery::{Delivery, Discovery, Entry, State};
 use crate::world::draw::{spread, stream, Purpose};
@@ -47,10 +47,10 @@
     /// World to simulate.
     pub world: &'a World,
     /// Disturbances during the run.
-    pub troubles: &'a [Trouble],
+    pub disturbances: &'a [Disturbance],
     /// Seed of every random stream of the run.
     pub seed: u64,
-    /// Messages that begin before this time are left out of the service figures.
+    /// Length of the warm-up; messages that begin earlier are left out of the service figures.
     pub warm_up: Us,
     /// Time at which arrivals end.
     pub length: Us,
@@ -371,7 +371,7 @@
     let remaining_in_flight = run.in_flight();
     let Run { judge, trace, events_handled, peak_in_flight, .. } = run;
     Ok(RunOutcome {
-        findings: judge.findings(setup.troubles),
+        findings: judge.findings(setup.disturbances),
         trace,
         events: events_handled,
         peak_in_flight,
@@ -388,7 +388,7 @@
         let capacity_per_s = capacity / mean_work(world);
         let per_s = world.rate_per_s.unwrap_or(world.load * capacity_per_s);
         let host_zones: Vec<u32> = hosts.iter().map(|h| h.zone).collect();
-        let plan = Plan::new(setup.troubles, world, &host_zones, setup.seed);
+        let plan = Plan::new(setup.disturbances, world, &host_zones, setup.seed);
         let arrivals = Arrivals::new(world, per_s, capacity_per_s, plan.surges.clone(), setup.seed)?;
         let quotas = arrivals.quotas();
         let gateway_zones: Vec<u32> = (0..world.gateways).map(|n| n % zones).collect();
--- a/fleet-simulator/src/statistics.rs
+++ b/fleet-simulator/src/statistics.rs
@@ -66,8 +66,8 @@
     }
     let difference = (&differences).mean();
     let deviation = (&differences).std_dev();
-    let t = StudentsT::new(0.0, 1.0, (pairs - 1) as f64).ok()?.inverse_cdf(0.975);
-    let half_width = t * deviation / (pairs as f64).sqrt();
+    let quantile = StudentsT::new(0.0, 1.0, (pairs - 1) as f64).ok()?.inverse_cdf(0.975);
+    let half_width = quantile * deviation / (pairs as f64).sqrt();
     let verdict = if difference > half_width {
         Verdict::Better
     } else if difference < -half_width {
--- a/fleet-simulator/src/world/clients.rs
+++ b/fleet-simulator/src/world/clients.rs
@@ -35,7 +35,7 @@
     /// Time that a host spends waiting on other systems while it serves the message.
     pub wait: Us,
     /// Whether the client honours Retry-After.
-    pub honors_retry_after: bool,
+    pub honours_retry_after: bool,
     /// Time at which the client disconnects early; `Us::MAX` for never.
     pub disconnects_at: Us,
     /// Random stream for the client's retries and the noise of attempts.
@@ -218,7 +218,7 @@
             within_quota,
             work: spec.work_ms * 1000.0 * spec.work.draw(&mut self.rng),
             wait: us(spec.wait_ms * spec.wait.draw(&mut self.rng)),
-            honors_retry_after: self.rng.random::<f64>() < clients.heed,
+            honours_retry_after: self.rng.random::<f64>() < clients.heed,
             disconnects_at: if disconnects_early { at + us(disconnects_after_ms) } else { Us::MAX },
             rng: Pcg64Mcg::seed_from_u64(self.rng.random()),
         };
@@ -290,7 +290,7 @@
         }
     };
     if let TryOutcome::Rejected { retry_after } = outcome {
-        if message.honors_retry_after {
+        if message.honours_retry_after {
             wait = wait.max(retry_after.min(us(spec.heed_most_ms)));
         }
     }
--- a/fleet-simulator/src/world/draw.rs
+++ b/fleet-simulator/src/world/draw.rs
@@ -19,7 +19,7 @@
     /// Delays of discovery.
     Discovery = 5,
     /// Hosts and gateways that a disturbance affects. One stream per disturbance.
-    Trouble = 6,
+    Disturbance = 6,
     /// Seeds of the gateways. One stream per gateway.
     Gateway = 7,
 }
--- a/fleet-simulator/src/world/spec.rs
+++ b/fleet-simulator/src/world/spec.rs
@@ -471,7 +471,7 @@
     pub silent_notice_ms: f64,
     /// Interval at which changes are published.
     pub period_ms: f64,
-    /// Notifications of a publication reach the gateways within this time, uniformly distributed.
+    /// Largest delay of a notification after the publication; the delays are uniformly distributed.
     pub spread_ms: f64,
     /// Number of calls handled concurrently.
     pub capacity: u32,
@@ -514,7 +514,7 @@
     /// Grace period after a gateway is told of a host's drain or removal; sending to the host afterwards is
     /// a violation.
     pub drain_grace_ms: f64,
-    /// A gateway without a subscription must call discovery at least this often.
+    /// Longest time between two calls to discovery by a gateway without a subscription.
     pub ask_within_ms: f64,
     /// Time after the client's timeout within which a gateway must have answered.
     pub slack_ms: f64,
--- a/fleet-simulator/tests/judge.rs
+++ b/fleet-simulator/tests/judge.rs
@@ -159,7 +159,7 @@
     let (warm_up, length) = (us(2000.0), us(20_000.0));
     let setup = Setup {
         world: &case.world,
-        troubles: &case.troubles,
+        disturbances: &case.disturbances,
         seed: 3,
         warm_up,
         length,
--- a/fleet-simulator/tests/shipped_experiments.rs
+++ b/fleet-simulator/tests/shipped_experiments.rs
@@ -31,8 +31,9 @@
         let mut worlds = String::new();
         for case in &cases {
             let world = serde_json::to_string(&case.world).expect("the value serializes to JSON");
-            let troubles = serde_json::to_string(&case.troubles).expect("the value serializes to JSON");
-            let _ = writeln!(worlds, "{} {:?} {world} {troubles}", case.name, case.budget);
+            let disturbances =
+                serde_json::to_string(&case.disturbances).expect("the value serializes to JSON");
+            let _ = writeln!(worlds, "{} {:?} {world} {disturbances}", case.name, case.budget);
         }
         let name = path.file_stem().expect("the file has a name").to_string_lossy();
         let _ = writeln!(seen, "{name} {} {:016x} {:016x}", cases.len(), fnv(&whole), fnv(&worlds));
--- a/fleet-simulator/tests/world.rs
+++ b/fleet-simulator/tests/world.rs
@@ -1,7 +1,7 @@
 //! Unit tests of the parts of the simulated world.
 use rand::SeedableRng;
 use rand_pcg::Pcg64Mcg;
-use ternstack_fleet_simulator::trouble::{Plan, Trouble, TroubleKind, WorldChange};
+use ternstack_fleet_simulator::disturbance::{Disturbance, DisturbanceKind, Plan, WorldChange};
 use ternstack_fleet_simulator::world::clients::{next_try_at, try_timeout, Message, TryOutcome};
 use ternstack_fleet_simulator::world::discovery::{Discovery, Entry, State};
 use ternstack_fleet_simulator::world::draw::{Shape, Span};
@@ -161,7 +161,7 @@
         within_quota: true,
         work: 1.0,
         wait: 0,
-        honors_retry_after: true,
+        honours_retry_after: true,
         disconnects_at: Us::MAX,
         rng: Pcg64Mcg::seed_from_u64(3),
     };
@@ -262,14 +262,14 @@
 }
 
 #[test]
-fn trouble_plan_is_reproducible_and_reverts_every_change() {
+fn disturbance_plan_is_reproducible_and_reverts_every_change() {
     let world = World::default();
     let zones: Vec<u32> = (0..12).map(|n| n % 2).collect();
-    let trouble = |what| Trouble { at_s: 5.0, for_s: 10.0, what };
+    let disturbance = |what| Disturbance { at_s: 5.0, for_s: 10.0, what };
     let all = [
-        trouble(TroubleKind::ZoneLoss { zone: 1, silent: true, gateways: true }),
-        trouble(TroubleKind::Neighbour { part: 0.5, takes: Span::Range([0.3, 0.6]), on_off_s: 1.0 }),
-        trouble(TroubleKind::FailingClass { part: 0.1, class: 1, errors: 0.9 }),
+        disturbance(DisturbanceKind::ZoneLoss { zone: 1, silent: true, gateways: true }),
+        disturbance(DisturbanceKind::Neighbour { part: 0.5, takes: Span::Range([0.3, 0.6]), on_off_s: 1.0 }),
+        disturbance(DisturbanceKind::FailingClass { part: 0.1, class: 1, errors: 0.9 }),
     ];
     let plan = Plan::new(&all, &world, &zones, 4);
     assert_eq!(plan, Plan::new(&all, &world, &zones, 4));
@@ -284,7 +284,7 @@
         (1, 1)
     );
     assert_eq!(count(&|a| matches!(a, WorldChange::FailClass(_, Some((1, _))))), 1);
-    // The last change of each neighbour, at the end of the trouble, takes nothing from the host.
+    // The last change of each neighbour, at the end of the disturbance, takes nothing from the host.
     let last = |host| {
         plan.changes.iter().rev().find_map(|(at, a)| match a {
             WorldChange::Neighbour(h, takes) if *h == host => Some((*at, *takes)),
@@ -294,11 +294,11 @@
     let last_changes: Vec<_> = (0..12).filter_map(last).collect();
     assert_eq!(last_changes, vec![(us(15_000.0), 0.0); 6]);
     for invalid in [
-        Trouble { at_s: 0.0, ..all[0].clone() },
-        trouble(TroubleKind::ZoneLoss { zone: 2, silent: false, gateways: false }),
-        trouble(TroubleKind::FailingClass { part: 0.1, class: 2, errors: 0.9 }),
-        trouble(TroubleKind::TenantFlood { tenant: 3, times: 2.0, rise_s: 1.0 }),
-        trouble(TroubleKind::Crowding { part: 0.0, times: 2.0 }),
+        Disturbance { at_s: 0.0, ..all[0].clone() },
+        disturbance(DisturbanceKind::ZoneLoss { zone: 2, silent: false, gateways: false }),
+        disturbance(DisturbanceKind::FailingClass { part: 0.1, class: 2, errors: 0.9 }),
+        disturbance(DisturbanceKind::TenantFlood { tenant: 3, times: 2.0, rise_s: 1.0 }),
+        disturbance(DisturbanceKind::Crowding { part: 0.0, times: 2.0 }),
     ] {
         assert!(invalid.check(&world).is_err(), "{invalid:?}");
     }
