--- a/fleet-simulator/benches/decision.rs
+++ b/fleet-simulator/benches/decision.rs
@@ -25,15 +25,15 @@
 /// A balancer that has received a response from each of its hosts, with a virtual clock.
 struct WarmBalancer {
     balancer: Balancer,
-    now: f64,
-    next: u64,
+    now_ms: f64,
+    requests: u64,
     actions: Vec<Action>,
 }
 
 impl WarmBalancer {
     fn new(hosts: u32) -> Self {
         let balancer = Balancer::new(settings(), 7).expect("the settings are valid");
-        let mut warm = WarmBalancer { balancer, now: 1000.0, next: 0, actions: Vec::new() };
+        let mut warm = WarmBalancer { balancer, now_ms: 1000.0, requests: 0, actions: Vec::new() };
         let record = |n| EndpointRecord {
             endpoint: EndpointId(n),
             weight: 1.0,
@@ -48,14 +48,14 @@
 
     fn handle(&mut self, event: Event) {
         self.actions.clear();
-        self.balancer.handle(self.now, event, &mut self.actions);
+        self.balancer.handle(self.now_ms, event, &mut self.actions);
     }
 
     /// Completes one request. The rate of requests per host does not depend on the number of hosts.
     fn complete_request(&mut self, hosts: u32) {
-        self.now += 50.0 / f64::from(hosts);
-        self.next += 1;
-        let request = RequestId(self.next);
+        self.now_ms += 50.0 / f64::from(hosts);
+        self.requests += 1;
+        let request = RequestId(self.requests);
         self.handle(Event::Request(Arrival {
             request,
             class: 0,
@@ -69,8 +69,8 @@
         let Some(host) = sent else { return };
         // The values change from report to report, as those of real hosts do.
         let report = ternstack_balancer::LoadReport {
-            utilization: Some(0.4 + 0.001 * (self.next % 97) as f64),
-            throughput_per_s: Some(18.0 + 0.01 * (self.next % 89) as f64),
+            utilization: Some(0.4 + 0.001 * (self.requests % 97) as f64),
+            throughput_per_s: Some(18.0 + 0.01 * (self.requests % 89) as f64),
             queue_length: None,
         };
         self.handle(Event::AttemptEnd(AttemptEnd {
--- a/fleet-simulator/src/capacity.rs
+++ b/fleet-simulator/src/capacity.rs
@@ -380,14 +380,14 @@
 
     fn compute_row(&self, row: &Row, figures: &BTreeMap<&str, f64>) -> Result<ComputedRow, LocatedError> {
         let product = product(figures, row.factor, &row.times, &row.over)?;
-        let (mut slope_value, mut slope_unit, mut words) = (Some(1.0), String::new(), Vec::new());
+        let (mut slope_value, mut slope_unit, mut description) = (Some(1.0), String::new(), Vec::new());
         if let Some(name) = &row.slope {
             let slope = self.slope.iter().find(|s| s.name.get_ref() == name.get_ref());
             let slope = slope.ok_or_else(|| unknown(name, "the name of a slope"))?;
             slope_unit = slope.unit.clone();
             slope_value = match (&row.at, slope.points.is_empty()) {
                 (Some(at), _) => {
-                    words.push(format!("at {}", at.get_ref().replace('_', " ")));
+                    description.push(format!("at {}", at.get_ref().replace('_', " ")));
                     slope.at(look_up(figures, at)?)
                 }
                 (None, true) => slope.value,
@@ -406,7 +406,7 @@
         factors.extend(row.times.iter().map(|n| n.get_ref().replace('_', " ")));
         factors.extend(row.over.iter().map(|n| format!("1/{}", n.get_ref().replace('_', " "))));
         if !factors.is_empty() {
-            words.push(factors.join(" x "));
+            description.push(factors.join(" x "));
         }
         let product = slope_value.map(|slope| slope * product);
         let budget = row.budget.as_ref().map(|name| {
@@ -420,7 +420,7 @@
             need: row.need.clone(),
             slope: slope_value.filter(|_| row.slope.is_some()),
             slope_unit,
-            sizes: words.join(", "),
+            sizes: description.join(", "),
             product,
             unit: row.unit.clone(),
             budget: budget.map(|b| b.value),
--- a/fleet-simulator/src/capacity/gateway.rs
+++ b/fleet-simulator/src/capacity/gateway.rs
@@ -144,8 +144,8 @@
     us.ok_or_else(|| "/proc/thread-self/schedstat: expected the CPU time".into())
 }
 
-/// Returns the configuration of one of `instances` gateways.
-pub fn config(instances: u32, tenants: usize, discovery: SocketAddr, known: Value) -> Value {
+/// Returns the configuration of one of `gateway_count` gateways.
+pub fn config(gateway_count: u32, tenants: usize, discovery: SocketAddr, known: Value) -> Value {
     let tenants: Vec<Value> = (0..tenants)
         .map(|n| json!({"name": if n == 0 { "acme".into() } else { tenant(n) }, "quota_per_s": 100_000.0}))
         .collect();
@@ -160,7 +160,7 @@
             "limits": {"cancel": true, "conn_idle_ms": 5000.0, "dial_timeout_ms": 250.0, "max_attempts": 3,
                        "max_open": 1000, "max_retry_after_ms": 1000.0, "retry_after": true},
             "report": {"how": "inline", "fields": ["utilization", "throughput"]},
-            "discovery": "push", "instances": instances, "me": 0, "zone": "a", "zones": ["a"], "tick_ms": 5.0}
+            "discovery": "push", "instances": gateway_count, "me": 0, "zone": "a", "zones": ["a"], "tick_ms": 5.0}
     })
 }
 
--- a/fleet-simulator/src/capacity/limits.rs
+++ b/fleet-simulator/src/capacity/limits.rs
@@ -94,8 +94,8 @@
     }
 
     /// Returns the mean throughput in the first window of a tenant that suddenly asks for `rate`, as a
-    /// multiple of the quota: `1 + ln(rate / quota)` while the count fills, plus `rate x told_s` until the
-    /// gateways react.
+    /// multiple of the quota: `1 + ln(rate / quota)` while the count fills, plus `rate x reaction_s` until
+    /// the gateways react.
     pub fn first_window_throughput(&self, quota: f64, rate: f64) -> f64 {
         1.0 + (rate / quota).ln().max(0.0) + rate * self.reaction_s() / (quota * self.window_s)
     }
@@ -275,7 +275,7 @@
 const STEP_S: f64 = 0.1;
 
 /// Simulates a tenant with Poisson arrivals at `rate` per second from 0 s on. Its requests are counted or
-/// sampled, known to the owner `told_s` later, and admitted with probability quota / estimated rate. The
+/// sampled, known to the owner `reaction_s` later, and admitted with probability quota / estimated rate. The
 /// result covers `windows` windows from the third on, or from the first if `from_start` is set.
 ///
 /// # Errors
@@ -293,7 +293,7 @@
     let steps = (t.window_s / STEP_S).round() as usize;
     let delay_steps = (t.reaction_s() / STEP_S).ceil() as usize;
     let first = if from_start { 0 } else { 2 * steps + delay_steps };
-    // Samples per step, the newest last; the owner does not know the last `late` of them yet.
+    // Samples per step, the newest last; the owner does not know the last `delay_steps` of them yet.
     let mut sampled: VecDeque<f64> = VecDeque::new();
     let mut known_samples = 0.0;
     let mut window_admitted: VecDeque<f64> = VecDeque::new();
--- a/fleet-simulator/src/capacity/load.rs
+++ b/fleet-simulator/src/capacity/load.rs
@@ -14,13 +14,13 @@
     /// Number of hosts.
     pub hosts: usize,
     /// Number of gateways that share the hosts, as configured at the gateway.
-    pub instances: u32,
+    pub gateway_count: u32,
     /// Requests per second through the gateway; as many go directly to the hosts.
     pub per_s: f64,
     /// Duration.
-    pub length: Duration,
+    pub duration: Duration,
     /// Time that a host takes for a request.
-    pub work: Duration,
+    pub host_work: Duration,
     /// The gateway's `conn_idle_ms`.
     pub idle: Duration,
 }
@@ -56,27 +56,28 @@
     let recorder = HistoryRecorder::default();
     let mut hosts = Vec::new();
     for number in 0..load.hosts {
-        let stub_host =
-            runtime.block_on(StubHost::start(number, 1, load.work, &recorder)).map_err(|e| e.to_string())?;
+        let stub_host = runtime
+            .block_on(StubHost::start(number, 1, load.host_work, &recorder))
+            .map_err(|e| e.to_string())?;
         hosts.push(stub_host);
     }
     let targets: Vec<_> = hosts.iter().enumerate().map(|(n, s)| host(n, s.addresses[0], "SERVING")).collect();
     let list = json!({"rev": 1, "all": true, "targets": targets});
     let discovery = Discovery::start(&list)?;
-    let mut configured = config(load.instances, 1, discovery.address, list);
+    let mut configured = config(load.gateway_count, 1, discovery.address, list);
     configured["settings"]["limits"]["conn_idle_ms"] = json!(load.idle.as_secs_f64() * 1000.0);
     let gateway = Gateway::start(&configured)?;
     // Connections are established in one second of load; then the gateway's cost without load is measured.
-    let warm_up = LoadParameters { length: Duration::from_secs(1), ..*load };
+    let warm_up = LoadParameters { duration: Duration::from_secs(1), ..*load };
     runtime.block_on(run_clients(&warm_up, &gateway, &hosts, &recorder))?;
     let idle_from = gateway.settled_cpu_us()?;
     std::thread::sleep(Duration::from_secs(1));
     let idle = gateway.cpu_us()? - idle_from;
     let from = gateway.cpu_us()?;
     let results = runtime.block_on(run_clients(load, &gateway, &hosts, &recorder))?;
-    let cpu_us = gateway.cpu_us()? - from - idle * load.length.as_secs_f64();
+    let cpu_us = gateway.cpu_us()? - from - idle * load.duration.as_secs_f64();
     let (through, direct) = (results.through, results.direct);
-    let added = |part: f64| quantile(&through, part) - quantile(&direct, part);
+    let added = |probability: f64| quantile(&through, probability) - quantile(&direct, probability);
     Ok(LoadCost {
         cpu_us: cpu_us / through.len().max(1) as f64,
         added_ms: [added(0.5), added(0.99)],
@@ -87,8 +88,8 @@
     })
 }
 
-fn quantile(times: &[f64], part: f64) -> f64 {
-    let at = (times.len() as f64 * part) as usize;
+fn quantile(times: &[f64], probability: f64) -> f64 {
+    let at = (times.len() as f64 * probability) as usize;
     times.get(at.min(times.len().saturating_sub(1))).copied().unwrap_or(0.0)
 }
 
@@ -106,7 +107,7 @@
     load: &LoadParameters, gateway: &Gateway, hosts: &[StubHost], recorder: &HistoryRecorder,
 ) -> Result<ClientResults, String> {
     let interval_per_client = Duration::from_secs_f64(CLIENTS as f64 / load.per_s);
-    let count = (load.length.as_secs_f64() / interval_per_client.as_secs_f64()) as usize;
+    let count = (load.duration.as_secs_f64() / interval_per_client.as_secs_f64()) as usize;
     let mut tasks = Vec::new();
     for client in 0..CLIENTS {
         let mut through = Client::new(0, gateway.address, recorder);
@@ -146,7 +147,7 @@
         })
     };
     let mut all = ClientResults::default();
-    tokio::time::sleep(load.length.mul_f64(0.9)).await;
+    tokio::time::sleep(load.duration.mul_f64(0.9)).await;
     // Subtracts the gateway's listener, the discovery connection and one connection per client.
     all.sockets = gateway.sockets()? as f64 - 2.0 - CLIENTS as f64;
     for task in tasks {
--- a/fleet-simulator/src/capacity/measure.rs
+++ b/fleet-simulator/src/capacity/measure.rs
@@ -147,14 +147,15 @@
 
 fn measure_decision(printer: &Printer, runs: u32) -> Result<(), String> {
     // The load per host does not depend on the number of hosts; the gateways share it.
-    for (name, instances) in [("decision_of_8900", 8900), ("decision_of_300", 300), ("decision_alone", 1)] {
+    for (name, gateway_count) in [("decision_of_8900", 8900), ("decision_of_300", 300), ("decision_alone", 1)]
+    {
         let mut points = Vec::new();
         for hosts in [54, 200, 1000, 5000] {
-            let gap_ms = 1000.0 * f64::from(instances) / (REQUESTS_PER_HOST_PER_S * f64::from(hosts));
-            let mut warm = WarmBalancer::new(hosts, instances, gap_ms)?;
-            (warm.sent, warm.next) = (0, 0);
+            let gap_ms = 1000.0 * f64::from(gateway_count) / (REQUESTS_PER_HOST_PER_S * f64::from(hosts));
+            let mut warm = WarmBalancer::new(hosts, gateway_count, gap_ms)?;
+            (warm.sent, warm.requests) = (0, 0);
             points.push([f64::from(hosts), cpu_us_per_call(runs, || warm.complete_request())?]);
-            eprintln!("{name}, {hosts} hosts: {} of {} requests sent", warm.sent, warm.next);
+            eprintln!("{name}, {hosts} hosts: {} of {} requests sent", warm.sent, warm.requests);
         }
         printer.print_slope(name, "us a request", "hosts of a list", &points);
     }
@@ -309,10 +310,10 @@
 fn measure_data_path(printer: &Printer, runs: u32) -> Result<(), String> {
     let load = LoadParameters {
         hosts: 54,
-        instances: 1,
+        gateway_count: 1,
         per_s: REQUESTS_PER_GATEWAY_PER_S,
-        length: Duration::from_secs(5),
-        work: Duration::ZERO,
+        duration: Duration::from_secs(5),
+        host_work: Duration::ZERO,
         idle: Duration::from_secs(5),
     };
     let (mut by_rate, mut p50, mut p99, mut dialled) = (Vec::new(), Vec::new(), Vec::new(), Vec::new());
@@ -359,10 +360,11 @@
     for hosts in [24, 54, 200, 500] {
         // The hosts' work keeps connections busy. The number of gateways that share the list is such that
         // each host gets its usual load.
-        let work = Duration::from_millis(20);
-        let instances =
+        let host_work = Duration::from_millis(20);
+        let gateway_count =
             (hosts as f64 * REQUESTS_PER_HOST_PER_S / REQUESTS_PER_GATEWAY_PER_S).round().max(1.0) as u32;
-        let [us, _, _, held] = measure_load(&LoadParameters { hosts, instances, work, ..load }, runs)?;
+        let [us, _, _, held] =
+            measure_load(&LoadParameters { hosts, gateway_count, host_work, ..load }, runs)?;
         cpu.push([hosts as f64, us]);
         connections.push([hosts as f64, held]);
     }
--- a/fleet-simulator/src/capacity/tables.rs
+++ b/fleet-simulator/src/capacity/tables.rs
@@ -38,19 +38,19 @@
     let rows = c.compute_rows().map_err(|(_, problem)| problem)?;
     let sizes = Sizes::of(c)?;
     Ok(vec![
-        ("sizes", figures(&c.size)),
-        ("budgets", figures(&c.budget)),
-        ("assumed", assumed(c)),
-        ("needs", needs(&rows)),
-        ("sums", sums(&rows)),
-        ("missing", missing(&rows)),
+        ("sizes", figures_table(&c.size)),
+        ("budgets", figures_table(&c.budget)),
+        ("assumed", assumptions_table(c)),
+        ("needs", needs_table(&rows)),
+        ("sums", sums_table(&rows)),
+        ("missing", missing_table(&rows)),
         ("limits", limits_table(c, &sizes)),
         ("error", errors_table(c, &sizes)?),
-        ("slopes", slopes(&c.slope)),
+        ("slopes", slopes_table(&c.slope)),
     ])
 }
 
-fn figures(list: &[Figure]) -> String {
+fn figures_table(list: &[Figure]) -> String {
     let mut out = String::from("| what | value | unit | from |\n| --- | ---: | --- | --- |\n");
     for f in list {
         let _ = writeln!(
@@ -65,8 +65,8 @@
     out
 }
 
-fn assumed(c: &Capacity) -> String {
-    let mut out = figures(&c.assumed);
+fn assumptions_table(c: &Capacity) -> String {
+    let mut out = figures_table(&c.assumed);
     let figures = c.figures().unwrap_or_default();
     for d in &c.derived {
         let name = d.name.get_ref();
@@ -86,7 +86,7 @@
     out
 }
 
-fn moment(m: Moment) -> &'static str {
+fn moment_name(m: Moment) -> &'static str {
     match m {
         Moment::Ordinary => "ordinary",
         Moment::Worst => "worst",
@@ -102,7 +102,7 @@
     }
 }
 
-fn needs(rows: &[ComputedRow]) -> String {
+fn needs_table(rows: &[ComputedRow]) -> String {
     let mut out = String::new();
     let mut roles: Vec<&str> = Vec::new();
     for row in rows {
@@ -132,7 +132,7 @@
             let _ = writeln!(
                 out,
                 "| {} | {need} | {slope} | {} | {product} | {budget} | {share} | {} | {carried} |",
-                moment(row.moment),
+                moment_name(row.moment),
                 row.sizes,
                 row.verdict()
             );
@@ -144,7 +144,7 @@
     out
 }
 
-fn sums(rows: &[ComputedRow]) -> String {
+fn sums_table(rows: &[ComputedRow]) -> String {
     let mut out = String::from("| role | second | budget | sum | share | left out, not measured yet |\n");
     out.push_str("| --- | --- | --- | ---: | ---: | --- |\n");
     let mut seen: Vec<(&str, Moment, &str)> = Vec::new();
@@ -155,29 +155,30 @@
             continue;
         }
         seen.push(key);
-        let of: Vec<&ComputedRow> = rows
+        let addends: Vec<&ComputedRow> = rows
             .iter()
             .filter(|r| r.adds && (r.role.as_str(), r.moment) == (key.0, key.1))
             .filter(|r| r.budget_name.as_deref() == Some(key.2))
             .collect();
-        let sum: f64 = of.iter().filter_map(|r| r.product).sum();
-        let open: Vec<&str> = of.iter().filter(|r| r.product.is_none()).map(|r| r.need.as_str()).collect();
+        let sum: f64 = addends.iter().filter_map(|r| r.product).sum();
+        let unmeasured: Vec<&str> =
+            addends.iter().filter(|r| r.product.is_none()).map(|r| r.need.as_str()).collect();
         let share = row.budget.map_or(String::new(), |b| percent(sum / b));
         let _ = writeln!(
             out,
             "| {} | {} | {} | {} {} | {share} | {} |",
             row.role,
-            moment(row.moment),
+            moment_name(row.moment),
             spaced(budget),
             format_number(sum),
             row.unit,
-            open.join(", ")
+            unmeasured.join(", ")
         );
     }
     out
 }
 
-fn missing(rows: &[ComputedRow]) -> String {
+fn missing_table(rows: &[ComputedRow]) -> String {
     let mut unmet: Vec<&ComputedRow> = rows.iter().filter(|r| r.is_unmet()).collect();
     // Rows furthest over their budget come first, rows without a measurement last in the order of the file.
     let rank = |r: &ComputedRow| r.share.unwrap_or(0.0);
@@ -187,7 +188,7 @@
     for r in unmet {
         let share = r.share.map_or_else(|| r.verdict(), percent);
         let by = if r.mechanism == MISSING { "**missing**".into() } else { format!("`{}`", r.mechanism) };
-        let _ = writeln!(out, "| {} | {} | {} | {share} | {by} |", r.role, moment(r.moment), r.need);
+        let _ = writeln!(out, "| {} | {} | {} | {share} | {by} |", r.role, moment_name(r.moment), r.need);
     }
     out
 }
@@ -246,7 +247,7 @@
     Ok(out)
 }
 
-fn slopes(list: &[Slope]) -> String {
+fn slopes_table(list: &[Slope]) -> String {
     let mut out =
         String::from("| slope | what | unit | measured, size: value | grows as | command, commit |\n");
     out.push_str("| --- | --- | --- | --- | --- | --- |\n");
--- a/fleet-simulator/src/disturbance.rs
+++ b/fleet-simulator/src/disturbance.rs
@@ -1,7 +1,6 @@
-//! Disturbances of the world, such as faults, traffic surges and rollouts. An experiment file
-//! describes them; before a run they are expanded into single changes with fixed times. Each disturbance draws
-//! from its own random stream, so that it affects the same hosts at the same times whatever a gateway
-//! decides.
+//! Disturbances of the world, such as faults, traffic surges and rollouts. An experiment file describes them;
+//! before a run they are expanded into single changes with fixed times. Each disturbance draws from its own
+//! random stream, so that it affects the same hosts at the same times whatever a gateway decides.
 use crate::world::clients::Surge;
 use crate::world::draw::{stream, Purpose, Span};
 use crate::world::hosts::HostStatus;
--- a/fleet-simulator/src/experiment.rs
+++ b/fleet-simulator/src/experiment.rs
@@ -327,8 +327,9 @@
         Ok((outcome, WallTime { total: started.elapsed(), policies: policy_time.get() }))
     }
 
-    /// Simulates all cases with all seeds, `jobs` runs at once; 0 for one per core. Calls `tick` after each
-    /// run. The results do not depend on `jobs`; the times spent do, and are therefore returned separately.
+    /// Simulates all cases with all seeds, `jobs` runs at once; 0 for one per core. Calls `on_run_end` after
+    /// each run. The results do not depend on `jobs`; the times spent do, and are therefore returned
+    /// separately.
     ///
     /// # Errors
     ///
--- a/fleet-simulator/src/report.rs
+++ b/fleet-simulator/src/report.rs
@@ -314,7 +314,7 @@
     text + "</table>\n"
 }
 
-/// Formats a self-contained HTML page. `spent` holds the times of the runs, or is empty if unknown.
+/// Formats a self-contained HTML page. `wall_times` holds the times of the runs, or is empty if unknown.
 ///
 /// # Errors
 ///
--- a/fleet-simulator/src/simulation.rs
+++ b/fleet-simulator/src/simulation.rs
@@ -1,6 +1,6 @@
 //! The virtual clock and the event queue of a run with many independent gateways.
 //!
-//! Events of the same instant are handled in the order of [`Event::rank`], then in the order in which they
+//! Events of the same instant are handled in the order of `Event::rank`, then in the order in which they
 //! were scheduled: first changes of the world, then hosts complete and accept attempts, then gateways receive
 //! their events (outcomes before endpoint updates, endpoint updates before requests, requests before timers),
 //! then clients.
--- a/fleet-simulator/src/world/clients.rs
+++ b/fleet-simulator/src/world/clients.rs
@@ -117,8 +117,8 @@
 }
 
 impl Arrivals {
-    /// Creates the arrivals at a mean rate of `per_s` messages a second. Quotas are shares of `can_per_s`,
-    /// the messages a second that all hosts can serve.
+    /// Creates the arrivals at a mean rate of `per_s` messages a second. Quotas are shares of
+    /// `capacity_per_s`, the messages a second that all hosts can serve.
     ///
     /// # Errors
     ///
@@ -150,8 +150,8 @@
         self.buckets.iter().map(|b| b.per_s).collect()
     }
 
-    /// Returns two rates at a time, relative to the mean rate: the rate without the surges of single tenants, and
-    /// the additional rate of these surges.
+    /// Returns two rates at a time, relative to the mean rate: the rate without the surges of single tenants,
+    /// and the additional rate of these surges.
     fn rate_multiple(&self, now: Us) -> (f64, f64) {
         let phase = std::f64::consts::TAU * now as f64 / (self.world.swing_s * 1e6);
         let swing = 1.0 + self.world.swing * phase.sin();
