--- a/fleet-simulator/src/capacity.rs
+++ b/fleet-simulator/src/capacity.rs
@@ -325,11 +325,11 @@
     /// The message begins with the line.
     pub fn read(text: &str) -> Result<Self, String> {
         let line_of = |at: usize| 1 + text.bytes().take(at).filter(|b| *b == b'\n').count();
-        let slope_value: Capacity = toml::from_str(text).map_err(|e| {
+        let capacity: Capacity = toml::from_str(text).map_err(|e| {
             format!("{}: {}", line_of(e.span().map_or(0, |s| s.start)), e.to_string().trim_end())
         })?;
-        slope_value.check().map_err(|(at, problem)| format!("{}: {problem}", line_of(at)))?;
-        Ok(slope_value)
+        capacity.check().map_err(|(at, problem)| format!("{}: {problem}", line_of(at)))?;
+        Ok(capacity)
     }
 
     /// Checks all values; the error describes the first invalid one.
--- a/fleet-simulator/src/experiment.rs
+++ b/fleet-simulator/src/experiment.rs
@@ -341,7 +341,7 @@
         let pool = rayon::ThreadPoolBuilder::new().num_threads(jobs).build().map_err(|e| e.to_string())?;
         let all: Vec<(usize, u64)> =
             (0..cases.len()).flat_map(|c| (1..=u64::from(self.seeds)).map(move |s| (c, s))).collect();
-        let outcome: Result<Vec<_>, String> = pool.install(|| {
+        let outcomes: Result<Vec<_>, String> = pool.install(|| {
             all.par_iter()
                 .map(|(c, seed)| {
                     let outcome = self.run_case(&cases[*c], *seed, None);
@@ -357,7 +357,7 @@
             .map(|c| VariantResults { name: c.name.clone(), policy: c.policy, runs: Vec::new() })
             .collect();
         let mut wall_times = vec![WallTime::default(); cases.len()];
-        for (c, run, run_time) in outcome? {
+        for (c, run, run_time) in outcomes? {
             variants[c].runs.push(run);
             wall_times[c].total += run_time.total;
             wall_times[c].policies += run_time.policies;
--- a/fleet-simulator/src/simulation.rs
+++ b/fleet-simulator/src/simulation.rs
@@ -258,8 +258,8 @@
 /// the share of the first zone, if it differs.
 fn zone_of(n: u32, count: u32, zones: u32, first: Option<f64>) -> u32 {
     match first {
-        Some(stream_part) if zones > 1 => {
-            let in_first = (f64::from(count) * stream_part).round() as u32;
+        Some(share) if zones > 1 => {
+            let in_first = (f64::from(count) * share).round() as u32;
             if n < in_first {
                 0
             } else {
@@ -318,7 +318,7 @@
     let name = |n: usize| world.tenants.get(n).map_or_else(|| format!("tenant-{n}"), |t| t.name.clone());
     let tenants = quotas.iter().enumerate().map(|(n, q)| Tenant { name: name(n), quota_per_s: *q });
     let idle = world.kinds.iter().map(|k| k.connections.idle_ms).fold(f64::INFINITY, f64::min);
-    let falls =
+    let overload_multiples =
         world.kinds.iter().map(|k| k.cold.fall_multiple).filter(|message_number| *message_number > 0.0);
     Settings {
         classes: world.classes.iter().map(class).collect(),
@@ -343,7 +343,7 @@
         max_discovery_age_ms: world.gateway.ask_within_ms,
         slow_start_min_ratio: world.kinds.iter().map(|k| k.cold.share.bounds().0).fold(1.0, f64::min),
         slow_start_ms: world.kinds.iter().map(|k| k.cold.warm_ms.bounds().1).fold(0.0, f64::max),
-        slow_start_overload_multiple: falls.fold(f64::INFINITY, f64::min).min(1000.0),
+        slow_start_overload_multiple: overload_multiples.fold(f64::INFINITY, f64::min).min(1000.0),
         removal_is_advisory: false,
         availability_weight: 0.0,
         availability_target_nines: None,
@@ -533,8 +533,8 @@
     fn begin_try(&mut self, key: MessageKey) {
         let Some(state) = self.messages.get_mut(key) else { return };
         let class = &self.world.classes[state.message.class];
-        let wait = try_timeout(&self.clients, class, &state.message, self.now, state.tries);
-        let deadline = self.now + wait;
+        let timeout = try_timeout(&self.clients, class, &state.message, self.now, state.tries);
+        let deadline = self.now + timeout;
         let gives_up_at = deadline.min(state.message.disconnects_at.max(self.now));
         state.tries += 1;
         state.open_tries += 1;
@@ -561,7 +561,7 @@
         let latency = self.network.to_client();
         if alive {
             self.trace_if(TraceTarget::Message(number), || {
-                format!("try {tries} to gateway {gateway}, client timeout {:.0} ms", ms(wait))
+                format!("try {tries} to gateway {gateway}, client timeout {:.0} ms", ms(timeout))
             });
             self.schedule(self.now + latency, Event::TryAtGateway(try_key));
         } else {
@@ -757,13 +757,13 @@
             return;
         }
         t.reached_gateway = true;
-        let (gateway, try_timeout) = (t.gateway, t.deadline.saturating_sub(self.now));
+        let (gateway, client_timeout) = (t.gateway, t.deadline.saturating_sub(self.now));
         let Some(state) = self.messages.get(t.message) else { return };
         let arrival = Arrival {
             request: Self::request_id(key),
             class: state.message.class,
             tenant: Some(state.message.tenant),
-            client_timeout_ms: ms(try_timeout),
+            client_timeout_ms: ms(client_timeout),
         };
         self.deliver_event(gateway, PolicyEvent::Request(arrival));
     }
