--- a/control-plane/tests/snapshot_file.rs
+++ b/control-plane/tests/snapshot_file.rs
@@ -26,7 +26,7 @@
     let path = folder.path().join("gateway.snapshot");
     std::env::set_var("TERNSTACK_FAULTS_FOLDER", folder.path());
     let control: &Control = Box::leak(Box::default());
-    shim::follow(control);
+    shim::set_control(control);
     write(&path, &snapshot(1)).expect("nothing fails yet");
     for (kind, words) in [
         (Kind::FileOpen, "Too many open files"),
--- a/fault-tests/shim/faults.rs
+++ b/fault-tests/shim/faults.rs
@@ -159,7 +159,7 @@
 }
 
 /// Has this process follow a control, in place of the file that the environment names.
-pub fn follow(control: &'static Control) {
+pub fn set_control(control: &'static Control) {
     CONTROL.store(std::ptr::from_ref(control).cast_mut(), Relaxed);
     LOOKED.store(2, Relaxed);
 }
--- a/fault-tests/src/demo.rs
+++ b/fault-tests/src/demo.rs
@@ -138,7 +138,7 @@
     match scene {
         Scene::BurstBegins => burst.store(true, Ordering::Relaxed),
         Scene::BurstEnds => burst.store(false, Ordering::Relaxed),
-        Scene::HostsLost => set_lost_hosts(site, LinkFaults::cut()),
+        Scene::HostsLost => set_lost_hosts(site, LinkFaults::partition()),
         Scene::HostsBack => set_lost_hosts(site, LinkFaults::default()),
         Scene::GatewayKilled => {
             site.record_fault(1, scene.description());
@@ -146,7 +146,7 @@
         }
         Scene::GatewayRestarted => site.restart(1).await?,
         Scene::GatewayPartitioned => {
-            site.to_hosts[2].iter().for_each(|link| link.set(LinkFaults::cut()));
+            site.to_hosts[2].iter().for_each(|link| link.set(LinkFaults::partition()));
         }
         Scene::PartitionEnds => site.clear_link_faults(),
     }
--- a/fault-tests/src/invariants/configuration.rs
+++ b/fault-tests/src/invariants/configuration.rs
@@ -45,7 +45,7 @@
             continue;
         }
         let added = unavailable.insert(member);
-        if added && unavailable.len() > guarantees.max_unavailable_count {
+        if added && unavailable.len() > guarantees.max_unavailable {
             let description = format!("{} are out at once: {unavailable:?}", unavailable.len());
             found.push(Violation::new(Invariant::MaxUnavailable, event.at_us, description));
         }
--- a/fault-tests/src/invariants/mod.rs
+++ b/fault-tests/src/invariants/mod.rs
@@ -67,7 +67,7 @@
     /// How long gateways may apply contradictory rules, in ms.
     pub contradiction_ms: u64,
     /// The most members that may be unavailable at once.
-    pub max_unavailable_count: usize,
+    pub max_unavailable: usize,
     /// The rate limits.
     pub rate_limits: Vec<TenantLimit>,
 }
--- a/fault-tests/src/links/mod.rs
+++ b/fault-tests/src/links/mod.rs
@@ -89,8 +89,8 @@
 }
 
 impl LinkFaults {
-    /// A network partition: both directions are stalled, and open connections stay open.
-    pub fn cut() -> Self {
+    /// Returns the faults of a network partition: both directions are stalled, and open connections stay open.
+    pub fn partition() -> Self {
         let stalled = DirectionFaults { stalled: true, ..DirectionFaults::default() };
         LinkFaults { forward: stalled, reverse: stalled, ..LinkFaults::default() }
     }
--- a/fault-tests/src/matrix/cases.rs
+++ b/fault-tests/src/matrix/cases.rs
@@ -65,7 +65,7 @@
         cases.push(request_case(path, name.into(), faults));
         cases.push(response_case(path, name.into(), faults));
     }
-    cases.push(link_case(path, "both", "held".into(), LinkFaults::cut()));
+    cases.push(link_case(path, "both", "held".into(), LinkFaults::partition()));
 }
 
 fn add_cuts(cases: &mut Vec<Case>, path: Path, long: bool) {
--- a/fault-tests/src/site.rs
+++ b/fault-tests/src/site.rs
@@ -257,7 +257,7 @@
             deadline_slack_ms: None,
             slow_start: None,
             contradiction_ms: 2000,
-            max_unavailable_count: self.config.gateways,
+            max_unavailable: self.config.gateways,
             rate_limits: Vec::new(),
         }
     }
--- a/fault-tests/tests/invariants.rs
+++ b/fault-tests/tests/invariants.rs
@@ -18,7 +18,7 @@
         deadline_slack_ms: Some(150),
         slow_start: Some(WindowLimit { window_ms: 2000, max_request_count: 4 }),
         contradiction_ms: 2000,
-        max_unavailable_count: 2,
+        max_unavailable: 2,
         rate_limits: vec![TenantLimit {
             tenant: "acme".into(),
             limit: WindowLimit { window_ms: 1000, max_request_count: 5 },
--- a/fault-tests/tests/links.rs
+++ b/fault-tests/tests/links.rs
@@ -97,7 +97,7 @@
 async fn what_was_held_goes_on_once_a_cut_heals_and_a_reset_ends_what_is_open() {
     let link = Link::to(echo().await).await.expect("a link");
     let mut stream = TcpStream::connect(link.address).await.expect("it is up");
-    link.set(LinkFaults::cut());
+    link.set(LinkFaults::partition());
     stream.write_all(b"held").await.expect("written");
     let mut got = [0; 4];
     assert!(timeout(SHORT, stream.read_exact(&mut got)).await.is_err(), "it crossed a cut");
--- a/fault-tests/tests/soak.rs
+++ b/fault-tests/tests/soak.rs
@@ -30,7 +30,7 @@
         deadline_slack_ms: Some(200),
         slow_start: None,
         contradiction_ms: 2000,
-        max_unavailable_count: 3,
+        max_unavailable: 3,
         rate_limits: vec![],
     }
 }
--- a/gateway/tests/faults.rs
+++ b/gateway/tests/faults.rs
@@ -21,7 +21,7 @@
     CONTROL.get_or_init(|| {
         let control: &Control = Box::leak(Box::default());
         control.thread.store(-1, Relaxed);
-        shim::follow(control);
+        shim::set_control(control);
         control
     })
 }
--- a/replication/tests/common/checker.rs
+++ b/replication/tests/common/checker.rs
@@ -126,7 +126,7 @@
             deadline_slack_ms: None,
             slow_start: None,
             contradiction_ms: self.setup.config.max_conflict_ms().ceil() as u64,
-            max_unavailable_count: self.setup.members,
+            max_unavailable: self.setup.members,
             rate_limits: vec![],
         };
         let broken = check(&self.history, &guarantees);
--- a/scale-tests/src/run.rs
+++ b/scale-tests/src/run.rs
@@ -313,7 +313,7 @@
             Fault::DistributorCutBack => self.fleet.set_to_origin(|n| n == last, back),
             Fault::Region => {
                 let world = self.world;
-                self.fleet.set_to_origin(|n| world.region_of(world.zone_of(n)) == 0, LinkFaults::cut());
+                self.fleet.set_to_origin(|n| world.region_of(world.zone_of(n)) == 0, LinkFaults::partition());
             }
             Fault::ZoneLost => self.zone(false).await?,
             Fault::RestartTenth => self.restart(10, false).await?,
