--- a/fault-tests/src/client.rs
+++ b/fault-tests/src/client.rs
@@ -7,14 +7,15 @@
 use tokio::net::TcpStream;
 use tokio::time::timeout;
 
-/// The reason of [`EventKind::ResponseMissing`] if the client could not connect.
+/// Reason in [`EventKind::ResponseMissing`] if the client could not connect.
 pub const NO_CONNECTION: &str = "no connection";
 
-/// A client waits this much longer than its timeout, so that a late response is recorded.
-const LATE_RESPONSE_TIME: Duration = Duration::from_secs(1);
+/// Time that a client waits beyond its timeout, so that a late response is recorded.
+const LATE_RESPONSE_WAIT: Duration = Duration::from_secs(1);
 
-/// Reads the next complete message of a connection; the message and when its first byte was read, in µs. `None` if the
-/// connection ends first.
+/// Reads the next complete message of a connection. Returns the message and the time at which its first byte was
+/// read, in µs since the start of the run, or `None` if the connection ends or fails before the message is
+/// complete.
 pub(crate) async fn read_message<S: StartLine>(
     stream: &mut TcpStream, reader: &mut Reader<S>, recorder: &HistoryRecorder,
 ) -> Option<(CompleteMessage<S>, u64)> {
@@ -34,19 +35,19 @@
     }
 }
 
-/// A request.
+/// A request of a client, with the values that its HTTP fields are made of.
 #[derive(Clone, Debug)]
 pub struct Request {
-    /// Its id: 16 hexadecimal digits.
+    /// Id of the request: 16 hexadecimal digits.
     pub id: String,
-    /// Its service class: `look`, `book` or `sign`.
+    /// Service class of the request: `look`, `book` or `sign`.
     pub class: &'static str,
-    /// How long its client waits.
+    /// Time that the client waits for the response.
     pub client_timeout: Duration,
 }
 
 impl Request {
-    /// The request in HTTP.
+    /// Returns the request as HTTP/1.1 text.
     pub(crate) fn to_http(&self) -> String {
         let (id, class, timeout_ms) = (&self.id, self.class, self.client_timeout.as_millis());
         let head = format!(
@@ -62,7 +63,7 @@
         }
     }
 
-    /// The event that it was sent to a gateway.
+    /// Returns the event that records the sending of the request to a gateway.
     pub(crate) fn sent_to(&self, gateway: usize) -> EventKind {
         EventKind::RequestSent {
             id: self.id.clone(),
@@ -72,7 +73,7 @@
         }
     }
 
-    /// The event that its response was received.
+    /// Returns the event that records the response to the request.
     pub(crate) fn answered_by(&self, response: &CompleteMessage<StatusLine>) -> EventKind {
         EventKind::ResponseReceived {
             id: self.id.clone(),
@@ -83,7 +84,7 @@
     }
 }
 
-/// A client of one gateway. It sends one request at a time and keeps its connection open.
+/// A client of one gateway that sends one request at a time and keeps its connection open between requests.
 #[derive(Debug)]
 pub struct Client {
     gateway: usize,
@@ -93,12 +94,14 @@
 }
 
 impl Client {
-    /// A client that reaches gateway number `gateway` at `address`.
+    /// Returns a client of the gateway with index `gateway`, which is reached at `address`. The client connects
+    /// with its first request.
     pub fn new(gateway: usize, address: SocketAddr, recorder: &HistoryRecorder) -> Self {
         Client { gateway, address, recorder: recorder.clone(), stream: None }
     }
 
-    /// Sends a request and waits until it has ended; the status, if there was a complete response.
+    /// Sends a request and waits for the response. Returns the status, or `None` if there was no complete
+    /// response.
     pub async fn send(&mut self, request: &Request) -> Option<u16> {
         let mut reused = self.stream.is_some();
         let mut recorded = false;
@@ -113,13 +116,14 @@
             }
             let mut reader = Reader::<StatusLine>::new(MAX_BODY_BYTES);
             let response = timeout(
-                request.client_timeout + LATE_RESPONSE_TIME,
+                request.client_timeout + LATE_RESPONSE_WAIT,
                 read_message(&mut stream, &mut reader, &self.recorder),
             );
             match response.await {
                 Ok(Some((response, _))) => return Some(self.receive(request, &response, &reader, stream)),
-                Err(_) => return self.record_missing(request, "nothing came in time"),
-                // The gateway closed the idle connection while the request was under way: it is sent again, once.
+                Err(_) => return self.record_missing(request, "no response in time"),
+                // The gateway closed the idle connection while the request was on the way, so that the request is
+                // resent once over a new connection.
                 Ok(None) if reused && !reader.has_begun() => {
                     reused = false;
                     self.recorder
@@ -130,7 +134,8 @@
         }
     }
 
-    /// The open connection, or a new one; `None` if there is none within the client's timeout.
+    /// Returns the open connection or a new one, or `None` if no connection is established within the client's
+    /// timeout.
     async fn connection(&mut self, request: &Request) -> Option<TcpStream> {
         if let Some(stream) = self.stream.take() {
             return Some(stream);
@@ -146,7 +151,7 @@
         stream: TcpStream,
     ) -> u16 {
         let event = request.answered_by(response);
-        // Data after the response counts as a second one.
+        // Data after the response counts as a second response, so that the history shows the violation.
         if !reader.is_idle() {
             self.recorder.record(event.clone());
         }
--- a/fault-tests/src/demo.rs
+++ b/fault-tests/src/demo.rs
@@ -1,5 +1,5 @@
-//! A short demonstration: five gateways under load, a burst, half of the hosts lost, a gateway killed and another one
-//! partitioned from all hosts.
+//! A short demonstration of five gateways under load: a burst of requests, the loss of half of the hosts, a
+//! killed gateway and a gateway that is partitioned from all hosts.
 use crate::client::Client;
 use crate::error::Error;
 use crate::history::{Counts, Event};
@@ -13,14 +13,14 @@
 use tokio::task::JoinHandle;
 use tokio::time::{sleep, sleep_until, Instant};
 
-/// How many clients each gateway has; as many again send during the burst.
+/// Number of clients per gateway outside the burst; the burst doubles it.
 const CLIENTS_PER_GATEWAY: usize = 4;
-/// The hosts from this number on are lost together.
+/// Index of the first host that [`Scene::HostsLost`] makes unreachable; all later hosts are lost with it.
 const FIRST_LOST_HOST: usize = 3;
-/// The pause of a client between two requests.
+/// Pause of a client between two requests.
 const REQUEST_PAUSE: Duration = Duration::from_millis(30);
 
-/// A moment of the demonstration.
+/// A scripted change of the site or its load.
 #[derive(Clone, Copy)]
 enum Scene {
     BurstBegins,
@@ -37,18 +37,18 @@
     fn description(self) -> &'static str {
         match self {
             Scene::BurstBegins => "a burst begins",
-            Scene::BurstEnds => "the burst is over",
-            Scene::HostsLost => "half of the hosts fall silent",
-            Scene::HostsBack => "they are back",
+            Scene::BurstEnds => "the burst ends",
+            Scene::HostsLost => "half of the hosts become unreachable",
+            Scene::HostsBack => "the lost hosts are reachable again",
             Scene::GatewayKilled => "gateway 1 is killed",
-            Scene::GatewayRestarted => "gateway 1 starts anew",
-            Scene::GatewayPartitioned => "gateway 2 is cut off from all hosts",
-            Scene::PartitionEnds => "gateway 2 reaches them again",
+            Scene::GatewayRestarted => "gateway 1 is restarted",
+            Scene::GatewayPartitioned => "gateway 2 is partitioned from all hosts",
+            Scene::PartitionEnds => "the partition of gateway 2 ends",
         }
     }
 }
 
-/// The scenes, and at which fraction of the time each begins.
+/// The scenes in order, each with its begin as a fraction of the demonstration's length.
 const SCRIPT: [(f64, Scene); 8] = [
     (0.15, Scene::BurstBegins),
     (0.30, Scene::BurstEnds),
@@ -60,10 +60,11 @@
     (0.90, Scene::PartitionEnds),
 ];
 
-/// Plays the demonstration and prints a line a second; whether no invariant was violated.
+/// Plays the demonstration for `length`, prints one line of counts per second, and returns whether no
+/// invariant was violated.
 ///
 /// # Errors
-/// If the site cannot be started, or a gateway cannot be killed or restarted.
+/// Returns an error if the site cannot be started, or a gateway cannot be killed or restarted.
 pub async fn play(launch: &Launch, length: Duration) -> Result<bool, Error> {
     let config = SiteConfig { gateways: 5, hosts: 6, ..SiteConfig::default() };
     let mut site = Site::start(launch, config).await?;
@@ -97,7 +98,7 @@
     for violation in &violations {
         println!("{} ms: {:?}: {}", violation.at_us / 1000, violation.invariant, violation.description);
     }
-    println!("{} messages, {} promises broken", Counts::of(&history).sent, violations.len());
+    println!("{} requests, {} violations", Counts::of(&history).sent, violations.len());
     Ok(violations.is_empty())
 }
 
@@ -105,14 +106,14 @@
     site: &Site, start: Instant, length: Duration, burst: &Arc<AtomicBool>,
 ) -> Vec<JoinHandle<()>> {
     let gateways = site.config.gateways;
-    let request_count = (length.as_millis() / REQUEST_PAUSE.as_millis()) as usize;
+    let requests_per_client = (length.as_millis() / REQUEST_PAUSE.as_millis()) as usize;
     let mut clients = Vec::new();
     for number in 0..gateways * CLIENTS_PER_GATEWAY * 2 {
         let gateway = number % gateways;
         let only_in_burst = number >= gateways * CLIENTS_PER_GATEWAY;
         let mut client = Client::new(gateway, site.from_clients[gateway].address, &site.recorder);
         let requests: Vec<_> =
-            (0..request_count).map(|n| site.request(CLASSES[(n + number) % CLASSES.len()])).collect();
+            (0..requests_per_client).map(|n| site.request(CLASSES[(n + number) % CLASSES.len()])).collect();
         let burst = burst.clone();
         clients.push(tokio::spawn(async move {
             for request in &requests {
--- a/fault-tests/src/error.rs
+++ b/fault-tests/src/error.rs
@@ -1,188 +1,190 @@
-//! The errors of a test run that cannot go on; violated invariants are results and not errors.
+//! Errors that stop a test run. A violated invariant is a result of a run and not an error.
 use std::io;
 use std::path::{Path, PathBuf};
 use std::time::Duration;
 
-/// Why a run could not be set up or continued.
+/// An error that prevents a run from being set up or continued.
 #[derive(Debug, thiserror::Error)]
 pub enum Error {
-    /// Binding, reading or writing failed.
+    /// A socket, a directory or a resource limit of the test program could not be used.
     #[error(transparent)]
     Io(#[from] io::Error),
-    /// A file could not be read or written.
+    /// A file could not be read.
     #[error("{}: {source}", path.display())]
     File {
-        /// The file.
+        /// Path of the file.
         path: PathBuf,
-        /// The cause.
+        /// Cause of the failure.
         source: io::Error,
     },
-    /// A schedule in a file is not valid.
+    /// A file does not contain a valid fault schedule.
     #[error("{}: {source}", path.display())]
     ScheduleFile {
-        /// The file.
+        /// Path of the file.
         path: PathBuf,
-        /// The cause.
+        /// Cause of the failure.
         source: ScheduleError,
     },
-    /// A schedule could not be printed.
+    /// A fault schedule could not be written as TOML.
     #[error(transparent)]
     Schedule(#[from] ScheduleError),
-    /// The control file of a process's fault injection could not be written.
-    #[error("control: {0}")]
+    /// The control file that selects the faults of a process could not be written.
+    #[error("cannot write the fault control file: {0}")]
     FaultControl(io::Error),
-    /// A process of the gateway failed.
+    /// A gateway process could not be started or controlled.
     #[error(transparent)]
     Process(#[from] ProcessError),
-    /// The size of a site is out of range.
-    #[error("a rig has 1 to 40 gateways and a host, not {gateways} and {hosts}")]
+    /// The number of gateways or hosts of a site is out of range.
+    #[error("a site needs 1 to 40 gateways and at least 1 host, got {gateways} gateways and {hosts} hosts")]
     SiteSize {
-        /// The gateways that were asked for.
+        /// Number of gateways in the site's configuration.
         gateways: usize,
-        /// The hosts that were asked for.
+        /// Number of hosts in the site's configuration.
         hosts: usize,
     },
     /// The site needs more file descriptors than this process may open.
-    #[error("needs about {needed} descriptors, and may hold {limit}: raise the limit of open files")]
+    #[error(
+        "the site needs about {needed} file descriptors, and at most {limit} may be open: raise the limit"
+    )]
     DescriptorLimit {
-        /// How many it needs.
+        /// Estimate of the file descriptors that the site needs.
         needed: usize,
-        /// How many it may open.
+        /// Soft limit of open files of this process.
         limit: u64,
     },
-    /// A gateway did not serve through every host, so that a fault on a link might affect nothing.
-    #[error("gateway {gateway} does not use every host:\n{logs}")]
+    /// A gateway did not forward requests to every host, so that a fault on a link might affect no request.
+    #[error("gateway {gateway} did not forward requests to every host; logs of all gateways:\n{logs}")]
     HostUnused {
-        /// The gateway.
+        /// Index of the gateway.
         gateway: usize,
         /// The last log lines of all gateways.
         logs: String,
     },
-    /// A gateway exited unexpectedly.
-    #[error("gateway {gateway} ended by itself:\n{logs}")]
+    /// A gateway process exited although no fault had stopped it.
+    #[error("gateway {gateway} exited unexpectedly; logs of all gateways:\n{logs}")]
     GatewayExited {
-        /// The gateway.
+        /// Index of the gateway.
         gateway: usize,
         /// The last log lines of all gateways.
         logs: String,
     },
-    /// A gateway exited when this fault was injected, and should not have.
-    #[error("the gateway ended at {fault}")]
+    /// A gateway was not running after a fault that it should have survived or after its restart.
+    #[error("gateway 0 exited at fault {fault}, expected it to keep running")]
     ExitedAtFault {
-        /// The fault.
+        /// Name of the fault.
         fault: String,
     },
-    /// A gateway was asked to stop and exited with an error.
-    #[error("told to stop, gateway {gateway} ended with {code:?}")]
+    /// A gateway exited with an error after SIGTERM.
+    #[error("gateway {gateway} exited with code {code:?} after SIGTERM, expected 0")]
     ExitCode {
-        /// The gateway.
+        /// Index of the gateway.
         gateway: usize,
-        /// Its exit code; `None` if it was killed.
+        /// Exit code of the process; `None` if a signal killed it.
         code: Option<i32>,
     },
-    /// A soak run failed.
-    #[error("seed {seed}: {source}")]
+    /// A soak run could not be continued.
+    #[error("soak run with seed {seed}: {source}")]
     SoakRun {
-        /// The run's seed.
+        /// Seed of the run.
         seed: u64,
-        /// The cause.
+        /// Cause of the failure.
         source: Box<Error>,
     },
-    /// A task panicked.
+    /// A task of the test program panicked or was cancelled.
     #[error(transparent)]
     Task(#[from] tokio::task::JoinError),
-    /// A report could not be written as JSON.
+    /// A soak report could not be written as JSON.
     #[error(transparent)]
     Json(#[from] serde_json::Error),
 }
 
 impl Error {
-    /// An error of a file.
+    /// Returns the error for a file at `path` that could not be read.
     pub fn file(path: &Path, source: io::Error) -> Self {
         Error::File { path: path.into(), source }
     }
 }
 
-/// Why a process of the gateway could not be started or controlled.
+/// An error of a gateway process that could not be started or controlled.
 #[derive(Debug, thiserror::Error)]
 pub enum ProcessError {
-    /// Its configuration could not be written, or its program could not be started.
+    /// The configuration file could not be written, or the program could not be started.
     #[error("{}: {source}", path.display())]
     File {
-        /// The configuration or the program.
+        /// Path of the configuration file or of the program.
         path: PathBuf,
-        /// The cause.
+        /// Cause of the failure.
         source: io::Error,
     },
-    /// It has no log.
-    #[error("{name}: no log")]
+    /// The process has no stderr pipe, so that its log cannot be read.
+    #[error("{name}: the process has no stderr pipe for its log")]
     NoLog {
-        /// Its name.
+        /// Name of the gateway.
         name: String,
     },
-    /// It did not serve in time.
-    #[error("{name}: is not ready within {timeout:?}")]
+    /// The process did not log its listen address in time.
+    #[error("{name}: the process did not log its listen address within {timeout:?}")]
     NotReady {
-        /// Its name.
+        /// Name of the gateway.
         name: String,
-        /// How long it had.
+        /// Time that the process had to start.
         timeout: Duration,
     },
-    /// It has exited already.
-    #[error("{name}: has ended")]
+    /// The process has already exited and cannot be signalled.
+    #[error("{name}: the process has already exited")]
     Exited {
-        /// Its name.
+        /// Name of the gateway.
         name: String,
     },
-    /// It did not exit in time.
-    #[error("{name}: does not stop")]
+    /// The process did not exit in time.
+    #[error("{name}: the process did not exit in time")]
     DoesNotExit {
-        /// Its name.
+        /// Name of the gateway.
         name: String,
     },
-    /// It could not be signalled or awaited.
-    #[error("{name}: {source}")]
+    /// The operating system rejected a signal to the process or the wait for its exit.
+    #[error("{name}: cannot signal or await the process: {source}")]
     Control {
-        /// Its name.
+        /// Name of the gateway.
         name: String,
-        /// The cause.
+        /// Cause of the failure.
         source: io::Error,
     },
 }
 
-/// Why a fault schedule is not valid.
+/// An error of a fault schedule that is not valid or cannot be printed.
 #[derive(Debug, thiserror::Error)]
 pub enum ScheduleError {
-    /// It is not TOML of the expected form; the text names line and key.
+    /// The text is not a schedule in TOML; the parser's message names the line and the key.
     #[error(transparent)]
     Read(#[from] toml::de::Error),
-    /// It cannot be written as TOML.
+    /// The schedule cannot be written as TOML, because a number is out of TOML's range.
     #[error(transparent)]
     Print(#[from] toml::ser::Error),
-    /// A step names a gateway that does not exist.
-    #[error("steps[{step}].deed: there are {gateways} gateways, numbered from 0")]
+    /// A step names a gateway that the site does not have.
+    #[error("steps[{step}].deed: unknown gateway: the site has {gateways} gateways, numbered from 0")]
     UnknownGateway {
-        /// The step's index.
+        /// Index of the step, from 0.
         step: usize,
-        /// How many gateways there are.
+        /// Number of gateways of the site.
         gateways: usize,
     },
-    /// A step names a host that does not exist.
-    #[error("steps[{step}].deed: there are {hosts} hosts, numbered from 0")]
+    /// A step names a host that the site does not have.
+    #[error("steps[{step}].deed: unknown host: the site has {hosts} hosts, numbered from 0")]
     UnknownHost {
-        /// The step's index.
+        /// Index of the step, from 0.
         step: usize,
-        /// How many hosts there are.
+        /// Number of hosts of the site.
         hosts: usize,
     },
-    /// A step begins before the one before it.
-    #[error("steps[{step}].at_ms: {at_ms} comes after {previous_ms}: expected the order of time")]
+    /// A step begins before the previous step.
+    #[error("steps[{step}].at_ms: {at_ms} ms is before the previous step ({previous_ms} ms), expected ascending times")]
     OutOfOrder {
-        /// The step's index.
+        /// Index of the step, from 0.
         step: usize,
-        /// When it begins, in ms.
+        /// Begin of the step, in ms since the start of the schedule.
         at_ms: u64,
-        /// When the step before it begins, in ms.
+        /// Begin of the previous step, in ms since the start of the schedule.
         previous_ms: u64,
     },
 }
--- a/fault-tests/src/fault_schedule/draw.rs
+++ b/fault-tests/src/fault_schedule/draw.rs
@@ -1,15 +1,17 @@
-//! Draws schedules: faults of random kinds at random times, bounded in how many overlap.
+//! Draws schedules of random faults at random times, with a limit on how many faults overlap.
 use super::{FaultAction, Schedule, Step};
 use crate::links::{ConnectionHandling, CutAction, DirectionFaults, LinkFaults};
 use crate::site::LinkTarget;
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
-/// Steps closer than this count as overlapping, as a part needs time to recover.
+/// Minimum time between two steps that do not count as overlapping, in ms, because a process or link needs
+/// time to recover.
 const RECOVERY_MS: u64 = 1500;
 
 impl Schedule {
-    /// Draws a schedule of at most `count` steps. At most half of the gateways, and one host, are affected at a time.
+    /// Draws a schedule of at most `count` steps from `seed`. At most half of the gateways are affected at
+    /// the same time, and at most one host drains.
     pub fn draw(seed: u64, gateways: usize, hosts: usize, length_ms: u64, count: usize) -> Self {
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
         let mut steps: Vec<Step> = Vec::new();
@@ -22,11 +24,12 @@
             let action = draw_action(&mut rng, gateway, host);
             let step = Step { at_ms, for_ms, action };
             let overlapping: Vec<&Step> = steps.iter().filter(|other| overlap(other, &step)).collect();
-            let same_part = overlapping.iter().any(|other| other.action.gateway() == step.action.gateway());
+            let same_target = overlapping.iter().any(|other| other.action.gateway() == step.action.gateway());
             let affected_gateways =
                 overlapping.iter().filter(|other| other.action.gateway().is_some()).count();
-            let over_budget = step.action.gateway().is_some() && affected_gateways >= max_affected_gateways;
-            if !same_part && !over_budget {
+            let too_many_affected =
+                step.action.gateway().is_some() && affected_gateways >= max_affected_gateways;
+            if !same_target && !too_many_affected {
                 steps.push(step);
             }
         }
@@ -57,21 +60,21 @@
 
 fn draw_link_faults(rng: &mut ChaCha8Rng) -> LinkFaults {
     let cut_action = [CutAction::Reset, CutAction::End, CutAction::Silence][rng.random_range(0..3)];
-    let none = DirectionFaults::default();
+    let no_faults = DirectionFaults::default();
     let direction = match rng.random_range(0..5) {
-        0 => DirectionFaults { stalled: true, ..none },
-        1 => DirectionFaults { delay_ms: rng.random_range(5..200), ..none },
-        2 => DirectionFaults { jitter_ms: rng.random_range(5..200), ..none },
-        3 => DirectionFaults { bytes_per_s: Some(rng.random_range(500..20_000)), ..none },
-        _ => DirectionFaults { cut_after: Some((rng.random_range(1..600), cut_action)), ..none },
+        0 => DirectionFaults { stalled: true, ..no_faults },
+        1 => DirectionFaults { delay_ms: rng.random_range(5..200), ..no_faults },
+        2 => DirectionFaults { jitter_ms: rng.random_range(5..200), ..no_faults },
+        3 => DirectionFaults { bytes_per_s: Some(rng.random_range(500..20_000)), ..no_faults },
+        _ => DirectionFaults { cut_after: Some((rng.random_range(1..600), cut_action)), ..no_faults },
     };
-    let none = LinkFaults::default();
+    let no_faults = LinkFaults::default();
     match rng.random_range(0..6) {
-        0 => LinkFaults { connection_handling: ConnectionHandling::Refused, ..none },
-        1 => LinkFaults { connection_handling: ConnectionHandling::BlackHole, ..none },
-        2 => LinkFaults { connection_handling: ConnectionHandling::Reset, ..none },
-        3 => LinkFaults { forward: direction, ..none },
-        4 => LinkFaults { reverse: direction, ..none },
-        _ => LinkFaults { forward: direction, reverse: direction, ..none },
+        0 => LinkFaults { connection_handling: ConnectionHandling::Refused, ..no_faults },
+        1 => LinkFaults { connection_handling: ConnectionHandling::BlackHole, ..no_faults },
+        2 => LinkFaults { connection_handling: ConnectionHandling::Reset, ..no_faults },
+        3 => LinkFaults { forward: direction, ..no_faults },
+        4 => LinkFaults { reverse: direction, ..no_faults },
+        _ => LinkFaults { forward: direction, reverse: direction, ..no_faults },
     }
 }
--- a/fault-tests/src/fault_schedule/mod.rs
+++ b/fault-tests/src/fault_schedule/mod.rs
@@ -1,7 +1,7 @@
-//! Fault schedules: which faults begin when and last how long, drawn from a seed or read from a TOML file.
+//! Fault schedules: lists of faults with their begin and length, drawn from a seed or read from a TOML file.
 //!
-//! [`Schedule::draw`] draws one, [`play()`] injects it into a site while clients send requests. A schedule is printed as
-//! TOML so that a run can be repeated.
+//! [`Schedule::draw`] draws a schedule, and [`play()`] injects its faults into a site while clients send
+//! requests. A schedule is printed as TOML so that a run can be repeated.
 mod draw;
 mod play;
 
@@ -12,44 +12,44 @@
 use crate::site::LinkTarget;
 use serde::{Deserialize, Serialize};
 
-/// A fault to inject.
+/// A fault that a step of a schedule injects.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum FaultAction {
     /// The link between a gateway and a peer is faulty.
     Link {
-        /// The gateway.
+        /// Index of the gateway.
         gateway: usize,
-        /// The peer.
+        /// Peer at the other end of the link.
         #[serde(rename = "far")]
         target: LinkTarget,
-        /// The faults of the link.
+        /// Faults of the link.
         faults: LinkFaults,
     },
     /// The gateway is killed. At the end of the step it is restarted with the endpoint list of that moment.
     Kill {
-        /// The gateway.
+        /// Index of the gateway.
         gateway: usize,
     },
-    /// The gateway is stopped (SIGSTOP).
+    /// The gateway is stopped (SIGSTOP). At the end of the step its process continues.
     Pause {
-        /// The gateway.
+        /// Index of the gateway.
         gateway: usize,
     },
     /// The gateway is asked to exit (SIGTERM). At the end of the step it is restarted.
     Term {
-        /// The gateway.
+        /// Index of the gateway.
         gateway: usize,
     },
     /// The host drains. At the end of the step it is listed as serving again.
     Drain {
-        /// The host.
+        /// Index of the host.
         host: usize,
     },
 }
 
 impl FaultAction {
-    /// The gateway that is affected, if it is a single one.
+    /// Returns the gateway that is affected, or `None` if the fault affects a host.
     fn gateway(&self) -> Option<usize> {
         match self {
             FaultAction::Link { gateway, .. }
@@ -60,7 +60,7 @@
         }
     }
 
-    /// The host that is named, if any.
+    /// Returns the host that the fault names, if any.
     fn host(&self) -> Option<usize> {
         match self {
             FaultAction::Drain { host } | FaultAction::Link { target: LinkTarget::Host(host), .. } => {
@@ -71,15 +71,15 @@
     }
 }
 
-/// A fault, its begin and its length.
+/// A step of a schedule: a fault with its begin and its length.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Step {
-    /// When it begins, in ms since the start.
+    /// Begin of the fault, in ms since the start of the schedule.
     pub at_ms: u64,
-    /// How long it lasts, in ms.
+    /// Length of the fault, in ms.
     pub for_ms: u64,
-    /// The fault.
+    /// Fault that is injected.
     #[serde(rename = "deed")]
     pub action: FaultAction,
 }
@@ -88,31 +88,31 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Schedule {
-    /// The site's gateways.
+    /// Number of gateways of the site.
     pub gateways: usize,
-    /// The site's hosts.
+    /// Number of hosts of the site.
     pub hosts: usize,
-    /// How long clients send requests, in ms.
+    /// Time during which clients send requests, in ms.
     pub length_ms: u64,
-    /// The faults, ordered by their begin.
+    /// Steps, ordered by their begin.
     pub steps: Vec<Step>,
 }
 
 impl Schedule {
-    /// Reads a schedule from TOML.
+    /// Parses a schedule from TOML and checks it.
     ///
     /// # Errors
-    /// If it is not valid; the error names line and key.
+    /// Returns an error if the text is not a valid schedule. The error names the line, or the step and its key.
     pub fn read(text: &str) -> Result<Self, ScheduleError> {
         let schedule: Schedule = toml::from_str(text)?;
         schedule.check()?;
         Ok(schedule)
     }
 
-    /// Checks that all gateways and hosts exist and that the steps are in order.
+    /// Checks that all gateways and hosts that steps name exist and that the steps are ordered by their begin.
     ///
     /// # Errors
-    /// For the first step that is not valid.
+    /// Returns an error for the first step that is not valid.
     pub fn check(&self) -> Result<(), ScheduleError> {
         let mut previous_ms = 0;
         for (step, Step { at_ms, action, .. }) in self.steps.iter().enumerate() {
@@ -130,10 +130,10 @@
         Ok(())
     }
 
-    /// The schedule as TOML.
+    /// Returns the schedule as TOML.
     ///
     /// # Errors
-    /// If a number does not fit into TOML.
+    /// Returns an error if a number is out of TOML's range.
     pub fn print(&self) -> Result<String, ScheduleError> {
         Ok(toml::to_string(self)?)
     }
--- a/fault-tests/src/fault_schedule/play.rs
+++ b/fault-tests/src/fault_schedule/play.rs
@@ -10,38 +10,38 @@
 use tokio::task::JoinHandle;
 use tokio::time::{sleep, sleep_until, Instant};
 
-/// Connections of a link that are reset have ended after this.
+/// Time in which the connections of a link that was reset end on the clients' side.
 const LINK_RECOVERY: Duration = Duration::from_millis(50);
-/// How many clients each gateway has.
+/// Number of clients per gateway.
 const CLIENTS_PER_GATEWAY: usize = 3;
-/// The pause of a client between two requests.
+/// Pause of a client between two requests.
 const REQUEST_PAUSE: Duration = Duration::from_millis(25);
-/// A client prepares one request for each of these periods.
+/// Period for which a client prepares one request, in ms.
 const REQUEST_PERIOD_MS: u64 = 40;
-/// How often a gateway is tried at the end until it serves.
-const RECOVERY_TRIAL_COUNT: usize = 50;
-/// The pause between two of these trials.
+/// Maximum number of requests that are sent to a gateway after the last fault until one is served.
+const MAX_RECOVERY_TRIALS: usize = 50;
+/// Pause between two requests that check whether a gateway has recovered.
 const RECOVERY_TRIAL_PAUSE: Duration = Duration::from_millis(200);
 
-/// The result of a schedule.
+/// The result of a schedule that was played.
 #[derive(Clone, Debug)]
 pub struct ScheduleOutcome {
-    /// How many requests were sent.
+    /// Number of requests that were sent.
     pub requests: usize,
-    /// How many complete responses were received.
+    /// Number of complete responses that clients received.
     pub responses: usize,
-    /// How many of them had status 200.
+    /// Number of responses with status 200.
     pub served: usize,
-    /// How many gateways served a request after the last fault.
+    /// Number of gateways that served a request after the last fault.
     pub recovered: usize,
-    /// The violated invariants.
+    /// Violations of invariants, ordered by time.
     pub violations: Vec<Violation>,
 }
 
-/// Plays a schedule on a site of its size.
+/// Plays a schedule on a site with the schedule's numbers of gateways and hosts.
 ///
 /// # Errors
-/// If a gateway exits unexpectedly, cannot be restarted or cannot be signalled.
+/// Returns an error if a gateway exits unexpectedly, cannot be restarted or cannot be signalled.
 pub async fn play(site: &mut Site, schedule: &Schedule) -> Result<ScheduleOutcome, Error> {
     site.take_history();
     let start = Instant::now();
@@ -94,14 +94,14 @@
     clients
 }
 
-/// How many gateways serve again, each within some trials.
+/// Returns the number of gateways that serve a request again, each within [`MAX_RECOVERY_TRIALS`].
 async fn count_recovered(site: &mut Site, gateways: usize) -> Result<usize, Error> {
     let mut recovered = 0;
     for gateway in 0..gateways {
         if site.gateways[gateway].has_exited() {
             return Err(Error::GatewayExited { gateway, logs: site.logs() });
         }
-        for _ in 0..RECOVERY_TRIAL_COUNT {
+        for _ in 0..MAX_RECOVERY_TRIALS {
             if site.send_requests(&[gateway], 1, 1).await == [Some(200)] {
                 recovered += 1;
                 break;
@@ -125,7 +125,7 @@
             site.gateways[*gateway].kill().await?;
         }
         FaultAction::Term { gateway } if begins => {
-            site.record_fault(*gateway, "told to stop");
+            site.record_fault(*gateway, "asked to exit (SIGTERM)");
             site.terminate(*gateway).await?;
         }
         FaultAction::Kill { gateway } | FaultAction::Term { gateway } => site.restart(*gateway).await?,
@@ -141,11 +141,11 @@
 
 async fn apply_to_link(site: &Site, gateway: usize, target: LinkTarget, faults: LinkFaults, begins: bool) {
     if target == LinkTarget::Clients && begins {
-        site.record_fault(gateway, "the way from its clients");
+        site.record_fault(gateway, "faulty link from its clients");
     }
     for link in site.links(gateway, target) {
         link.set(faults);
-        // A connection that was cut stays cut, also after the fault has ended.
+        // Connections are reset at the end of the fault, because a connection that was cut would stay cut.
         if !begins || faults.connection_handling != ConnectionHandling::Open {
             link.reset();
         }
--- a/fault-tests/src/history.rs
+++ b/fault-tests/src/history.rs
@@ -1,171 +1,176 @@
-//! The history of a run: what clients, hosts and discovery observed and which faults were injected, on one clock.
+//! The history of a run: the observations of clients, hosts and discovery and the injected faults, with times
+//! of a single clock.
 use serde::Serialize;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::Instant;
 
-/// Something that happened.
+/// The kind of an event, with the data of its kind.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub enum EventKind {
-    /// A client has written a request completely.
+    /// A client has written a complete request.
     RequestSent {
-        /// The request's id.
+        /// Id of the request.
         id: String,
-        /// Its service class.
+        /// Service class of the request.
         class: String,
-        /// The gateway it was sent to.
+        /// Index of the gateway that the request was sent to.
         gateway: usize,
-        /// How long the client waits, in ms.
+        /// Time that the client waits for the response, in ms.
         client_timeout_ms: u64,
     },
-    /// A client has resent a request because its reused connection ended before any byte of the response.
+    /// A client has resent a request over a new connection, because the reused connection ended before any byte of
+    /// the response.
     RequestResent {
-        /// The request's id.
+        /// Id of the request.
         id: String,
-        /// The gateway it was sent to.
+        /// Index of the gateway that the request was sent to.
         gateway: usize,
     },
     /// A client has read a complete response.
     ResponseReceived {
-        /// The request's id.
+        /// Id of the request.
         id: String,
-        /// The status.
+        /// HTTP status code.
         status: u16,
-        /// The body.
+        /// Body of the response; bytes that are not UTF-8 are replaced.
         body: String,
-        /// Whether it has a `Retry-After`.
+        /// Whether the response has a `Retry-After` field.
         has_retry_after: bool,
     },
     /// A client has closed its connection without waiting for the response.
     ClientDisconnected {
-        /// The request's id.
+        /// Id of the request.
         id: String,
     },
-    /// A client would use another gateway: its connection ended before any byte of a response, and this gateway accepts no new one.
+    /// A client would send its request to another gateway, because its connection ended before any byte of the
+    /// response and the gateway accepts no new connection.
     RequestMoved {
-        /// The request's id.
+        /// Id of the request.
         id: String,
     },
     /// A host has read the deadline that a gateway forwarded.
     DeadlineForwarded {
-        /// The request's id.
+        /// Id of the request.
         id: String,
-        /// When its first byte came, in µs.
+        /// Arrival of the request's first byte, in µs since the start of the run.
         first_byte_at_us: u64,
-        /// The remaining time according to the gateway, in ms.
+        /// Time left for the request according to the gateway, in ms.
         remaining_ms: u64,
     },
     /// A client's connection ended or its timeout expired without a complete response.
     ResponseMissing {
-        /// The request's id.
+        /// Id of the request.
         id: String,
-        /// How the client noticed.
+        /// Text that says how the client noticed.
         reason: String,
     },
     /// A host has read a complete request.
     RequestReceived {
-        /// The request's id.
+        /// Id of the request.
         id: String,
-        /// The host.
+        /// Index of the host.
         host: usize,
-        /// The gateway that it came from.
+        /// Index of the gateway that forwarded the request.
         gateway: usize,
-        /// When its first byte came, in µs.
+        /// Arrival of the request's first byte, in µs since the start of the run.
         first_byte_at_us: u64,
-        /// Whether the host processed it, rather than rejected it.
+        /// Whether the host processed the request rather than rejected it.
         processed: bool,
     },
     /// A host has created a response.
     ResponseCreated {
-        /// The request's id.
+        /// Id of the request.
         id: String,
-        /// The host.
+        /// Index of the host.
         host: usize,
-        /// The response's body.
+        /// Body of the response.
         body: String,
     },
-    /// Discovery has sent a host's state to a gateway.
+    /// Discovery has sent a host's state to a gateway, or a gateway has started with this state in its
+    /// configuration.
     EndpointStateSent {
-        /// The gateway.
+        /// Index of the gateway.
         gateway: usize,
-        /// The host.
+        /// Index of the host.
         host: usize,
         /// Whether the host accepts new requests.
         serving: bool,
     },
     /// A host has started and is in slow start.
     ServerStarted {
-        /// The host.
+        /// Index of the host.
         host: usize,
     },
-    /// A fault of the gateway's process or of the link from its clients has begun: they cannot expect responses.
+    /// A fault of a gateway's process or of the link from its clients has begun; its clients cannot expect
+    /// responses until [`EventKind::GatewayRecovered`].
     GatewayFaulted {
-        /// The gateway.
+        /// Index of the gateway.
         gateway: usize,
-        /// The fault.
+        /// Text that describes the fault.
         description: String,
     },
-    /// That fault has ended.
+    /// The fault of [`EventKind::GatewayFaulted`] has ended.
     GatewayRecovered {
-        /// The gateway.
+        /// Index of the gateway.
         gateway: usize,
     },
-    /// A gateway cannot read from discovery any more: it is stopped, or its link is faulty.
+    /// A gateway can no longer read from discovery, because its process is stopped or its link is faulty.
     DiscoveryCut {
-        /// The gateway.
+        /// Index of the gateway.
         gateway: usize,
     },
-    /// It can read from discovery again.
+    /// The gateway can read from discovery again after [`EventKind::DiscoveryCut`].
     DiscoveryRestored {
-        /// The gateway.
+        /// Index of the gateway.
         gateway: usize,
     },
-    /// Any other fault, for diagnosis.
+    /// A step of a fault schedule begins or ends; recorded for diagnosis, no invariant reads it.
     FaultInjected {
-        /// The fault.
+        /// Text that describes the fault.
         description: String,
     },
-    /// A gateway applies a rule from now on, or none.
+    /// A gateway applies a new rule from this time on, or has dropped its rule.
     RuleApplied {
-        /// The gateway.
+        /// Index of the gateway.
         gateway: usize,
-        /// What the rule governs, for instance a tenant's quota.
+        /// Name of what the rule governs, for instance a tenant's quota.
         subject: String,
-        /// The rule's text.
+        /// Text of the rule; `None` if the gateway applies no rule to the subject.
         rule: Option<String>,
     },
     /// A member has become unavailable or available.
     AvailabilityChanged {
-        /// The member's name.
+        /// Name of the member.
         member: String,
-        /// Whether it is unavailable now.
+        /// Whether the member is unavailable from this time on.
         unavailable: bool,
     },
     /// A gateway has admitted a request of a tenant.
     RequestAdmitted {
-        /// The tenant.
+        /// Name of the tenant.
         tenant: String,
     },
 }
 
-/// An event and its time.
+/// An event of a run and its time.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct Event {
     /// Time since the run's start, in µs.
     pub at_us: u64,
-    /// What happened.
+    /// Kind and data of the event.
     pub kind: EventKind,
 }
 
-/// How many requests of a history ended in which way.
+/// Numbers of requests of a history by the way in which they ended.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Counts {
-    /// Requests sent.
+    /// Requests that were sent.
     pub sent: usize,
-    /// Responses of 200.
+    /// Responses with status 200.
     pub served: usize,
-    /// Rejections: 429 or 503.
+    /// Responses with status 429 or 503.
     pub rejected: usize,
-    /// All other complete responses.
+    /// Complete responses with any other status.
     pub failed: usize,
     /// Requests without a complete response.
     pub unanswered: usize,
@@ -188,13 +193,13 @@
         counts
     }
 
-    /// All complete responses.
+    /// Returns the number of complete responses, whatever their status.
     pub fn answered(&self) -> usize {
         self.served + self.rejected + self.failed
     }
 }
 
-/// Records the events of a run; clones share one history.
+/// A recorder of the events of a run. Clones share one history and one clock.
 #[derive(Clone, Debug)]
 pub struct HistoryRecorder {
     start: Instant,
@@ -212,7 +217,7 @@
         self.events.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Time since the start, in µs.
+    /// Returns the time since the recorder was created, in µs.
     pub fn now_us(&self) -> u64 {
         u64::try_from(self.start.elapsed().as_micros()).unwrap_or(u64::MAX)
     }
@@ -220,7 +225,7 @@
     /// Records an event at the current time.
     pub fn record(&self, kind: EventKind) {
         let mut events = self.lock();
-        // Read under the lock, so that times never decrease.
+        // The clock is read while the history is locked, so that the times of events never decrease.
         let at_us = self.now_us();
         events.push(Event { at_us, kind });
     }
@@ -230,12 +235,13 @@
         std::mem::take(&mut self.lock())
     }
 
-    /// The position after the last event, for [`HistoryRecorder::since`]; `take` resets it to 0.
+    /// Returns the position after the last event, for [`HistoryRecorder::since`]. [`HistoryRecorder::take`] resets
+    /// the position to 0.
     pub fn position(&self) -> usize {
         self.lock().len()
     }
 
-    /// The events from a position on.
+    /// Returns copies of the events from a position on.
     pub fn since(&self, position: usize) -> Vec<Event> {
         self.lock().iter().skip(position).cloned().collect()
     }
--- a/fault-tests/src/invariants/attempts.rs
+++ b/fault-tests/src/invariants/attempts.rs
@@ -1,18 +1,19 @@
-//! Invariants of the attempts of one request: retries, attempts after a disconnect, forwarded deadlines.
+//! Invariants of the attempts of a request: retries, attempts after a disconnect, forwarded deadlines.
 use super::outages::Outages;
 use super::{Guarantees, Idempotency, Invariant, Violation, US_PER_MS};
 use crate::history::{Event, EventKind};
 use std::collections::{HashMap, HashSet};
 
-/// A reset of a link's connections reaches the clients at most this long after the fault has ended.
+/// Time after the end of a fault within which the reset of a link's connections reaches the clients, in µs.
 const LINK_RECOVERY_US: u64 = 200_000;
 
 /// Checks [`Invariant::Idempotency`].
 pub(super) fn check_idempotency(history: &[Event], guarantees: &Guarantees, found: &mut Vec<Violation>) {
     let outages = Outages::of(history);
     let mut classes: HashMap<&str, &str> = HashMap::new();
-    // If a client resends because an injected fault broke its link, the gateway may have accepted the first copy. If the
-    // link worked, it must not have.
+    // If a client resends a request because an injected fault broke its link, the gateway may have forwarded
+    // the first copy, and the request may reach hosts twice. Without a fault of the link, the gateway must
+    // not have forwarded the first copy.
     let mut excused: HashSet<&str> = HashSet::new();
     let mut received_at_us: HashMap<&str, Vec<u64>> = HashMap::new();
     for event in history {
@@ -36,7 +37,7 @@
         if !excused.contains(id) && !may_be_received(class, &times, guarantees) {
             let (first, last) = (times[0], times[times.len() - 1]);
             let description = format!(
-                "{id} of class {class:?} came to hosts {} times, over {} ms",
+                "request {id} of class {class:?} reached hosts {} times within {} ms",
                 times.len(),
                 (last - first) / US_PER_MS
             );
@@ -45,7 +46,8 @@
     }
 }
 
-/// Whether a request of a class may reach hosts at all of these times, which are in µs and not empty.
+/// Returns whether a request of a class may reach hosts at each of the ascending `times` in µs, of which
+/// there is at least one.
 fn may_be_received(class: &str, times: &[u64], guarantees: &Guarantees) -> bool {
     let known = guarantees.classes.iter().find(|(name, _)| name == class);
     let idempotency = known.map_or(Idempotency::NonIdempotent, |(_, idempotency)| *idempotency);
@@ -73,8 +75,9 @@
                 let Some(at_us) = disconnected_at_us.get(id.as_str()) else { continue };
                 let late_ms = first_byte_at_us.saturating_sub(*at_us) / US_PER_MS;
                 if late_ms > slack_ms {
-                    let description =
-                        format!("gateway {gateway} sent {id} {late_ms} ms after its client had left");
+                    let description = format!(
+                        "gateway {gateway} sent request {id} {late_ms} ms after the client disconnected"
+                    );
                     let invariant = Invariant::NoAttemptAfterDisconnect;
                     found.push(Violation::new(invariant, *first_byte_at_us, description));
                 }
@@ -84,7 +87,7 @@
     }
 }
 
-/// When a client began to wait, and for how long.
+/// A client's wait for a response: its begin in µs since the start of the run, and the client's timeout.
 struct Waiting {
     since_us: u64,
     client_timeout_ms: u64,
@@ -100,7 +103,7 @@
                 let since_us = event.at_us;
                 waiting.insert(id, Waiting { since_us, client_timeout_ms: *client_timeout_ms });
             }
-            // The timeout that the client sends along begins anew.
+            // The resent request carries the full client timeout again.
             EventKind::RequestResent { id, .. } => {
                 if let Some(waiting) = waiting.get_mut(id.as_str()) {
                     waiting.since_us = event.at_us;
@@ -112,7 +115,7 @@
                 let left_ms = waiting.client_timeout_ms.saturating_sub(waited_ms);
                 if *remaining_ms > left_ms + slack_ms {
                     let description = format!(
-                        "{id} was told on with {remaining_ms} ms, and its client had {left_ms} ms left"
+                        "request {id} was forwarded with {remaining_ms} ms left, the client had {left_ms} ms left"
                     );
                     found.push(Violation::new(Invariant::ForwardedDeadline, *first_byte_at_us, description));
                 }
--- a/fault-tests/src/invariants/configuration.rs
+++ b/fault-tests/src/invariants/configuration.rs
@@ -1,4 +1,4 @@
-//! Invariants of configuration: gateways agree on rules, and few members are unavailable at once.
+//! Invariants of configuration: gateways agree on rules, and the number of unavailable members is limited.
 use super::{Guarantees, Invariant, Violation, US_PER_MS};
 use crate::history::{Event, EventKind};
 use std::collections::{BTreeMap, BTreeSet, HashMap};
@@ -8,7 +8,7 @@
     let mut rules: HashMap<&str, BTreeMap<usize, &str>> = HashMap::new();
     let mut contradicted_since_us: HashMap<&str, u64> = HashMap::new();
     let end_us = history.last().map_or(0, |event| event.at_us);
-    let mut judge = |subject: &str, since_us: u64, until_us: u64| {
+    let mut check_period = |subject: &str, since_us: u64, until_us: u64| {
         if until_us - since_us > guarantees.contradiction_ms * US_PER_MS {
             let length_ms = (until_us - since_us) / US_PER_MS;
             let description =
@@ -27,10 +27,10 @@
         if distinct.len() > 1 {
             contradicted_since_us.entry(subject).or_insert(event.at_us);
         } else if let Some(since_us) = contradicted_since_us.remove(subject.as_str()) {
-            judge(subject, since_us, event.at_us);
+            check_period(subject, since_us, event.at_us);
         }
     }
-    contradicted_since_us.into_iter().for_each(|(subject, since_us)| judge(subject, since_us, end_us));
+    contradicted_since_us.into_iter().for_each(|(subject, since_us)| check_period(subject, since_us, end_us));
 }
 
 /// Checks [`Invariant::MaxUnavailable`].
@@ -46,7 +46,8 @@
         }
         let added = unavailable.insert(member);
         if added && unavailable.len() > guarantees.max_unavailable {
-            let description = format!("{} are out at once: {unavailable:?}", unavailable.len());
+            let description =
+                format!("{} members are unavailable at the same time: {unavailable:?}", unavailable.len());
             found.push(Violation::new(Invariant::MaxUnavailable, event.at_us, description));
         }
     }
--- a/fault-tests/src/invariants/mod.rs
+++ b/fault-tests/src/invariants/mod.rs
@@ -1,8 +1,9 @@
-//! The invariants that a site of gateways must keep, checked against a recorded history from outside.
+//! The invariants that a site of gateways must keep, checked against a recorded history.
 //!
-//! Each check reads the events of a run and the [`Guarantees`] of the site, and asks no gateway. `responses` covers what
-//! clients read, `attempts` what servers receive of one request, `placement` where and how often requests go, and
-//! `configuration` whether gateways agree.
+//! Each check reads only the events of a run and the [`Guarantees`] of the site, so that a faulty gateway
+//! cannot hide a violation. `responses` covers the responses that clients read, `attempts` the attempts of
+//! one request, `placement` draining hosts, slow start and rate limits, and `configuration` whether gateways
+//! agree.
 mod attempts;
 mod configuration;
 mod outages;
@@ -17,100 +18,102 @@
 /// Whether a request of a class may reach servers more than once.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Idempotency {
-    /// Any number of times.
+    /// A request may reach servers any number of times.
     Idempotent,
-    /// Servers drop repeats of its idempotency key for a while.
+    /// Servers drop requests with an idempotency key that they have seen within the deduplication window.
     IdempotentWithKey {
-        /// How long after its first attempt a request may be retried, in ms.
+        /// Time after the first attempt in which a request may be retried, in ms.
         window_ms: u64,
     },
-    /// Never.
+    /// A request may reach servers only once.
     NonIdempotent,
 }
 
-/// At most so many requests in any window of a length.
+/// A limit on the number of requests in any window of a fixed length.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct WindowLimit {
-    /// The window's length, in ms.
+    /// Length of the window, in ms.
     pub window_ms: u64,
-    /// The most requests in it.
-    pub max_request_count: usize,
+    /// Maximum number of requests in a window.
+    pub max_requests: usize,
 }
 
 /// The rate limit of a tenant.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct TenantLimit {
-    /// The tenant's name.
+    /// Name of the tenant.
     pub tenant: String,
-    /// How many of its requests are admitted.
+    /// Limit on the tenant's admitted requests, over all gateways.
     pub limit: WindowLimit,
 }
 
 /// The bounds that a site's settings guarantee.
 #[derive(Clone, Debug)]
 pub struct Guarantees {
-    /// The service classes by name. A request of any other class counts as non-idempotent.
+    /// Service classes by name. A request of any other class counts as non-idempotent.
     pub classes: Vec<(String, Idempotency)>,
-    /// The most attempts of a request, the first one included.
+    /// Maximum number of attempts of a request, the first attempt included.
     pub max_attempts: usize,
-    /// How long after its client's timeout a response may arrive, in ms.
+    /// Time after the client's timeout within which a response must arrive, in ms.
     pub response_slack_ms: u64,
-    /// How long after its drain was notified a host may receive new requests, in ms.
+    /// Time in which a draining host may still receive new requests after the gateway was notified, in ms.
     pub drain_grace_ms: u64,
-    /// The most requests that a host receives during slow start, which lasts one window from its start.
+    /// Limit on the requests that a host receives during slow start, which lasts one window from the host's
+    /// start. `None` if slow start is not checked.
     pub slow_start: Option<WindowLimit>,
-    /// How long after its client disconnected a request may reach a host, in ms. `None` where links hold back data, so that
-    /// the time of an arrival proves nothing.
+    /// Time in which a request may still reach a host after the client has disconnected, in ms. `None` where
+    /// links delay data, because the time of arrival then does not show when the attempt began.
     pub disconnect_slack_ms: Option<u64>,
-    /// By how much the deadline forwarded to a host may exceed the time that the client has left, in ms; `None` as above.
+    /// Time by which the deadline forwarded to a host may exceed the time that the client has left, in ms.
+    /// `None` where links delay data.
     pub deadline_slack_ms: Option<u64>,
-    /// How long gateways may apply contradictory rules, in ms.
+    /// Time in which gateways may apply contradictory rules, in ms.
     pub contradiction_ms: u64,
-    /// The most members that may be unavailable at once.
+    /// Maximum number of members that may be unavailable at the same time.
     pub max_unavailable: usize,
-    /// The rate limits.
+    /// Rate limits of tenants; a tenant without a limit is not checked.
     pub rate_limits: Vec<TenantLimit>,
 }
 
-/// What a site guarantees, one invariant each.
+/// An invariant that a site of gateways must keep.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Invariant {
-    /// A request is answered if its gateway and the link to it work.
+    /// A request gets a response if no fault affects its gateway or the link from the clients to the gateway.
     Answered,
-    /// A request gets no second response.
+    /// A request gets at most one response.
     AnsweredOnce,
-    /// A response arrives within the client's timeout.
+    /// A response arrives within the client's timeout plus the response slack.
     InTime,
-    /// A response of 200 is what a host created for this request, byte for byte.
+    /// The body of a response with status 200 is identical to the body that a host created for the same request.
     BodyUnchanged,
-    /// A request that a host may have processed is not retried beyond what its class permits.
+    /// A request that a host has processed is retried only as the request's class permits.
     Idempotency,
-    /// No attempt begins after the client disconnected.
+    /// No attempt begins after the client has disconnected.
     NoAttemptAfterDisconnect,
     /// The deadline forwarded to a host is not later than the client's.
     ForwardedDeadline,
     /// A draining host receives no new request after the grace period.
     Draining,
-    /// A rejection has a `Retry-After`.
+    /// A response with status 429 or 503 has a `Retry-After` field.
     RetryAfter,
-    /// A host in slow start is not overloaded.
+    /// A host in slow start receives no more requests than its limit.
     SlowStart,
-    /// Gateways do not apply contradictory rules for long.
+    /// Gateways apply contradictory rules for at most the permitted time.
     Agreement,
-    /// Not too many members are unavailable at once.
+    /// The number of members that are unavailable at the same time is limited.
     MaxUnavailable,
-    /// A tenant's rate limit holds.
+    /// No more requests of a tenant are admitted than its rate limit permits.
     RateLimit,
 }
 
-/// An invariant that was violated.
+/// A violation of an invariant.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Violation {
-    /// The invariant.
+    /// Invariant that was violated.
     pub invariant: Invariant,
-    /// When it was violated, in µs since the run's start.
+    /// Time of the violation, in µs since the start of the run.
     pub at_us: u64,
-    /// What was observed.
+    /// Text that says what was observed, with the request's id if there is one.
     pub description: String,
 }
 
@@ -120,7 +123,7 @@
     }
 }
 
-/// Appends the violations of some invariants.
+/// A function that checks one or several invariants and appends their violations.
 type InvariantCheck = fn(&[Event], &Guarantees, &mut Vec<Violation>);
 
 const CHECKS: [InvariantCheck; 11] = [
@@ -137,7 +140,7 @@
     placement::check_rate_limits,
 ];
 
-/// All violations in a history, ordered by time.
+/// Returns all violations in a history, ordered by time.
 pub fn check(history: &[Event], guarantees: &Guarantees) -> Vec<Violation> {
     let mut found = Vec::new();
     CHECKS.iter().for_each(|check| check(history, guarantees, &mut found));
--- a/fault-tests/src/invariants/outages.rs
+++ b/fault-tests/src/invariants/outages.rs
@@ -1,21 +1,21 @@
-//! When each gateway was broken for its clients by an injected fault.
+//! The periods in which an injected fault kept a gateway from responding to its clients.
 use crate::history::{Event, EventKind};
 use std::collections::HashMap;
 
-/// The end of an outage that lasts until the end of the history.
+/// End of an outage that has not ended when the history ends, in µs.
 const NOT_ENDED: u64 = u64::MAX;
 
-/// A period in which clients of a gateway cannot expect responses.
+/// A period in which clients of a gateway cannot expect responses, in µs since the start of the run.
 struct Outage {
     start_us: u64,
     end_us: u64,
 }
 
-/// The outages of all gateways.
+/// The outages of each gateway, by index of the gateway and in order of time.
 pub(super) struct Outages(HashMap<usize, Vec<Outage>>);
 
 impl Outages {
-    /// The outages that a history records.
+    /// Returns the outages that a history records.
     pub(super) fn of(history: &[Event]) -> Self {
         let mut outages: HashMap<usize, Vec<Outage>> = HashMap::new();
         for event in history {
@@ -38,7 +38,8 @@
         Outages(outages)
     }
 
-    /// Whether an outage of the gateway, prolonged by `recovery_us`, overlaps the period from `start_us` to `end_us`.
+    /// Returns whether an outage of the gateway, prolonged by `recovery_us`, overlaps the period from
+    /// `start_us` to `end_us`.
     pub(super) fn overlap(&self, gateway: usize, start_us: u64, end_us: u64, recovery_us: u64) -> bool {
         self.0
             .get(&gateway)
--- a/fault-tests/src/invariants/placement.rs
+++ b/fault-tests/src/invariants/placement.rs
@@ -1,22 +1,23 @@
-//! Invariants of where and how often requests go: draining hosts, hosts in slow start, rate limits.
+//! Invariants of which hosts receive requests and how many: draining hosts, slow start, rate limits.
 use super::{Guarantees, Invariant, Violation, WindowLimit, US_PER_MS};
 use crate::history::{Event, EventKind};
 use std::collections::HashMap;
 
-/// The protocol's tolerance for every time limit, in ms.
+/// Tolerance that the protocol grants on the drain grace period, in ms.
 const DRAIN_TOLERANCE_MS: u64 = 50;
 
-/// When gateways were notified that hosts drain.
+/// The times at which gateways were notified that hosts drain.
 #[derive(Default)]
 struct DrainNotifications {
-    /// By gateway and host; `None` while the host serves.
+    /// Time of the notification in µs, by gateway and host; `None` while the host serves.
     notified_at_us: HashMap<(usize, usize), Option<u64>>,
-    /// By gateway, while it cannot read discovery.
+    /// Begin of the period in which a gateway cannot read from discovery, in µs, by gateway.
     discovery_cut_at_us: HashMap<usize, u64>,
 }
 
 impl DrainNotifications {
-    /// What a gateway was sent while it could not read takes effect once it can.
+    /// Moves the notifications that were sent to a gateway while the gateway could not read from discovery to
+    /// `at_us`, the time from which the gateway can read them.
     fn discovery_restored(&mut self, gateway: usize, at_us: u64) {
         let cut_at_us = self.discovery_cut_at_us.remove(&gateway).unwrap_or(at_us);
         for ((of_gateway, _), notified_at_us) in &mut self.notified_at_us {
@@ -50,7 +51,7 @@
                 if let Some(at_us) = notified_at_us.filter(|at_us| *first_byte_at_us > at_us + grace_us) {
                     let late_ms = (first_byte_at_us - at_us) / US_PER_MS;
                     let description = format!(
-                        "gateway {gateway} sent {id} to host {host} {late_ms} ms after its drain was told"
+                        "gateway {gateway} sent request {id} to host {host} {late_ms} ms after notification of its drain"
                     );
                     found.push(Violation::new(Invariant::Draining, *first_byte_at_us, description));
                 }
@@ -60,11 +61,14 @@
     }
 }
 
-/// The first of these times, in µs and ascending, at which a window holds more than the limit.
+/// Returns the first of the ascending `times` in µs at which a window contains more requests than the limit.
 fn first_excess_us(times: &[u64], limit: WindowLimit) -> Option<u64> {
-    let max = limit.max_request_count;
+    let max_requests = limit.max_requests;
     let window_us = limit.window_ms * US_PER_MS;
-    times.windows(max + 1).find(|window| window[max] - window[0] < window_us).map(|window| window[max])
+    times
+        .windows(max_requests + 1)
+        .find(|window| window[max_requests] - window[0] < window_us)
+        .map(|window| window[max_requests])
 }
 
 /// Checks [`Invariant::SlowStart`].
@@ -84,7 +88,7 @@
             .collect();
         if let Some(at_us) = first_excess_us(&times, limit) {
             let description =
-                format!("host {host} got more than {} messages while cold", limit.max_request_count);
+                format!("host {host} received more than {} requests during slow start", limit.max_requests);
             found.push(Violation::new(Invariant::SlowStart, at_us, description));
         }
     }
@@ -100,9 +104,9 @@
             .map(|event| event.at_us)
             .collect();
         if let Some(at_us) = first_excess_us(&times, tenant_limit.limit) {
-            let WindowLimit { window_ms, max_request_count } = tenant_limit.limit;
+            let WindowLimit { window_ms, max_requests } = tenant_limit.limit;
             let description = format!(
-                "more than {max_request_count} messages of {name} were let through in {window_ms} ms"
+                "more than {max_requests} requests of tenant {name} were admitted within {window_ms} ms"
             );
             found.push(Violation::new(Invariant::RateLimit, at_us, description));
         }
--- a/fault-tests/src/invariants/responses.rs
+++ b/fault-tests/src/invariants/responses.rs
@@ -1,14 +1,16 @@
-//! Invariants of what clients read: answered, once, in time, unchanged, and rejected with `Retry-After`.
+//! Invariants of the responses that clients read: one response for each request, in time, with an unchanged
+//! body, and with `Retry-After` in rejections.
 use super::outages::Outages;
 use super::{Guarantees, Invariant, Violation, US_PER_MS};
 use crate::history::{Event, EventKind};
 use std::collections::{HashMap, HashSet};
 
-/// How the requests of a history ended, by request id.
+/// The ends of the requests of a history, by request id and with times in µs since the start of the run.
 #[derive(Default)]
 struct Endings<'a> {
     responses_at_us: HashMap<&'a str, Vec<u64>>,
     missing_at_us: HashMap<&'a str, u64>,
+    /// Requests whose client disconnected or moved to another gateway, so that no response is due.
     abandoned: HashSet<&'a str>,
 }
 
@@ -46,18 +48,18 @@
         match responses {
             None if !excused(due_us.min(end_us)) && !endings.abandoned.contains(id.as_str()) => {
                 let at_us = endings.missing_at_us.get(id.as_str()).copied().unwrap_or(due_us);
-                let description = format!("{id} at gateway {gateway} got no answer");
+                let description = format!("request {id} to gateway {gateway} got no response");
                 found.push(Violation::new(Invariant::Answered, at_us, description));
             }
             Some([at_us, ..]) if *at_us > due_us && !excused(*at_us) => {
                 let late_ms = (at_us - due_us) / US_PER_MS;
-                let description = format!("{id} was answered {late_ms} ms late");
+                let description = format!("the response to request {id} was {late_ms} ms late");
                 found.push(Violation::new(Invariant::InTime, *at_us, description));
             }
             _ => {}
         }
         if let Some([_, second_at_us, ..]) = responses {
-            let description = format!("{id} was answered more than once");
+            let description = format!("request {id} got more than one response");
             found.push(Violation::new(Invariant::AnsweredOnce, *second_at_us, description));
         }
     }
@@ -74,7 +76,8 @@
             EventKind::ResponseReceived { id, status: 200, body, .. }
                 if !created.contains(&(id.as_str(), body.as_str())) =>
             {
-                let description = format!("{id} was served {body:?}, which no host had made for it");
+                let description =
+                    format!("request {id} was served body {body:?}, which no host created for it");
                 found.push(Violation::new(Invariant::BodyUnchanged, event.at_us, description));
             }
             _ => {}
@@ -87,7 +90,7 @@
     for event in history {
         if let EventKind::ResponseReceived { id, status: 429 | 503, has_retry_after: false, .. } = &event.kind
         {
-            let description = format!("{id} was refused without a word on when to come back");
+            let description = format!("the rejection of request {id} has no Retry-After");
             found.push(Violation::new(Invariant::RetryAfter, event.at_us, description));
         }
     }
--- a/fault-tests/src/lib.rs
+++ b/fault-tests/src/lib.rs
@@ -1,10 +1,11 @@
-//! Fault tests: many gateway processes on one machine, links with injected faults between all parts, and invariants that are
-//! checked from outside.
+//! Fault tests: many gateway processes on one machine, links with injected faults on every path between two
+//! processes, and invariants that are checked without access to a gateway's internal state.
 //!
-//! [`site`] starts a site from gateway processes ([`process`]), stub hosts and discovery ([`stub_servers`]), clients
-//! ([`client`]) and [`links`]. All record into one [`history`], which [`invariants`] checks. [`matrix`] injects one fault
-//! after another, [`fault_schedule`] draws schedules of many, [`soak`] injects failing system calls into processes, and
-//! [`demo`] is a short demonstration.
+//! [`site`] starts gateway processes ([`process`]), stub hosts and stub discovery ([`stub_servers`]), and
+//! connects them by [`links`]; [`client`] sends requests to the gateways. Clients, stub servers and fault
+//! injection record events into one [`history`], which [`invariants`] checks. [`matrix`] injects one fault
+//! after another, [`fault_schedule`] plays random schedules of overlapping faults, [`soak`] injects failing
+//! system calls into the gateway processes, and [`demo`] is a short demonstration.
 #![forbid(unsafe_code)]
 #![deny(missing_docs, clippy::too_many_lines, clippy::cognitive_complexity)]
 
--- a/fault-tests/src/links/mod.rs
+++ b/fault-tests/src/links/mod.rs
@@ -1,4 +1,5 @@
-//! Links with injected faults: every path between two parts of a site leads through one, and each direction fails on its own.
+//! Links with injected faults: every path between two parts of a site leads through one, and each direction fails
+//! on its own.
 //!
 //! A [`Link`] forwards TCP connections, [`UdpLinkPair`] forwards datagrams. Both apply the [`LinkFaults`] or
 //! [`DirectionFaults`] that are set at the moment, and none at first.
--- a/fault-tests/src/links/tcp.rs
+++ b/fault-tests/src/links/tcp.rs
@@ -32,7 +32,8 @@
     Reset,
 }
 
-/// Listens on a loopback address of its own, so that no other program takes the port while the link refuses connections.
+/// Listens on a loopback address of its own, so that no other program takes the port while the link refuses
+/// connections.
 async fn listen() -> io::Result<TcpListener> {
     static NEXT: AtomicU16 = AtomicU16::new(0);
     let [high, low] = NEXT.fetch_add(1, Ordering::Relaxed).to_be_bytes();
--- a/fault-tests/src/main.rs
+++ b/fault-tests/src/main.rs
@@ -1,4 +1,5 @@
-//! `ternstack-fault-tests`: starts real gateway processes, injects faults between them, and checks invariants from outside.
+//! `ternstack-fault-tests`: starts real gateway processes, injects faults into them and their links, and
+//! checks invariants without access to the gateways' internal state.
 #![deny(missing_docs, clippy::too_many_lines, clippy::cognitive_complexity)]
 use clap::{Parser, Subcommand};
 use std::path::PathBuf;
@@ -12,7 +13,7 @@
 use ternstack_fault_tests::site::{Site, SiteConfig};
 use ternstack_fault_tests::soak;
 
-/// Starts many gateway processes, injects faults between and into them, and checks invariants from outside.
+/// Starts many gateway processes, injects faults into them and their links, and checks invariants
 #[derive(Parser)]
 #[command(name = "ternstack-fault-tests", version, about)]
 struct Cli {
@@ -27,61 +28,62 @@
         /// Cut requests and responses at each byte.
         #[arg(long)]
         long: bool,
-        /// Sites at once.
+        /// Number of sites that run at the same time.
         #[arg(long, default_value_t = 4)]
         jobs: usize,
     },
-    /// Play drawn fault schedules. Exits with 1 if an invariant was violated.
+    /// Play random fault schedules. Exits with 1 if an invariant was violated.
     Nemesis {
-        /// The first seed.
+        /// Seed of the first run; each further run uses the next number.
         #[arg(long, default_value_t = 1)]
         seed: u64,
-        /// How many schedules.
+        /// Number of schedules to play.
         #[arg(long, default_value_t = 1)]
         count: u64,
-        /// Gateway processes.
+        /// Number of gateway processes.
         #[arg(long, default_value_t = 5)]
         gateways: usize,
-        /// Stub hosts.
+        /// Number of stub hosts.
         #[arg(long, default_value_t = 5)]
         hosts: usize,
-        /// How long clients send requests, in seconds.
+        /// Time during which clients send requests, in seconds.
         #[arg(long, default_value_t = 8)]
         seconds: u64,
-        /// Print the schedules and play none.
+        /// Print the schedules instead of playing them.
         #[arg(long)]
         print: bool,
     },
-    /// Play a fault schedule from a file.
+    /// Play a fault schedule from a file. Exits with 1 if an invariant was violated.
     Play {
-        /// The file, as `nemesis --print` writes it.
+        /// TOML file as printed by `nemesis --print`.
         file: PathBuf,
     },
-    /// Let system calls fail, clocks step and processes stop. Prints JSON; exits with 1 if an invariant was violated.
+    /// Inject failing system calls, clock steps and process stops. Prints JSON; exits with 1 if an invariant was
+    /// violated.
     Soak {
-        /// The first seed.
+        /// Seed of the first run; each further run uses the next number.
         #[arg(long, default_value_t = 1)]
         seed: u64,
-        /// How many runs: first each kind alone in each phase, then mixed ones.
+        /// Number of runs: first each fault kind alone in each phase, then mixed kinds.
         #[arg(long, default_value_t = 160)]
         count: usize,
-        /// Skip this many of the runs, from the first on, to repeat a single one.
+        /// Number of runs to skip from the first on, so that a single run can be repeated.
         #[arg(long, default_value_t = 0)]
         skip: usize,
-        /// How long a site is in service, in seconds, besides its start, reload and shutdown.
+        /// Length of the service phase of a run, in seconds; start, reload and shutdown add to it.
         #[arg(long, default_value_t = 3)]
         seconds: u64,
-        /// Runs at once.
+        /// Number of runs that are played at the same time.
         #[arg(long, default_value_t = 4)]
         jobs: usize,
-        /// Only kinds whose name contains this.
+        /// Play only the runs with a fault kind whose name contains this text.
         #[arg(long)]
         only: Option<String>,
         /// Print the table as Markdown instead of JSON.
         #[arg(long)]
         table: bool,
     },
-    /// Run as a gateway; the fault tests start themselves like this.
+    /// Run as a gateway; the fault tests start their own program with this subcommand.
     #[command(hide = true)]
     Gateway,
 }
@@ -103,7 +105,7 @@
     }
 }
 
-/// Runs a command; whether no invariant was violated.
+/// Runs a command and returns whether no invariant was violated.
 async fn run(command: Command) -> Result<bool, Error> {
     match command {
         Command::Matrix { long, jobs } => run_matrix(long, jobs).await,
@@ -151,7 +153,7 @@
         }
     }
     let passed = results.iter().filter(|result| result.passed()).count();
-    println!("{} lines, {passed} kept all promises", results.len());
+    println!("{} cases, {passed} passed", results.len());
     Ok(passed == results.len())
 }
 
@@ -160,7 +162,7 @@
     let mut site = Site::start(&Launch::current_program()?, config).await?;
     let outcome = fault_schedule::play(&mut site, schedule).await?;
     println!(
-        "{name}: {} steps, {} messages, {} answers, {} served, {} of {} back, {} promises broken",
+        "{name}: {} steps, {} requests, {} responses, {} served, {} of {} gateways recovered, {} violations",
         schedule.steps.len(),
         outcome.requests,
         outcome.responses,
--- a/fault-tests/src/matrix/cases.rs
+++ b/fault-tests/src/matrix/cases.rs
@@ -1,17 +1,18 @@
-//! The cases of the fault matrix.
+//! The list of the cases of the fault matrix.
 use super::{Case, Path, ProcessFault};
 use crate::links::{ConnectionHandling, CutAction, DirectionFaults, LinkFaults};
 
-/// Where requests are cut: in the first line, in the head, at its end, in the body.
-const REQUEST_CUT_BYTES: [u64; 5] = [1, 15, 60, 150, 200];
-/// Where responses are cut.
-const RESPONSE_CUT_BYTES: [u64; 6] = [1, 9, 17, 60, 90, 150];
-/// The most bytes of a request; the long matrix cuts at each.
+/// Offsets at which the short matrix cuts requests, in bytes: in the request line, in the head, at the end of
+/// the head and in the body.
+const REQUEST_CUT_OFFSETS_BYTES: [u64; 5] = [1, 15, 60, 150, 200];
+/// Offsets at which the short matrix cuts responses, in bytes: in the status line, in the head and in the body.
+const RESPONSE_CUT_OFFSETS_BYTES: [u64; 6] = [1, 9, 17, 60, 90, 150];
+/// Upper bound of a request's length; the long matrix cuts requests after each byte up to it.
 const MAX_REQUEST_BYTES: u64 = 230;
-/// The most bytes of a response; the long matrix cuts at each.
+/// Upper bound of a response's length; the long matrix cuts responses after each byte up to it.
 const MAX_RESPONSE_BYTES: u64 = 210;
 
-/// All cases; the long matrix cuts requests and responses at each byte.
+/// Returns all cases. With `long`, requests and responses are cut after each byte.
 pub fn cases(long: bool) -> Vec<Case> {
     let mut cases = Vec::new();
     for path in [Path::Clients, Path::Host, Path::Hosts, Path::Discovery] {
@@ -54,12 +55,12 @@
 }
 
 fn add_slow_links(cases: &mut Vec<Case>, path: Path) {
-    let none = DirectionFaults::default();
+    let no_faults = DirectionFaults::default();
     let slow = [
-        ("delay 60 ms", DirectionFaults { delay_ms: 60, ..none }),
-        ("jitter 90 ms", DirectionFaults { jitter_ms: 90, ..none }),
-        ("2,000 bytes/s", DirectionFaults { bytes_per_s: Some(2000), ..none }),
-        ("held", DirectionFaults { stalled: true, ..none }),
+        ("delay 60 ms", DirectionFaults { delay_ms: 60, ..no_faults }),
+        ("jitter 90 ms", DirectionFaults { jitter_ms: 90, ..no_faults }),
+        ("2,000 bytes/s", DirectionFaults { bytes_per_s: Some(2000), ..no_faults }),
+        ("held", DirectionFaults { stalled: true, ..no_faults }),
     ];
     for (name, faults) in slow {
         cases.push(request_case(path, name.into(), faults));
@@ -69,13 +70,19 @@
 }
 
 fn add_cuts(cases: &mut Vec<Case>, path: Path, long: bool) {
-    let offsets = |few: &[u64], max_bytes: u64| if long { (1..=max_bytes).collect() } else { few.to_vec() };
+    let offsets = |short_matrix: &[u64], max_bytes: u64| {
+        if long {
+            (1..=max_bytes).collect()
+        } else {
+            short_matrix.to_vec()
+        }
+    };
     for action in [CutAction::Reset, CutAction::End, CutAction::Silence] {
         let cut = |after| DirectionFaults { cut_after: Some((after, action)), ..DirectionFaults::default() };
-        for after in offsets(&REQUEST_CUT_BYTES, MAX_REQUEST_BYTES) {
+        for after in offsets(&REQUEST_CUT_OFFSETS_BYTES, MAX_REQUEST_BYTES) {
             cases.push(request_case(path, format!("{action:?} after {after}"), cut(after)));
         }
-        for after in offsets(&RESPONSE_CUT_BYTES, MAX_RESPONSE_BYTES) {
+        for after in offsets(&RESPONSE_CUT_OFFSETS_BYTES, MAX_RESPONSE_BYTES) {
             cases.push(response_case(path, format!("{action:?} after {after}"), cut(after)));
         }
     }
--- a/fault-tests/src/matrix/mod.rs
+++ b/fault-tests/src/matrix/mod.rs
@@ -1,6 +1,8 @@
-//! The fault matrix: one fault after another on each path, with requests that meet it and others that do not.
+//! The fault matrix: injects one fault after another on each path, while clients send requests through the
+//! faulty gateway and through one without a fault.
 //!
-//! [`cases`] lists the faults, [`play_all`] injects each into a site and judges it, [`table`] prints the result.
+//! [`cases()`] lists the faults, [`play_all`] injects each fault into a site and checks the invariants,
+//! [`table()`] formats the results.
 mod cases;
 mod play;
 mod table;
@@ -13,7 +15,7 @@
 use crate::links::LinkFaults;
 use crate::site::LinkTarget;
 
-/// The path that is faulty, always of gateway 0; gateway 1 has no fault.
+/// The path that is faulty. All paths are those of gateway 0, because gateway 1 has no fault.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Path {
     /// From clients to the gateway.
@@ -37,65 +39,66 @@
     }
 }
 
-/// A fault of the gateway's process.
+/// A fault of the process of gateway 0.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ProcessFault {
-    /// It is killed and restarted.
+    /// The process is killed (SIGKILL) and restarted.
     Kill,
-    /// It is stopped for a while.
+    /// The process is stopped (SIGSTOP) until its clients have timed out.
     Pause,
-    /// It is asked to exit, and restarted.
+    /// The process is asked to exit (SIGTERM) and restarted.
     Term,
-    /// It is asked to reload its configuration.
+    /// The process is asked to reload an unchanged configuration (SIGHUP).
     Hangup,
-    /// It is asked to reload a configuration that is not valid.
+    /// The process is asked to reload a configuration that is not valid (SIGHUP).
     BadHangup,
 }
 
-/// A case of the matrix.
+/// A case of the fault matrix.
 #[derive(Clone, Debug)]
 pub enum Case {
-    /// A faulty path.
+    /// A path is faulty.
     Link {
-        /// The path.
+        /// Path that is faulty.
         path: Path,
-        /// The side that is affected: `new` connections, `request`, `reply` or `both`.
+        /// Side that is affected: `new` for new connections, `request`, `reply` or `both`.
         side: &'static str,
-        /// The name of the fault.
+        /// Name of the fault in the table.
         fault_name: String,
-        /// The faults of the path's links.
+        /// Faults of the path's links.
         faults: Box<LinkFaults>,
     },
-    /// A fault of the gateway's process.
+    /// The process of gateway 0 has a fault.
     Process(ProcessFault),
 }
 
-/// The result of a case.
+/// The result of a case of the fault matrix.
 #[derive(Clone, Debug)]
 pub struct CaseResult {
-    /// Path, side and fault.
+    /// Name of the case: path, side and fault.
     pub name: String,
-    /// How many requests were sent.
+    /// Number of requests that were sent.
     pub requests: usize,
-    /// How many complete responses clients received.
+    /// Number of complete responses that clients received.
     pub responses: usize,
-    /// How many of them had status 200.
+    /// Number of responses with status 200.
     pub served: usize,
-    /// How many connections and chunks the fault affected; `None` for faults of the process.
+    /// Number of connections and chunks that the fault affected; `None` for faults of the process.
     pub hit_count: Option<u64>,
-    /// Whether afterwards every host served through each gateway.
+    /// Whether each gateway forwarded requests to every host again after the fault had ended.
     pub recovered: bool,
-    /// The violated invariants.
+    /// Violations of invariants, ordered by time.
     pub violations: Vec<Violation>,
 }
 
 impl CaseResult {
-    /// How often an invariant was violated.
+    /// Returns how often an invariant was violated.
     pub fn count(&self, invariant: Invariant) -> usize {
         self.violations.iter().filter(|violation| violation.invariant == invariant).count()
     }
 
-    /// Whether the fault affected something, no invariant was violated and the site recovered.
+    /// Returns whether the fault affected a connection or chunk, no invariant was violated and the site
+    /// recovered. A fault of the process always counts as effective.
     pub fn passed(&self) -> bool {
         self.violations.is_empty() && self.recovered && self.hit_count != Some(0)
     }
--- a/fault-tests/src/matrix/play.rs
+++ b/fault-tests/src/matrix/play.rs
@@ -1,4 +1,4 @@
-//! Injects the faults of cases into sites and judges the histories.
+//! Injects the faults of cases into sites and checks the histories.
 use super::{cases, Case, CaseResult, Path, ProcessFault};
 use crate::client::NO_CONNECTION;
 use crate::error::Error;
@@ -10,19 +10,20 @@
 use std::time::Duration;
 use tokio::time::sleep;
 
-/// The gateways of a site; the first one has the fault.
+/// Indices of a site's gateways. Gateway 0 has the fault.
 const GATEWAYS: [usize; 2] = [0, 1];
-/// The most rounds of requests until a fault has affected something.
-const MAX_ROUND_COUNT: usize = 40;
-/// The most rounds of requests until every host has served.
-const MAX_RECOVERY_ROUND_COUNT: usize = 200;
-/// The pause between two rounds.
+/// Maximum number of rounds of requests until a fault has affected a connection or chunk.
+const MAX_ROUNDS: usize = 40;
+/// Maximum number of rounds of requests until every host has served a request.
+const MAX_RECOVERY_ROUNDS: usize = 200;
+/// Pause between two rounds of requests.
 const ROUND_PAUSE: Duration = Duration::from_millis(50);
 
-/// Plays all cases, spread over `jobs` sites at once; the results in the order of the cases.
+/// Plays all cases, spread over `jobs` sites that run at the same time. Returns the results in the order of
+/// the cases.
 ///
 /// # Errors
-/// If a site cannot be started or does not go on as it should.
+/// Returns an error if a site cannot be started, or if a case cannot be played (see [`play`]).
 pub async fn play_all(launch: &Launch, long: bool, jobs: usize) -> Result<Vec<CaseResult>, Error> {
     let cases = cases(long);
     let jobs = jobs.clamp(1, cases.len());
@@ -49,14 +50,15 @@
     Ok(results.into_iter().map(|(_, result)| result).collect())
 }
 
-/// Plays a case on a site of two gateways, which has no fault afterwards.
+/// Plays a case on a site of two gateways and removes the fault afterwards.
 ///
 /// # Errors
-/// If a gateway exits unexpectedly, cannot be restarted or does not use every host at first.
+/// Returns an error if a gateway exits unexpectedly, cannot be restarted, or does not forward requests to
+/// every host before the fault.
 pub async fn play(site: &mut Site, case: &Case) -> Result<CaseResult, Error> {
-    // A fault on a path that no request takes would prove nothing.
+    // Every host must be in use, because a fault on a path that no request takes would prove nothing.
     for gateway in GATEWAYS {
-        if !serves_from_every_host(site, gateway).await {
+        if !uses_every_host(site, gateway).await {
             return Err(Error::HostUnused { gateway, logs: site.logs() });
         }
     }
@@ -72,7 +74,7 @@
         }
     };
     site.record_recovery(0);
-    let recovered = serves_from_every_host(site, 0).await && serves_from_every_host(site, 1).await;
+    let recovered = uses_every_host(site, 0).await && uses_every_host(site, 1).await;
     let history = site.take_history();
     let counts = Counts::of(&history);
     Ok(CaseResult {
@@ -90,7 +92,7 @@
     site.links(0, path.link_target())
 }
 
-/// Sends requests while the path is faulty; how many connections and chunks the fault affected.
+/// Sends requests while the path is faulty. Returns the number of connections and chunks that the fault affected.
 async fn play_link_faults(site: &Site, path: Path, fault_name: &str, faults: LinkFaults) -> u64 {
     if path == Path::Clients {
         site.record_fault(0, fault_name);
@@ -98,7 +100,7 @@
     for link in links(site, path) {
         link.take_hit_count();
         link.set(faults);
-        // A connection that is open already would not meet the fault.
+        // Connections that are already open are reset, because the fault would not affect them.
         if faults.connection_handling != ConnectionHandling::Open || path == Path::Discovery {
             link.reset();
         }
@@ -119,9 +121,10 @@
     hit_count
 }
 
-/// Sends rounds of requests until the fault has affected something: by chance none may take the path at first.
+/// Sends rounds of requests until the fault has affected a connection or chunk, because by chance no request
+/// of a round may take the faulty path. Returns how many were affected.
 async fn send_until_hit(site: &Site, path: Path) -> u64 {
-    for _ in 0..MAX_ROUND_COUNT {
+    for _ in 0..MAX_ROUNDS {
         let position = site.recorder.position();
         site.send_requests(&GATEWAYS, 3, 4).await;
         let hits = links(site, path).iter().map(|link| link.take_hit_count()).sum::<u64>();
@@ -130,7 +133,8 @@
             return hits + refused as u64;
         }
         if path == Path::Discovery {
-            // Any change ends a poll and begins the next, so that more bytes take the path.
+            // A change of the list ends the pending poll and starts the next one, so that more bytes take the
+            // path.
             site.discovery.set_state(site.hosts.len() - 1, "DRAINING");
         }
         sleep(ROUND_PAUSE).await;
@@ -142,10 +146,11 @@
     matches!(&event.kind, EventKind::ResponseMissing { reason, .. } if reason == NO_CONNECTION)
 }
 
-/// Whether a gateway comes to serve from every host within some rounds: an ejected one gets its trials meanwhile.
-async fn serves_from_every_host(site: &Site, gateway: usize) -> bool {
+/// Returns whether a gateway forwards requests to every host within [`MAX_RECOVERY_ROUNDS`]. An ejected host
+/// gets its probe requests in these rounds.
+async fn uses_every_host(site: &Site, gateway: usize) -> bool {
     let mut has_served = vec![false; site.hosts.len()];
-    for _ in 0..MAX_RECOVERY_ROUND_COUNT {
+    for _ in 0..MAX_RECOVERY_ROUNDS {
         let position = site.recorder.position();
         site.send_requests(&[gateway], 2, 3).await;
         for event in site.recorder.since(position) {
@@ -171,7 +176,7 @@
     match fault {
         ProcessFault::Pause => {
             site.pause(0)?;
-            // It stays stopped until its clients have timed out.
+            // The gateway stays stopped until its clients have timed out.
             site.send_requests(&GATEWAYS, 3, 1).await;
             site.resume(0)?;
         }
--- a/fault-tests/src/matrix/table.rs
+++ b/fault-tests/src/matrix/table.rs
@@ -1,4 +1,4 @@
-//! The results of the fault matrix as a table.
+//! Formats the results of the fault matrix as a table.
 use super::CaseResult;
 use crate::invariants::Invariant;
 use std::fmt::Write as _;
@@ -7,7 +7,7 @@
     "| fault | struck | messages | answers | served | unanswered | twice | late | swapped | repeated | after grace | \
      no advice | back |\n|---|---:|---:|---:|---:|---:|---:|---:|---:|---:|---:|---:|---|\n";
 
-/// The invariants with a column, in the columns' order.
+/// Invariants that have a column of violation counts, in the order of the columns.
 const COLUMNS: [Invariant; 7] = [
     Invariant::Answered,
     Invariant::AnsweredOnce,
@@ -18,7 +18,7 @@
     Invariant::RetryAfter,
 ];
 
-/// The results as a table in Markdown.
+/// Returns the results as a table in Markdown, a row for each case.
 pub fn table(results: &[CaseResult]) -> String {
     let mut text = String::from(HEADER);
     for result in results {
--- a/fault-tests/src/process.rs
+++ b/fault-tests/src/process.rs
@@ -1,4 +1,4 @@
-//! Processes of the gateway: started as the platform starts them, signalled, and restarted at the same address.
+//! Gateway processes: started as the platform starts them, signalled, and restarted at the same address.
 use crate::error::ProcessError;
 use rustix::process::{kill_process, Pid, Signal};
 use serde_json::Value;
@@ -14,49 +14,51 @@
 use tokio::sync::mpsc;
 use tokio::time::timeout;
 
-/// How long a gateway may take to start, and to exit.
-const READY_TIMEOUT: Duration = Duration::from_secs(30);
-/// How many log lines of a process are kept.
-const MAX_LOG_LINE_COUNT: usize = 200;
+/// Time limit for the start of a gateway process, and for its exit.
+const START_OR_EXIT_TIMEOUT: Duration = Duration::from_secs(30);
+/// Log lines of a process that are kept; older lines are dropped.
+const MAX_LOG_LINES: usize = 200;
 
-/// How a gateway's program is started.
+/// The command that starts a gateway process.
 #[derive(Clone, Debug)]
 pub struct Launch {
-    /// The program.
+    /// Path of the program.
     pub program: PathBuf,
-    /// Its arguments.
+    /// Arguments of the program.
     pub args: Vec<OsString>,
-    /// Environment variables; `{name}` in a value stands for the gateway's name.
+    /// Additional environment variables; `{name}` in a value is replaced by the gateway's name.
     pub variables: Vec<(String, String)>,
 }
 
 impl Launch {
-    /// The running program, with the argument that makes it a gateway.
+    /// Returns the command that runs the current program with the subcommand `gateway`.
     ///
     /// # Errors
-    /// If the path of the program is unknown.
+    /// Returns an error if the path of the current program is unknown.
     pub fn current_program() -> io::Result<Self> {
         Ok(Launch { program: std::env::current_exe()?, args: vec!["gateway".into()], variables: Vec::new() })
     }
 }
 
-/// Has the kernel kill this process when its parent exits, however that exits. `false` if the parent has exited already.
+/// Has the kernel kill this process when its parent exits, also when the parent is killed. Returns `false` if the
+/// parent has already exited or the kernel rejects the setting.
 pub fn exit_with_parent() -> bool {
     let parent = rustix::process::getppid();
     let bound = rustix::process::set_parent_process_death_signal(Some(Signal::KILL));
     bound.is_ok() && rustix::process::getppid() == parent && parent != Some(Pid::INIT)
 }
 
-/// Runs the gateway's program as a child of the fault tests. It exits with its parent, so that none is left behind.
+/// Runs the gateway program as a child of the fault tests. The process exits with its parent, so that no gateway
+/// is left running after the fault tests.
 pub fn run_gateway() -> std::process::ExitCode {
     if !exit_with_parent() {
-        eprintln!("ternstack-fault-tests: the rig that started this gateway is gone");
+        eprintln!("ternstack-fault-tests: the process that started this gateway has exited");
         return std::process::ExitCode::FAILURE;
     }
     ternstack_gateway::program::main()
 }
 
-/// The last log lines of a process, kept across restarts.
+/// The last log lines of a gateway, kept across restarts of its process.
 #[derive(Clone, Debug, Default)]
 struct Log(Arc<Mutex<Vec<String>>>);
 
@@ -67,31 +69,31 @@
 
     fn push(&self, line: String) {
         let mut lines = self.lines();
-        if lines.len() == MAX_LOG_LINE_COUNT {
+        if lines.len() == MAX_LOG_LINES {
             lines.remove(0);
         }
         lines.push(line);
     }
 }
 
-/// A process of the gateway. It is killed when it is dropped.
+/// A gateway process. Dropping the value kills the process.
 #[derive(Debug)]
 pub struct Process {
     launch: Launch,
     name: String,
     config_file: PathBuf,
-    /// Where it listens; the same after a restart.
+    /// Address on which the gateway listens; a restart keeps the address.
     pub address: SocketAddr,
     child: Child,
     log: Log,
 }
 
 impl Process {
-    /// Starts the program and waits until it serves. Its configuration is written to `folder`; it listens on `listen`,
-    /// where port 0 lets the kernel choose.
+    /// Starts a gateway and waits until the process has logged the address on which it listens. The configuration
+    /// is written to `folder`. With port 0 in `listen` the kernel chooses the port.
     ///
     /// # Errors
-    /// If it cannot be started or does not serve in time.
+    /// Returns an error if the process cannot be started or does not log its listen address in time.
     pub async fn start(
         launch: &Launch, folder: &Path, name: &str, listen: SocketAddr, config: &Value,
     ) -> Result<Self, ProcessError> {
@@ -101,10 +103,10 @@
         Ok(Process { launch: launch.clone(), name: name.into(), config_file, address, child, log })
     }
 
-    /// Starts the program again, at the same address, after it has exited.
+    /// Starts the gateway again at the same address, after its process has exited.
     ///
     /// # Errors
-    /// If it cannot be started or does not serve in time.
+    /// Returns an error if the process cannot be started or does not log its listen address in time.
     pub async fn restart(&mut self, config: &Value) -> Result<(), ProcessError> {
         (self.child, self.address) =
             spawn(&self.launch, &self.config_file, &self.name, self.address, config, &self.log).await?;
@@ -121,72 +123,73 @@
         kill_process(pid, signal).map_err(|errno| self.control_error(errno))
     }
 
-    /// Kills it and waits until it has exited.
+    /// Kills the process (SIGKILL) and waits until it has exited.
     ///
     /// # Errors
-    /// If it cannot be signalled or awaited.
+    /// Returns an error if the process cannot be signalled or awaited.
     pub async fn kill(&mut self) -> Result<(), ProcessError> {
         self.child.kill().await.map_err(|error| self.control_error(error))
     }
 
-    /// Stops it (SIGSTOP).
+    /// Stops the process (SIGSTOP).
     ///
     /// # Errors
-    /// If it has exited or cannot be signalled.
+    /// Returns an error if the process has exited or cannot be signalled.
     pub fn pause(&self) -> Result<(), ProcessError> {
         self.signal(Signal::STOP)
     }
 
-    /// Lets it continue (SIGCONT).
+    /// Continues the stopped process (SIGCONT).
     ///
     /// # Errors
-    /// If it has exited or cannot be signalled.
+    /// Returns an error if the process has exited or cannot be signalled.
     pub fn resume(&self) -> Result<(), ProcessError> {
         self.signal(Signal::CONT)
     }
 
-    /// Replaces its configuration and has it reloaded (SIGHUP).
+    /// Replaces the configuration file and asks the process to reload it (SIGHUP).
     ///
     /// # Errors
-    /// If the configuration cannot be written, or the process has exited or cannot be signalled.
+    /// Returns an error if the configuration cannot be written, or the process has exited or cannot be signalled.
     pub fn reload(&self, config: &Value) -> Result<(), ProcessError> {
         write_config(&self.config_file, config)?;
         self.signal(Signal::HUP)
     }
 
-    /// Asks it to exit (SIGTERM).
+    /// Asks the process to exit (SIGTERM) without waiting for the exit.
     ///
     /// # Errors
-    /// If it has exited or cannot be signalled.
+    /// Returns an error if the process has exited or cannot be signalled.
     pub fn send_sigterm(&self) -> Result<(), ProcessError> {
         self.signal(Signal::TERM)
     }
 
-    /// Asks it to exit and waits for it; its exit code, or `None` if it was killed.
+    /// Asks the process to exit (SIGTERM) and waits for the exit. Returns the exit code, or `None` if a signal
+    /// killed the process.
     ///
     /// # Errors
-    /// If it cannot be signalled or does not exit in time.
+    /// Returns an error if the process cannot be signalled, cannot be awaited or does not exit in time.
     pub async fn terminate(&mut self) -> Result<Option<i32>, ProcessError> {
         self.send_sigterm()?;
         self.wait_for_exit().await
     }
 
-    /// Waits until it has exited; its exit code, or `None` if it was killed.
+    /// Waits until the process has exited. Returns the exit code, or `None` if a signal killed the process.
     ///
     /// # Errors
-    /// If it does not exit in time or cannot be awaited.
+    /// Returns an error if the process does not exit in time or cannot be awaited.
     pub async fn wait_for_exit(&mut self) -> Result<Option<i32>, ProcessError> {
-        let exited = timeout(READY_TIMEOUT, self.child.wait()).await;
+        let exited = timeout(START_OR_EXIT_TIMEOUT, self.child.wait()).await;
         let status = exited.map_err(|_| ProcessError::DoesNotExit { name: self.name.clone() })?;
         status.map(|status| status.code()).map_err(|error| self.control_error(error))
     }
 
-    /// Whether it has exited.
+    /// Returns whether the process has exited or its state cannot be read.
     pub fn has_exited(&mut self) -> bool {
         !matches!(self.child.try_wait(), Ok(None))
     }
 
-    /// Its last log lines.
+    /// Returns the last log lines of the gateway, the newest last.
     pub fn log(&self) -> Vec<String> {
         self.log.lines().clone()
     }
@@ -197,7 +200,8 @@
         .map_err(|source| ProcessError::File { path: file.into(), source })
 }
 
-/// Starts the program and waits until it serves; its process and the address that it listens on.
+/// Starts the program, waits until the process has logged its listen address, and returns the process and the
+/// address.
 async fn spawn(
     launch: &Launch, config_file: &Path, name: &str, listen: SocketAddr, config: &Value, log: &Log,
 ) -> Result<(Child, SocketAddr), ProcessError> {
@@ -218,19 +222,20 @@
     let stderr = child.stderr.take().ok_or_else(|| ProcessError::NoLog { name: name.into() })?;
     let (addresses, mut address) = mpsc::channel(1);
     tokio::spawn(read_log(stderr, log.clone(), addresses));
-    match timeout(READY_TIMEOUT, address.recv()).await {
+    match timeout(START_OR_EXIT_TIMEOUT, address.recv()).await {
         Ok(Some(address)) => Ok((child, address)),
-        _ => Err(ProcessError::NotReady { name: name.into(), timeout: READY_TIMEOUT }),
+        _ => Err(ProcessError::NotReady { name: name.into(), timeout: START_OR_EXIT_TIMEOUT }),
     }
 }
 
-/// Reads a log to its end, so that the process never blocks on it, and reports the address that it listens on.
+/// Reads the log of a process to its end, so that the process never blocks on a full pipe, and sends the listen
+/// address that the log contains to `addresses`.
 async fn read_log(stderr: ChildStderr, log: Log, addresses: mpsc::Sender<SocketAddr>) {
     let mut lines = BufReader::new(stderr).lines();
     while let Ok(Some(line)) = lines.next_line().await {
         let listen = line.split("listen=").nth(1).and_then(|rest| rest.split(' ').next());
         if let Some(address) = listen.and_then(|text| text.parse::<SocketAddr>().ok()) {
-            // Only the first address is awaited.
+            // The receiver takes only the first address.
             let _ = addresses.try_send(address);
         }
         log.push(line);
--- a/fault-tests/src/site.rs
+++ b/fault-tests/src/site.rs
@@ -1,4 +1,5 @@
-//! A site under test: gateway processes, stub hosts, stub discovery, and a link on each path between two of them.
+//! A site under test: gateway processes, stub hosts, stub discovery, and a link on each path that a gateway
+//! has to its clients, to a host and to discovery.
 use crate::client::{Client, Request};
 use crate::error::Error;
 use crate::history::{Event, EventKind, HistoryRecorder};
@@ -14,29 +15,29 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// The most attempts of a request, the first one included.
+/// Maximum number of attempts of a request, the first attempt included.
 const MAX_ATTEMPTS: usize = 3;
-/// The most gateways of a site.
-const MAX_GATEWAY_COUNT: usize = 40;
-/// The service classes: idempotent, with an idempotency key, and not idempotent.
+/// Maximum number of gateways of a site.
+const MAX_GATEWAYS: usize = 40;
+/// Names of the service classes: idempotent, idempotent with a key, and non-idempotent.
 pub const CLASSES: [&str; 3] = ["look", "book", "sign"];
 
 /// The size and the settings of a site.
 #[derive(Clone, Copy, Debug)]
 pub struct SiteConfig {
-    /// Gateway processes, 1 to 40.
+    /// Number of gateway processes, 1 to 40.
     pub gateways: usize,
-    /// Stub hosts.
+    /// Number of stub hosts, at least 1.
     pub hosts: usize,
-    /// How long a client waits.
+    /// Time that a client waits for a response.
     pub client_timeout: Duration,
-    /// How long a host processes a request.
+    /// Time that a host takes to process a request.
     pub service_time: Duration,
-    /// How long hosts deduplicate requests of class `book`, in ms.
+    /// Deduplication window of hosts for requests of class `book`, in ms.
     pub deduplication_window_ms: u64,
-    /// Whether endpoint lists are pushed rather than polled.
+    /// Whether the gateways' setting for discovery is `push` rather than `ask`.
     pub push_discovery: bool,
-    /// Whether gateways may cancel requests in flight.
+    /// Whether gateways may cancel attempts in flight.
     pub allow_cancellation: bool,
 }
 
@@ -58,17 +59,17 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum LinkTarget {
-    /// The gateway's clients.
+    /// All clients of the gateway.
     Clients,
-    /// A host.
+    /// The host with this index.
     Host(usize),
-    /// All hosts.
+    /// All hosts of the site.
     Hosts,
-    /// Discovery.
+    /// The stub discovery.
     Discovery,
 }
 
-/// Creates requests with unique ids; clones share the ids.
+/// A source of requests with unique ids. Clones draw ids from the same sequence.
 #[derive(Clone, Debug)]
 pub struct RequestFactory {
     next_id: Arc<AtomicU64>,
@@ -76,7 +77,7 @@
 }
 
 impl RequestFactory {
-    /// A new request.
+    /// Returns a request of a class with a new id.
     pub fn next(&self, class: &'static str) -> Request {
         let id = self.next_id.fetch_add(1, Ordering::Relaxed);
         Request { id: format!("{id:016x}"), class, client_timeout: self.client_timeout }
@@ -86,31 +87,31 @@
 /// A running site.
 #[derive(Debug)]
 pub struct Site {
-    /// Its size and settings.
+    /// Size and settings of the site.
     pub config: SiteConfig,
-    /// Records what clients, hosts and discovery observe.
+    /// Recorder of the events that clients, hosts and discovery observe.
     pub recorder: HistoryRecorder,
-    /// The gateway processes.
+    /// Gateway processes, by index of the gateway.
     pub gateways: Vec<Process>,
-    /// The hosts.
+    /// Stub hosts, by index of the host.
     pub hosts: Vec<StubHost>,
-    /// Discovery.
+    /// Stub discovery, which all gateways share.
     pub discovery: StubDiscovery,
-    /// From clients to each gateway.
+    /// Links from clients to a gateway, by index of the gateway.
     pub from_clients: Vec<Link>,
-    /// From each gateway to each host.
+    /// Links from a gateway to a host, by index of the gateway and of the host.
     pub to_hosts: Vec<Vec<Link>>,
-    /// From each gateway to discovery.
+    /// Links from a gateway to discovery, by index of the gateway.
     pub to_discovery: Vec<Link>,
     next_id: Arc<AtomicU64>,
     folder: tempfile::TempDir,
 }
 
 impl Site {
-    /// Starts all parts and waits until all gateways serve.
+    /// Starts hosts, discovery, links and gateways, and waits until every gateway listens.
     ///
     /// # Errors
-    /// If the size is out of range, or a part cannot be started.
+    /// Returns an error if the size is out of range, or if a process, stub server or link cannot be started.
     pub async fn start(launch: &Launch, config: SiteConfig) -> Result<Self, Error> {
         check_size(&config)?;
         let recorder = HistoryRecorder::default();
@@ -156,7 +157,7 @@
         Ok(())
     }
 
-    /// The configuration of a gateway, with the present endpoint list.
+    /// Returns the configuration of a gateway, with the current endpoint list.
     pub fn gateway_config(&self, gateway: usize) -> Value {
         let config = &self.config;
         let class = |name: &str, effect: &str, window_ms: u64| {
@@ -187,10 +188,10 @@
         })
     }
 
-    /// Restarts a gateway that has exited, with the present endpoint list.
+    /// Restarts a gateway that has exited, with the current endpoint list.
     ///
     /// # Errors
-    /// If it cannot be started or does not serve in time.
+    /// Returns an error if the process cannot be started or does not log its listen address in time.
     pub async fn restart(&mut self, gateway: usize) -> Result<(), Error> {
         let config = self.gateway_config(gateway);
         self.discovery.record_initial_list(gateway, &self.recorder);
@@ -199,7 +200,7 @@
         Ok(())
     }
 
-    /// The links between a gateway and a peer.
+    /// Returns the links between a gateway and a peer.
     pub fn links(&self, gateway: usize, target: LinkTarget) -> Vec<&Link> {
         match target {
             LinkTarget::Clients => vec![&self.from_clients[gateway]],
@@ -209,10 +210,10 @@
         }
     }
 
-    /// Asks a gateway to exit and waits until it has.
+    /// Asks a gateway to exit (SIGTERM) and waits until the process has exited.
     ///
     /// # Errors
-    /// If it does not exit with code 0 in time.
+    /// Returns an error if the process does not exit with code 0 in time.
     pub async fn terminate(&mut self, gateway: usize) -> Result<(), Error> {
         match self.gateways[gateway].terminate().await? {
             Some(0) => Ok(()),
@@ -220,20 +221,20 @@
         }
     }
 
-    /// Stops a gateway's process and records it.
+    /// Stops a gateway's process (SIGSTOP) and records the fault.
     ///
     /// # Errors
-    /// If it has exited or cannot be signalled.
+    /// Returns an error if the process has exited or cannot be signalled.
     pub fn pause(&self, gateway: usize) -> Result<(), Error> {
-        self.record_fault(gateway, "stands still");
+        self.record_fault(gateway, "stopped (SIGSTOP)");
         self.recorder.record(EventKind::DiscoveryCut { gateway });
         Ok(self.gateways[gateway].pause()?)
     }
 
-    /// Lets a gateway's process continue and records it.
+    /// Continues a gateway's stopped process (SIGCONT) and records the recovery.
     ///
     /// # Errors
-    /// If it has exited or cannot be signalled.
+    /// Returns an error if the process has exited or cannot be signalled.
     pub fn resume(&self, gateway: usize) -> Result<(), Error> {
         self.gateways[gateway].resume()?;
         self.recorder.record(EventKind::DiscoveryRestored { gateway });
@@ -241,7 +242,7 @@
         Ok(())
     }
 
-    /// What this site's settings guarantee.
+    /// Returns the bounds that this site's settings guarantee.
     pub fn guarantees(&self) -> Guarantees {
         let window_ms = self.config.deduplication_window_ms;
         Guarantees {
@@ -262,18 +263,19 @@
         }
     }
 
-    /// A new request.
+    /// Returns a request of a class with a new id.
     pub fn request(&self, class: &'static str) -> Request {
         self.request_factory().next(class)
     }
 
-    /// A source of this site's requests for another task.
+    /// Returns a source of this site's requests that another task can own.
     pub fn request_factory(&self) -> RequestFactory {
         RequestFactory { next_id: self.next_id.clone(), client_timeout: self.config.client_timeout }
     }
 
-    /// Has `clients` new clients of each of these gateways send `count` requests one after another; the status of each, or
-    /// `None` if there was no complete response.
+    /// Has `clients` new clients of each gateway in `gateways` send `count` requests, each client one request
+    /// after another. Returns the status of each request, or `None` for a request without a complete
+    /// response.
     pub async fn send_requests(&self, gateways: &[usize], clients: usize, count: usize) -> Vec<Option<u16>> {
         let mut tasks = Vec::new();
         for gateway in gateways {
@@ -297,32 +299,33 @@
         statuses
     }
 
-    /// Records that clients of a gateway cannot expect responses from now on.
+    /// Records that clients of a gateway cannot expect responses from now on, because of a fault.
     pub fn record_fault(&self, gateway: usize, description: impl Into<String>) {
         self.recorder.record(EventKind::GatewayFaulted { gateway, description: description.into() });
     }
 
-    /// Records that they can again.
+    /// Records that clients of a gateway can expect responses again.
     pub fn record_recovery(&self, gateway: usize) {
         self.recorder.record(EventKind::GatewayRecovered { gateway });
     }
 
-    /// Ends the faults of all links.
+    /// Removes the faults of all links and resets the open connections of the links that had faults.
     pub fn clear_link_faults(&self) {
         let links = self.from_clients.iter().chain(&self.to_discovery).chain(self.to_hosts.iter().flatten());
         for link in links.filter(|link| link.faults() != LinkFaults::default()) {
             link.set(LinkFaults::default());
-            // Nobody waits any more for what open connections still hold back.
+            // The data that a stalled connection still holds belongs to requests that have timed out, so that
+            // the connection is reset instead of continued.
             link.reset();
         }
     }
 
-    /// Removes and returns the history so far.
+    /// Removes and returns all events that were recorded so far.
     pub fn take_history(&self) -> Vec<Event> {
         self.recorder.take()
     }
 
-    /// The last log lines of all gateways.
+    /// Returns the last log lines of all gateways, each line with the gateway's name.
     pub fn logs(&self) -> String {
         let lines_of = |(number, gateway): (usize, &Process)| {
             gateway.log().iter().map(|line| format!("g{number} {line}\n")).collect::<String>()
@@ -331,7 +334,7 @@
     }
 }
 
-/// Starts a host, and adds the link from each gateway to it.
+/// Starts a host and adds the link from each gateway to the host.
 async fn start_host(
     number: usize, config: &SiteConfig, recorder: &HistoryRecorder, to_hosts: &mut [Vec<Link>],
 ) -> io::Result<StubHost> {
@@ -342,13 +345,14 @@
     Ok(host)
 }
 
-/// Checks that the size is in range and that the limit of open files suffices for it.
+/// Checks that the size of the site is in range and within the limit of open files.
 fn check_size(config: &SiteConfig) -> Result<(), Error> {
     let SiteConfig { gateways, hosts, .. } = *config;
-    if !(1..=MAX_GATEWAY_COUNT).contains(&gateways) || hosts == 0 {
+    if !(1..=MAX_GATEWAYS).contains(&gateways) || hosts == 0 {
         return Err(Error::SiteSize { gateways, hosts });
     }
-    // The listeners, and for each path some connections, both ends of which are in this process.
+    // Listeners, and several connections for each path. The links and stub servers run in this process, so
+    // that both ends of a connection count.
     let needed = 64 + gateways * (hosts * 12 + 40);
     let limit = rustix::process::getrlimit(rustix::process::Resource::Nofile).current.unwrap_or(u64::MAX);
     if (needed as u64) > limit {
--- a/fault-tests/src/soak/clients.rs
+++ b/fault-tests/src/soak/clients.rs
@@ -153,7 +153,8 @@
         }
     }
 
-    /// Pipelines some requests and reads their responses in order. After a response that closes the connection, the
+    /// Pipelines some requests and reads their responses in order. After a response that closes the connection,
+    /// the
     /// remaining requests have not been accepted.
     async fn send_pipelined(
         &self, connection: Connection, first: &Request, count: usize,
--- a/fault-tests/src/soak/faults.rs
+++ b/fault-tests/src/soak/faults.rs
@@ -187,7 +187,8 @@
     }
 }
 
-/// Writes the shim to a folder; the environment variables with which a gateway loads it and finds its control file there.
+/// Writes the shim to a folder; the environment variables with which a gateway loads it and finds its control file
+/// there.
 ///
 /// # Errors
 /// If the shim cannot be written.
--- a/fault-tests/src/soak/judge.rs
+++ b/fault-tests/src/soak/judge.rs
@@ -117,7 +117,8 @@
     Ok(injected)
 }
 
-/// Where faults break clients' connections, a request may stay unanswered, or be resent although it was accepted: as many
+/// Where faults break clients' connections, a request may stay unanswered, or be resent although it was accepted:
+/// as many
 /// as were broken, and those that were pipelined behind them.
 fn without_excused(plan: &Plan, outcome: &Outcome, violations: Vec<Violation>) -> Vec<Violation> {
     let broken_count: u64 =
--- a/fault-tests/src/soak/mod.rs
+++ b/fault-tests/src/soak/mod.rs
@@ -1,7 +1,9 @@
-//! The soak: drawn sites of real processes whose system calls fail, whose clocks step and which are stopped, alone and
+//! The soak: drawn sites of real processes whose system calls fail, whose clocks step and which are stopped, alone
+//! and
 //! mixed, at each phase of a process's life, judged by the invariants.
 //!
-//! [`faults`] tells a process's shim what to inject, [`plan`] draws the runs, [`clients`] send requests, [`run`] plays one
+//! [`faults`] tells a process's shim what to inject, [`plan`] draws the runs, [`clients`] send requests, [`run`]
+//! plays one
 //! run and [`judge`] checks it, [`report`] sums up.
 pub mod clients;
 pub mod faults;
--- a/fault-tests/src/soak/plan.rs
+++ b/fault-tests/src/soak/plan.rs
@@ -61,7 +61,8 @@
     }
 }
 
-/// The plans of a soak: each kind alone in each phase, in order, and then mixed ones with two or three kinds and a few
+/// The plans of a soak: each kind alone in each phase, in order, and then mixed ones with two or three kinds and a
+/// few
 /// dozen processes at once.
 pub fn plans(seed: u64, count: usize, service: Duration) -> Vec<Plan> {
     let alone = faults::ALL.iter().flat_map(|kind| Phase::ALL.map(|phase| (*kind, phase)));
--- a/fault-tests/tests/invariants.rs
+++ b/fault-tests/tests/invariants.rs
@@ -16,12 +16,12 @@
         drain_grace_ms: 1000,
         disconnect_slack_ms: Some(100),
         deadline_slack_ms: Some(150),
-        slow_start: Some(WindowLimit { window_ms: 2000, max_request_count: 4 }),
+        slow_start: Some(WindowLimit { window_ms: 2000, max_requests: 4 }),
         contradiction_ms: 2000,
         max_unavailable: 2,
         rate_limits: vec![TenantLimit {
             tenant: "acme".into(),
-            limit: WindowLimit { window_ms: 1000, max_request_count: 5 },
+            limit: WindowLimit { window_ms: 1000, max_requests: 5 },
         }],
     }
 }
--- a/fault-tests/tests/processes.rs
+++ b/fault-tests/tests/processes.rs
@@ -57,8 +57,14 @@
     let step = |at: u64, deed: &str| format!("[[steps]]\nat_ms = {at}\nfor_ms = 10\ndeed = {deed}\n");
     for (text, expected) in [
         (format!("{good}speed = 1\nsteps = []\n"), "speed"),
-        (good.to_string() + &step(0, "{ kill = { gateway = 3 } }"), "steps[0].deed: there are 3 gateways"),
-        (good.to_string() + &step(0, "{ drain = { host = 2 } }"), "steps[0].deed: there are 2 hosts"),
+        (
+            good.to_string() + &step(0, "{ kill = { gateway = 3 } }"),
+            "steps[0].deed: unknown gateway: the site has 3 gateways",
+        ),
+        (
+            good.to_string() + &step(0, "{ drain = { host = 2 } }"),
+            "steps[0].deed: unknown host: the site has 2 hosts",
+        ),
         (
             good.to_string()
                 + &step(5, "{ pause = { gateway = 0 } }")
--- a/fault-tests/tests/schedules.rs
+++ b/fault-tests/tests/schedules.rs
@@ -38,11 +38,17 @@
     let step = |at: u64, deed: &str| format!("[[steps]]\nat_ms = {at}\nfor_ms = 1\n{deed}\n");
     let head = "gateways = 2\nhosts = 1\nlength_ms = 9\n";
     for (steps, wanted) in [
-        (step(1, "deed.kill.gateway = 2"), "steps[0].deed: there are 2 gateways, numbered from 0"),
-        (step(1, "deed.drain.host = 1"), "steps[0].deed: there are 1 hosts, numbered from 0"),
+        (
+            step(1, "deed.kill.gateway = 2"),
+            "steps[0].deed: unknown gateway: the site has 2 gateways, numbered from 0",
+        ),
+        (
+            step(1, "deed.drain.host = 1"),
+            "steps[0].deed: unknown host: the site has 1 hosts, numbered from 0",
+        ),
         (
             step(5, "deed.pause.gateway = 1") + &step(4, "deed.term.gateway = 1"),
-            "steps[1].at_ms: 4 comes after 5: expected the order of time",
+            "steps[1].at_ms: 4 ms is before the previous step (5 ms), expected ascending times",
         ),
     ] {
         let error = Schedule::read(&format!("{head}{steps}")).expect_err("a faulty schedule");
