--- a/fault-tests/build.rs
+++ b/fault-tests/build.rs
@@ -1,4 +1,5 @@
-//! Builds the library that makes system calls of a gateway fail, from `shim/` alone.
+//! Builds the shared library that makes system calls of a gateway fail. The sources are those in `shim/`,
+//! without any crate.
 use std::env;
 use std::path::PathBuf;
 use std::process::Command;
@@ -11,6 +12,6 @@
     build.args(["--edition", "2021", "--crate-type", "cdylib", "--crate-name", "ternstack_faults"]);
     build.args(["-C", "opt-level=2", "-C", "panic=abort", "-A", "dead_code"]);
     build.arg("shim/faults.rs").arg("-o").arg(out.join("faults.so"));
-    let status = build.status().expect("the compiler runs");
+    let status = build.status().expect("the Rust compiler can be started");
     assert!(status.success(), "shim/faults.rs does not compile: {status}");
 }
--- a/fault-tests/shim/faults.rs
+++ b/fault-tests/shim/faults.rs
@@ -1,11 +1,14 @@
-//! Makes system calls of a process fail in ways that Linux documents, as another process tells it to.
+//! Makes system calls of the current process fail with errors that Linux documents, controlled by another
+//! process.
 //!
-//! `fault-tests/build.rs` compiles this file alone into a library that the fault tests preload into gateways; the gateway's tests include
-//! it as a module. It stands between the program and the C library: each function below takes the place of the one of the
-//! same name, makes the call fail if its fault is due, and else carries it out.
+//! `fault-tests/build.rs` compiles this file and its modules into a shared library that the fault tests
+//! preload into gateways; tests of other packages include the file as a module. The shim interposes functions
+//! of the C library: each `extern "C"` function replaces the function of the same name, and either fails with
+//! an injected error or performs the system call.
 //!
-//! What is due stands in a [`Control`] that is mapped from the file at `TERNSTACK_FAULTS`, so that it can be changed from
-//! outside at any moment; what has been injected is counted there.
+//! The rates of all faults are read from a [`Control`] that is mapped from the file at `TERNSTACK_FAULTS`, so
+//! that another process can change them at any time. The numbers of injected faults are counted in the same
+//! [`Control`].
 mod files;
 mod syscall_numbers;
 
@@ -15,16 +18,17 @@
 use std::sync::atomic::{AtomicI32, AtomicI64, AtomicPtr, AtomicU32, AtomicU64, AtomicU8};
 use syscall_numbers as number;
 
-/// The variable that names the control file.
+/// Environment variable with the path of the control file.
 pub const CONTROL_VARIABLE: &CStr = c"TERNSTACK_FAULTS";
-/// The variable that names the start of the paths whose files are subject to faults.
+/// Environment variable with a path prefix; only files whose path starts with the prefix are subject to
+/// faults.
 pub const FOLDER_VARIABLE: &CStr = c"TERNSTACK_FAULTS_FOLDER";
-/// How many kinds of faults there may be.
-pub const KINDS: usize = 32;
-/// A rate of this injects at every call.
+/// Maximum number of kinds of faults, which fixes the layout of [`Control`].
+pub const MAX_KINDS: usize = 32;
+/// Rate that injects a fault into every call; smaller rates are fractions of it.
 pub const ALWAYS: u32 = 1 << 16;
 
-/// The kinds of faults, as places in [`Control::rates`] and [`Control::injected`].
+/// The kinds of faults. The value of a kind is its index in [`Control::rates`] and [`Control::injected`].
 #[derive(Clone, Copy)]
 #[repr(usize)]
 pub enum Kind {
@@ -48,21 +52,21 @@
     ConnectNoBuffers = 8,
     /// `epoll_wait` fails with EINTR.
     WaitInterrupted = 9,
-    /// A read from a socket takes a part of the bytes.
+    /// A read from a socket returns only a part of the requested bytes.
     ReadShort = 10,
     /// A read from a socket fails with EINTR.
     ReadInterrupted = 11,
-    /// A read from a server breaks the connection with ETIMEDOUT.
+    /// A read from a server fails with ETIMEDOUT and shuts the connection down.
     ReadTimedOut = 12,
-    /// A read from a server breaks the connection with EHOSTUNREACH.
+    /// A read from a server fails with EHOSTUNREACH and shuts the connection down.
     ReadHostUnreachable = 13,
-    /// A write to a socket takes a part of the bytes.
+    /// A write to a socket accepts only a part of the given bytes.
     WriteShort = 14,
     /// A write to a socket fails with EINTR.
     WriteInterrupted = 15,
-    /// A write to a server breaks the connection with ETIMEDOUT.
+    /// A write to a server fails with ETIMEDOUT and shuts the connection down.
     WriteTimedOut = 16,
-    /// A write to a server breaks the connection with EHOSTUNREACH.
+    /// A write to a server fails with EHOSTUNREACH and shuts the connection down.
     WriteHostUnreachable = 17,
     /// A write to a socket fails with ENOBUFS.
     WriteNoBuffers = 18,
@@ -74,50 +78,53 @@
     FileWrite = 21,
     /// Syncing a file fails with EIO.
     FileSync = 22,
-    /// A write to a socket is delayed.
-    WriteHeld = 23,
-    /// A read from or write to a client breaks the connection with ETIMEDOUT.
+    /// A write to a socket is delayed by [`Control::write_delay_ms`].
+    WriteDelayed = 23,
+    /// A read from or write to a client fails with ETIMEDOUT and shuts the connection down.
     ClientTimedOut = 24,
-    /// A read from or write to a client breaks the connection with EHOSTUNREACH.
+    /// A read from or write to a client fails with EHOSTUNREACH and shuts the connection down.
     ClientUnreachable = 25,
-    /// The wall clock is stepped.
+    /// A read of the wall clock returns a time with [`Control::wall_offset_ns`] added; this kind is only
+    /// counted.
     ClockStep = 26,
 }
 
-/// What is to be injected, and what has been. The fault tests read and write the same layout in the file.
+/// The rates of faults and the numbers of injected faults. The fault tests read and write the same layout in
+/// the control file.
 #[derive(Default)]
 #[repr(C)]
 pub struct Control {
-    /// Where the draws begin.
+    /// State of the random number generator, initially the seed.
     pub seed: AtomicU64,
-    /// What the wall clock is off by, in ns.
+    /// Offset that is added to the wall clock, in ns.
     pub wall_offset_ns: AtomicI64,
-    /// Only calls of this thread are subject to faults; 0 for all threads.
+    /// Id of the only thread whose calls are subject to faults; 0 for all threads.
     pub thread: AtomicI32,
-    /// How long [`Kind::WriteHeld`] holds up a write, in ms.
-    pub held_ms: AtomicU32,
-    /// The chance of each kind, in parts of [`ALWAYS`].
-    pub rates: [AtomicU32; KINDS],
-    /// How often each kind has been injected.
-    pub injected: [AtomicU64; KINDS],
+    /// Delay of a write by [`Kind::WriteDelayed`], in ms.
+    pub write_delay_ms: AtomicU32,
+    /// Probability of each kind, as a fraction of [`ALWAYS`].
+    pub rates: [AtomicU32; MAX_KINDS],
+    /// Number of injected faults of each kind.
+    pub injected: [AtomicU64; MAX_KINDS],
 }
 
 static CONTROL: AtomicPtr<Control> = AtomicPtr::new(null_mut());
-/// 0: not looked for yet; 1: there is none; 2: [`CONTROL`] has it.
-static LOOKED: AtomicU8 = AtomicU8::new(0);
+/// State of the search for a control: 0 before the search, 1 if there is no control, 2 once [`CONTROL`] is
+/// set.
+static CONTROL_STATE: AtomicU8 = AtomicU8::new(0);
 
-/// A descriptor that is not subject to faults.
-const OTHER: u8 = 0;
-/// A connection from a client.
-const ACCEPTED: u8 = 1;
-/// A socket for a connection to a server.
-const CONNECTED: u8 = 2;
-/// A file that is subject to faults.
-const FILE: u8 = 3;
-/// Descriptors from this number on are not subject to faults.
-const DESCRIPTORS: usize = 65_536;
-/// How each descriptor was opened.
-static OPENED: [AtomicU8; DESCRIPTORS] = [const { AtomicU8::new(OTHER) }; DESCRIPTORS];
+/// Type of a descriptor that is not subject to faults.
+const UNTRACKED: u8 = 0;
+/// Type of a descriptor returned by `accept4`: a connection from a client.
+const CLIENT_CONNECTION: u8 = 1;
+/// Type of an IPv4 socket that the process opened: a connection to a server.
+const SERVER_CONNECTION: u8 = 2;
+/// Type of a descriptor of a file that is subject to faults.
+const TRACKED_FILE: u8 = 3;
+/// Number of descriptors whose type is stored; higher descriptors are not subject to faults.
+const MAX_DESCRIPTORS: usize = 65_536;
+/// Type of each descriptor, by its number.
+static DESCRIPTOR_TYPES: [AtomicU8; MAX_DESCRIPTORS] = [const { AtomicU8::new(UNTRACKED) }; MAX_DESCRIPTORS];
 
 const EINTR: c_int = 4;
 const EIO: c_int = 5;
@@ -137,17 +144,17 @@
 const PROT_READ_WRITE: c_int = 3;
 const MAP_SHARED: c_int = 1;
 
-/// An `iovec`.
+/// A buffer, with the layout of the C type `iovec`.
 #[repr(C)]
 #[derive(Clone, Copy)]
-pub struct Slice {
+pub struct IoVec {
     base: *mut c_void,
     length: usize,
 }
 
-/// A `timespec`.
+/// A point in time or a duration, with the layout of the C type `timespec`.
 #[repr(C)]
-pub struct Time {
+pub struct TimeSpec {
     seconds: i64,
     nanoseconds: i64,
 }
@@ -158,52 +165,54 @@
     fn getenv(name: *const c_char) -> *const c_char;
 }
 
-/// Has this process follow a control, in place of the file that the environment names.
+/// Sets the control of this process, in place of the control file that the environment names.
 pub fn set_control(control: &'static Control) {
     CONTROL.store(std::ptr::from_ref(control).cast_mut(), Relaxed);
-    LOOKED.store(2, Relaxed);
+    CONTROL_STATE.store(2, Relaxed);
 }
 
+/// Returns the control of this process, which the first call maps from the control file if there is one.
 fn control() -> Option<&'static Control> {
-    if LOOKED.load(Relaxed) == 0 {
-        LOOKED.store(1, Relaxed);
-        // SAFETY: the variable's text ends with a zero byte, and the file is as long as `Control` and stays mapped.
+    if CONTROL_STATE.load(Relaxed) == 0 {
+        CONTROL_STATE.store(1, Relaxed);
+        // SAFETY: the variable's text ends with a zero byte, and the control file has the length of `Control`
+        // and stays mapped until the process exits.
         unsafe {
             let path = getenv(CONTROL_VARIABLE.as_ptr());
             if !path.is_null() {
-                let file = syscall(number::OPENAT, AT_FDCWD, path, O_RDWR, 0);
+                let fd = syscall(number::OPENAT, AT_FDCWD, path, O_RDWR, 0);
                 let length = size_of::<Control>();
-                let at =
-                    syscall(number::MMAP, 0usize, length, PROT_READ_WRITE, MAP_SHARED, file as c_int, 0usize);
-                syscall(number::CLOSE, file as c_int);
-                if file >= 0 && at > 0 {
-                    CONTROL.store(at as *mut Control, Relaxed);
-                    LOOKED.store(2, Relaxed);
+                let mapped =
+                    syscall(number::MMAP, 0usize, length, PROT_READ_WRITE, MAP_SHARED, fd as c_int, 0usize);
+                syscall(number::CLOSE, fd as c_int);
+                if fd >= 0 && mapped > 0 {
+                    CONTROL.store(mapped as *mut Control, Relaxed);
+                    CONTROL_STATE.store(2, Relaxed);
                 }
             }
         }
     }
-    // SAFETY: what it points to is mapped, or static, for the rest of the process.
+    // SAFETY: the control that `CONTROL` points to is static, or is mapped until the process exits.
     unsafe { CONTROL.load(Relaxed).as_ref() }
 }
 
-/// The next draw of a generator that all threads share.
+/// Returns the next number of a random number generator (SplitMix64) that all threads share.
 fn draw(control: &Control) -> u64 {
-    let mut z = control.seed.fetch_add(0x9e37_79b9_7f4a_7c15, Relaxed);
-    z = (z ^ (z >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
-    z = (z ^ (z >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
-    z ^ (z >> 31)
+    let mut bits = control.seed.fetch_add(0x9e37_79b9_7f4a_7c15, Relaxed);
+    bits = (bits ^ (bits >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
+    bits = (bits ^ (bits >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
+    bits ^ (bits >> 31)
 }
 
-/// Whether a fault is to be injected now; it is counted then.
-fn due(kind: Kind) -> bool {
+/// Draws whether a fault is injected into the current call, and counts the fault if so.
+fn should_inject(kind: Kind) -> bool {
     let Some(control) = control() else { return false };
     let rate = control.rates[kind as usize].load(Relaxed);
     if rate == 0 || draw(control) as u32 % ALWAYS >= rate {
         return false;
     }
     let thread = control.thread.load(Relaxed);
-    // SAFETY: the call has no arguments.
+    // SAFETY: `gettid` has no arguments.
     if thread != 0 && c_long::from(thread) != unsafe { syscall(number::GETTID) } {
         return false;
     }
@@ -211,162 +220,180 @@
     true
 }
 
-fn fail(error: c_int) -> c_long {
-    // SAFETY: the place of this thread's error.
+/// Sets `errno` and returns the result of a failed call.
+fn fail_with(error: c_int) -> c_long {
+    // SAFETY: the C library returns a valid pointer to `errno` of this thread.
     unsafe { *__errno_location() = error };
     -1
 }
 
-/// The first due fault of some, each with its error.
-fn failure(kinds: &[(Kind, c_int)]) -> Option<c_long> {
-    kinds.iter().find(|(kind, _)| due(*kind)).map(|(_, error)| fail(*error))
+/// Draws the faults in order and fails with the error of the first one that is injected, if any.
+fn first_failure(kinds: &[(Kind, c_int)]) -> Option<c_long> {
+    kinds.iter().find(|(kind, _)| should_inject(*kind)).map(|(_, error)| fail_with(*error))
 }
 
-fn opened(file: c_int) -> u8 {
-    usize::try_from(file).ok().and_then(|n| OPENED.get(n)).map_or(OTHER, |kind| kind.load(Relaxed))
+/// Returns the type of a descriptor, [`UNTRACKED`] if the type is not stored.
+fn descriptor_type(fd: c_int) -> u8 {
+    usize::try_from(fd)
+        .ok()
+        .and_then(|n| DESCRIPTOR_TYPES.get(n))
+        .map_or(UNTRACKED, |kind| kind.load(Relaxed))
 }
 
-fn note(file: c_long, kind: u8) {
-    if let Some(place) = usize::try_from(file).ok().and_then(|n| OPENED.get(n)) {
-        place.store(kind, Relaxed);
+/// Stores the type of a descriptor. Does nothing for the result of a failed call, which is negative.
+fn set_descriptor_type(fd: c_long, kind: u8) {
+    if let Some(slot) = usize::try_from(fd).ok().and_then(|n| DESCRIPTOR_TYPES.get(n)) {
+        slot.store(kind, Relaxed);
     }
 }
 
-/// A connection that breaks: both ends see it, and the call fails with what the fault says.
-fn broken(file: c_int, kinds: &[(Kind, c_int)]) -> Option<c_long> {
-    let (_, error) = kinds.iter().find(|(kind, _)| due(*kind))?;
-    // SAFETY: numbers only.
-    unsafe { syscall(number::SHUTDOWN, file, SHUT_RDWR) };
-    Some(fail(*error))
+/// Draws the faults in order. If one is injected, shuts the connection down, so that both ends notice, and
+/// fails with the error of the fault.
+fn break_connection(fd: c_int, kinds: &[(Kind, c_int)]) -> Option<c_long> {
+    let (_, error) = kinds.iter().find(|(kind, _)| should_inject(*kind))?;
+    // SAFETY: `shutdown` takes no pointers.
+    unsafe { syscall(number::SHUTDOWN, fd, SHUT_RDWR) };
+    Some(fail_with(*error))
 }
 
-fn hold_up() {
-    let held_ms = control().map_or(0, |control| control.held_ms.load(Relaxed));
-    let time = Time { seconds: 0, nanoseconds: i64::from(held_ms.min(999)) * 1_000_000 };
-    // SAFETY: the time lives through the call.
-    unsafe { syscall(number::NANOSLEEP, &time, null_mut::<Time>()) };
+/// Blocks the calling thread for [`Control::write_delay_ms`], for less than a second.
+fn delay_write() {
+    let write_delay_ms = control().map_or(0, |control| control.write_delay_ms.load(Relaxed));
+    let time = TimeSpec { seconds: 0, nanoseconds: i64::from(write_delay_ms.min(999)) * 1_000_000 };
+    // SAFETY: `time` lives until the call returns.
+    unsafe { syscall(number::NANOSLEEP, &time, null_mut::<TimeSpec>()) };
 }
 
-/// How many bytes of so many a short read or write takes: some of them, one at least.
-fn part(kind: Kind, length: usize) -> usize {
+/// Returns the length of a read or write of `length` bytes. If a short one is injected, the length is random,
+/// at least 1 and less than `length`.
+fn short_length(kind: Kind, length: usize) -> usize {
     match control() {
-        Some(control) if length > 1 && due(kind) => 1 + (draw(control) as usize) % (length - 1).min(64),
+        Some(control) if length > 1 && should_inject(kind) => {
+            1 + (draw(control) as usize) % (length - 1).min(64)
+        }
         _ => length,
     }
 }
 
-fn read_fault(file: c_int) -> Option<c_long> {
-    let lost = match opened(file) {
-        OTHER | FILE => return None,
-        CONNECTED => [(Kind::ReadTimedOut, ETIMEDOUT), (Kind::ReadHostUnreachable, EHOSTUNREACH)],
+/// Draws the faults of a read from a socket, and fails with the error of the injected one, if any.
+fn read_fault(fd: c_int) -> Option<c_long> {
+    let disconnects = match descriptor_type(fd) {
+        UNTRACKED | TRACKED_FILE => return None,
+        SERVER_CONNECTION => [(Kind::ReadTimedOut, ETIMEDOUT), (Kind::ReadHostUnreachable, EHOSTUNREACH)],
         _ => [(Kind::ClientTimedOut, ETIMEDOUT), (Kind::ClientUnreachable, EHOSTUNREACH)],
     };
-    failure(&[(Kind::ReadInterrupted, EINTR)]).or_else(|| broken(file, &lost))
+    first_failure(&[(Kind::ReadInterrupted, EINTR)]).or_else(|| break_connection(fd, &disconnects))
 }
 
-fn write_fault(file: c_int) -> Option<c_long> {
-    let lost = match opened(file) {
-        OTHER | FILE => return None,
-        CONNECTED => [(Kind::WriteTimedOut, ETIMEDOUT), (Kind::WriteHostUnreachable, EHOSTUNREACH)],
+/// Draws the faults of a write to a socket, delays the write if that is drawn, and fails with the error of
+/// the injected one, if any.
+fn write_fault(fd: c_int) -> Option<c_long> {
+    let disconnects = match descriptor_type(fd) {
+        UNTRACKED | TRACKED_FILE => return None,
+        SERVER_CONNECTION => [(Kind::WriteTimedOut, ETIMEDOUT), (Kind::WriteHostUnreachable, EHOSTUNREACH)],
         _ => [(Kind::ClientTimedOut, ETIMEDOUT), (Kind::ClientUnreachable, EHOSTUNREACH)],
     };
-    if due(Kind::WriteHeld) {
-        hold_up();
+    if should_inject(Kind::WriteDelayed) {
+        delay_write();
     }
-    failure(&[(Kind::WriteInterrupted, EINTR), (Kind::WriteNoBuffers, ENOBUFS)])
-        .or_else(|| broken(file, &lost))
+    first_failure(&[(Kind::WriteInterrupted, EINTR), (Kind::WriteNoBuffers, ENOBUFS)])
+        .or_else(|| break_connection(fd, &disconnects))
 }
 
 /// # Safety
-/// As `accept4(2)`.
+/// The requirements of `accept4(2)` apply.
 #[no_mangle]
-pub unsafe extern "C" fn accept4(file: c_int, from: *mut c_void, length: *mut u32, flags: c_int) -> c_int {
-    let failed = failure(&[
+pub unsafe extern "C" fn accept4(fd: c_int, from: *mut c_void, length: *mut u32, flags: c_int) -> c_int {
+    let failed = first_failure(&[
         (Kind::AcceptAborted, ECONNABORTED),
         (Kind::AcceptFileTable, ENFILE),
         (Kind::AcceptNoBuffers, ENOBUFS),
         (Kind::AcceptInterrupted, EINTR),
     ]);
-    let taken = failed.unwrap_or_else(|| syscall(number::ACCEPT4, file, from, length, flags));
-    note(taken, ACCEPTED);
-    taken as c_int
+    let accepted = failed.unwrap_or_else(|| syscall(number::ACCEPT4, fd, from, length, flags));
+    set_descriptor_type(accepted, CLIENT_CONNECTION);
+    accepted as c_int
 }
 
 /// # Safety
-/// As `socket(2)`.
+/// The requirements of `socket(2)` apply.
 #[no_mangle]
 pub unsafe extern "C" fn socket(domain: c_int, kind: c_int, protocol: c_int) -> c_int {
     let failed = match domain {
-        AF_INET => failure(&[(Kind::SocketFileTable, ENFILE), (Kind::SocketNoBuffers, ENOBUFS)]),
+        AF_INET => first_failure(&[(Kind::SocketFileTable, ENFILE), (Kind::SocketNoBuffers, ENOBUFS)]),
         _ => None,
     };
-    let file = failed.unwrap_or_else(|| syscall(number::SOCKET, domain, kind, protocol));
-    note(file, if domain == AF_INET { CONNECTED } else { OTHER });
-    file as c_int
+    let fd = failed.unwrap_or_else(|| syscall(number::SOCKET, domain, kind, protocol));
+    set_descriptor_type(fd, if domain == AF_INET { SERVER_CONNECTION } else { UNTRACKED });
+    fd as c_int
 }
 
 /// # Safety
-/// As `connect(2)`.
+/// The requirements of `connect(2)` apply.
 #[no_mangle]
-pub unsafe extern "C" fn connect(file: c_int, to: *const c_void, length: u32) -> c_int {
-    let failed = match opened(file) {
-        CONNECTED => failure(&[
+pub unsafe extern "C" fn connect(fd: c_int, to: *const c_void, length: u32) -> c_int {
+    let failed = match descriptor_type(fd) {
+        SERVER_CONNECTION => first_failure(&[
             (Kind::ConnectNoAddress, EADDRNOTAVAIL),
             (Kind::ConnectUnreachable, ENETUNREACH),
             (Kind::ConnectNoBuffers, ENOBUFS),
         ]),
         _ => None,
     };
-    failed.unwrap_or_else(|| syscall(number::CONNECT, file, to, length)) as c_int
+    failed.unwrap_or_else(|| syscall(number::CONNECT, fd, to, length)) as c_int
 }
 
 /// # Safety
-/// As `epoll_wait(2)`.
+/// The requirements of `epoll_wait(2)` apply.
 #[no_mangle]
-pub unsafe extern "C" fn epoll_wait(file: c_int, events: *mut c_void, most: c_int, timeout: c_int) -> c_int {
-    let failed = failure(&[(Kind::WaitInterrupted, EINTR)]);
-    let wait = || syscall(number::EPOLL_PWAIT, file, events, most, timeout, null_mut::<c_void>(), 8usize);
+pub unsafe extern "C" fn epoll_wait(
+    fd: c_int, events: *mut c_void, max_events: c_int, timeout: c_int,
+) -> c_int {
+    let failed = first_failure(&[(Kind::WaitInterrupted, EINTR)]);
+    let wait = || syscall(number::EPOLL_PWAIT, fd, events, max_events, timeout, null_mut::<c_void>(), 8usize);
     failed.unwrap_or_else(wait) as c_int
 }
 
 /// # Safety
-/// As `recv(2)`.
+/// The requirements of `recv(2)` apply.
 #[no_mangle]
-pub unsafe extern "C" fn recv(file: c_int, bytes: *mut c_void, length: usize, flags: c_int) -> isize {
-    if let Some(failed) = read_fault(file) {
+pub unsafe extern "C" fn recv(fd: c_int, bytes: *mut c_void, length: usize, flags: c_int) -> isize {
+    if let Some(failed) = read_fault(fd) {
         return failed as isize;
     }
-    let length = if opened(file) == OTHER { length } else { part(Kind::ReadShort, length) };
-    let (nobody, size) = (null_mut::<c_void>(), null_mut::<u32>());
-    syscall(number::RECVFROM, file, bytes, length, flags, nobody, size) as isize
+    let length =
+        if descriptor_type(fd) == UNTRACKED { length } else { short_length(Kind::ReadShort, length) };
+    let (no_address, no_length) = (null_mut::<c_void>(), null_mut::<u32>());
+    syscall(number::RECVFROM, fd, bytes, length, flags, no_address, no_length) as isize
 }
 
 /// # Safety
-/// As `send(2)`.
+/// The requirements of `send(2)` apply.
 #[no_mangle]
-pub unsafe extern "C" fn send(file: c_int, bytes: *const c_void, length: usize, flags: c_int) -> isize {
-    if let Some(failed) = write_fault(file) {
+pub unsafe extern "C" fn send(fd: c_int, bytes: *const c_void, length: usize, flags: c_int) -> isize {
+    if let Some(failed) = write_fault(fd) {
         return failed as isize;
     }
-    let length = if opened(file) == OTHER { length } else { part(Kind::WriteShort, length) };
-    syscall(number::SENDTO, file, bytes, length, flags, null_mut::<c_void>(), 0usize) as isize
+    let length =
+        if descriptor_type(fd) == UNTRACKED { length } else { short_length(Kind::WriteShort, length) };
+    syscall(number::SENDTO, fd, bytes, length, flags, null_mut::<c_void>(), 0usize) as isize
 }
 
 /// # Safety
-/// As `writev(2)`.
+/// The requirements of `writev(2)` apply.
 #[no_mangle]
-pub unsafe extern "C" fn writev(file: c_int, slices: *const Slice, count: c_int) -> isize {
-    if let Some(failed) = write_fault(file) {
+pub unsafe extern "C" fn writev(fd: c_int, buffers: *const IoVec, count: c_int) -> isize {
+    if let Some(failed) = write_fault(fd) {
         return failed as isize;
     }
-    let short = opened(file) != OTHER && count > 0 && due(Kind::WriteShort);
+    let short = descriptor_type(fd) != UNTRACKED && count > 0 && should_inject(Kind::WriteShort);
     if short {
-        // A short one takes a part of the first slice that has any bytes.
-        let first = (0..count as usize).map(|n| *slices.add(n)).find(|slice| slice.length > 0);
+        // A short write accepts at most 64 bytes of the first buffer that is not empty.
+        let first = (0..count as usize).map(|n| *buffers.add(n)).find(|buffer| buffer.length > 0);
         if let (Some(mut first), Some(control)) = (first, control()) {
             first.length = 1 + draw(control) as usize % first.length.min(64);
-            return syscall(number::WRITEV, file, &first, 1) as isize;
+            return syscall(number::WRITEV, fd, &first, 1) as isize;
         }
     }
-    syscall(number::WRITEV, file, slices, count) as isize
+    syscall(number::WRITEV, fd, buffers, count) as isize
 }
--- a/fault-tests/shim/syscall_numbers.rs
+++ b/fault-tests/shim/syscall_numbers.rs
@@ -1,4 +1,4 @@
-//! Numbers of Linux system calls, for each architecture that the shim is built on.
+//! Numbers of Linux system calls, for each architecture that the shim supports.
 #[cfg(target_arch = "aarch64")]
 pub use aarch64::*;
 #[cfg(target_arch = "x86_64")]
--- a/fault-tests/src/client.rs
+++ b/fault-tests/src/client.rs
@@ -13,9 +13,9 @@
 /// Time that a client waits beyond its timeout, so that a late response is recorded.
 const LATE_RESPONSE_WAIT: Duration = Duration::from_secs(1);
 
-/// Reads the next complete message of a connection. Returns the message and the time at which its first byte was
-/// read, in µs since the start of the run, or `None` if the connection ends or fails before the message is
-/// complete.
+/// Reads the next complete message of a connection. Returns the message and the time at which its first byte
+/// was read, in µs since the start of the run, or `None` if the connection ends or fails before the message
+/// is complete.
 pub(crate) async fn read_message<S: StartLine>(
     stream: &mut TcpStream, reader: &mut Reader<S>, recorder: &HistoryRecorder,
 ) -> Option<(CompleteMessage<S>, u64)> {
@@ -94,8 +94,8 @@
 }
 
 impl Client {
-    /// Returns a client of the gateway with index `gateway`, which is reached at `address`. The client connects
-    /// with its first request.
+    /// Returns a client of the gateway with index `gateway`, which is reached at `address`. The client
+    /// connects with its first request.
     pub fn new(gateway: usize, address: SocketAddr, recorder: &HistoryRecorder) -> Self {
         Client { gateway, address, recorder: recorder.clone(), stream: None }
     }
@@ -122,8 +122,8 @@
             match response.await {
                 Ok(Some((response, _))) => return Some(self.receive(request, &response, &reader, stream)),
                 Err(_) => return self.record_missing(request, "no response in time"),
-                // The gateway closed the idle connection while the request was on the way, so that the request is
-                // resent once over a new connection.
+                // The gateway closed the idle connection while the request was on the way, so that the
+                // request is resent once over a new connection.
                 Ok(None) if reused && !reader.has_begun() => {
                     reused = false;
                     self.recorder
@@ -134,8 +134,8 @@
         }
     }
 
-    /// Returns the open connection or a new one, or `None` if no connection is established within the client's
-    /// timeout.
+    /// Returns the open connection or a new one, or `None` if no connection is established within the
+    /// client's timeout.
     async fn connection(&mut self, request: &Request) -> Option<TcpStream> {
         if let Some(stream) = self.stream.take() {
             return Some(stream);
--- a/fault-tests/src/fault_schedule/mod.rs
+++ b/fault-tests/src/fault_schedule/mod.rs
@@ -102,14 +102,16 @@
     /// Parses a schedule from TOML and checks it.
     ///
     /// # Errors
-    /// Returns an error if the text is not a valid schedule. The error names the line, or the step and its key.
+    /// Returns an error if the text is not a valid schedule. The error names the line, or the step and its
+    /// key.
     pub fn read(text: &str) -> Result<Self, ScheduleError> {
         let schedule: Schedule = toml::from_str(text)?;
         schedule.check()?;
         Ok(schedule)
     }
 
-    /// Checks that all gateways and hosts that steps name exist and that the steps are ordered by their begin.
+    /// Checks that all gateways and hosts that steps name exist and that the steps are ordered by their
+    /// begin.
     ///
     /// # Errors
     /// Returns an error for the first step that is not valid.
--- a/fault-tests/src/history.rs
+++ b/fault-tests/src/history.rs
@@ -18,8 +18,8 @@
         /// Time that the client waits for the response, in ms.
         client_timeout_ms: u64,
     },
-    /// A client has resent a request over a new connection, because the reused connection ended before any byte of
-    /// the response.
+    /// A client has resent a request over a new connection, because the reused connection ended before any
+    /// byte of the response.
     RequestResent {
         /// Id of the request.
         id: String,
@@ -42,8 +42,8 @@
         /// Id of the request.
         id: String,
     },
-    /// A client would send its request to another gateway, because its connection ended before any byte of the
-    /// response and the gateway accepts no new connection.
+    /// A client would send its request to another gateway, because its connection ended before any byte of
+    /// the response and the gateway accepts no new connection.
     RequestMoved {
         /// Id of the request.
         id: String,
@@ -235,8 +235,8 @@
         std::mem::take(&mut self.lock())
     }
 
-    /// Returns the position after the last event, for [`HistoryRecorder::since`]. [`HistoryRecorder::take`] resets
-    /// the position to 0.
+    /// Returns the position after the last event, for [`HistoryRecorder::since`]. [`HistoryRecorder::take`]
+    /// resets the position to 0.
     pub fn position(&self) -> usize {
         self.lock().len()
     }
--- a/fault-tests/src/invariants/mod.rs
+++ b/fault-tests/src/invariants/mod.rs
@@ -84,7 +84,8 @@
     AnsweredOnce,
     /// A response arrives within the client's timeout plus the response slack.
     InTime,
-    /// The body of a response with status 200 is identical to the body that a host created for the same request.
+    /// The body of a response with status 200 is identical to the body that a host created for the same
+    /// request.
     BodyUnchanged,
     /// A request that a host has processed is retried only as the request's class permits.
     Idempotency,
--- a/fault-tests/src/links/mod.rs
+++ b/fault-tests/src/links/mod.rs
@@ -1,8 +1,8 @@
-//! Links with injected faults: every path between two parts of a site leads through one, and each direction fails
-//! on its own.
+//! Links with injected faults. Every path between two processes of a site leads through a link, and each
+//! direction of a link has its own faults.
 //!
-//! A [`Link`] forwards TCP connections, [`UdpLinkPair`] forwards datagrams. Both apply the [`LinkFaults`] or
-//! [`DirectionFaults`] that are set at the moment, and none at first.
+//! A [`Link`] forwards TCP connections, [`UdpLinkPair`] forwards datagrams. Both start without faults and
+//! apply the [`LinkFaults`] or [`DirectionFaults`] that were set last.
 mod tcp;
 mod udp;
 
@@ -13,84 +13,85 @@
 use serde::{Deserialize, Serialize};
 use std::time::Duration;
 
-/// What happens to a connection when it is cut.
+/// The way in which a connection is cut after [`DirectionFaults::cut_after`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum CutAction {
-    /// It is reset on both sides.
+    /// The connection is reset on both sides.
     Reset,
-    /// It is closed on both sides.
+    /// The connection is closed on both sides.
     End,
-    /// It stays open, and nothing crosses in this direction any more.
+    /// The connection stays open, and no further data is forwarded in the direction of the fault.
     Silence,
 }
 
-/// What a link does with a new connection.
+/// The way in which a link handles a new connection.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum ConnectionHandling {
-    /// It is accepted and forwarded.
+    /// The connection is accepted and forwarded.
     #[default]
     Open,
-    /// It is refused: nothing listens.
+    /// The connection is refused, because the link does not listen.
     Refused,
-    /// It is accepted and reset at once.
+    /// The connection is accepted and reset immediately.
     Reset,
-    /// It is accepted, and nothing ever crosses it.
+    /// The connection is accepted, and all data from the connecting side is discarded.
     BlackHole,
 }
 
-/// The faults of one direction of a link.
+/// The faults of one direction of a link. Values of 0 and `None` mean no fault.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct DirectionFaults {
-    /// Nothing crosses while this is set. TCP data is delivered afterwards, datagrams are lost.
+    /// Whether forwarding is stopped. TCP data is delivered once the stall ends, datagrams are lost.
     #[serde(rename = "held")]
     pub stalled: bool,
-    /// The delay of each chunk, in ms.
+    /// Delay of each chunk or datagram, in ms.
     pub delay_ms: u64,
-    /// The most that is added to the delay by chance, in ms.
+    /// Upper bound of the random time that is added to the delay, in ms.
     pub jitter_ms: u64,
-    /// The most bytes a second.
+    /// Maximum rate of a TCP connection, in bytes per second.
     pub bytes_per_s: Option<u64>,
-    /// After how many bytes a connection is cut, and how.
+    /// Number of bytes after which a TCP connection is cut, and the way in which it is cut.
     pub cut_after: Option<(u64, CutAction)>,
-    /// The share of the datagrams that is lost, 0 to 1.
+    /// Probability that a datagram is lost, 0 to 1.
     #[serde(rename = "loss")]
     pub loss_ratio: f64,
-    /// The share of the datagrams that is delivered twice, 0 to 1.
+    /// Probability that a datagram is delivered twice, 0 to 1.
     #[serde(rename = "repeat")]
     pub duplicate_ratio: f64,
-    /// The share of the datagrams that is delivered after the next one, 0 to 1.
+    /// Probability that a datagram is delivered after the next datagram, 0 to 1.
     #[serde(rename = "reorder")]
     pub reorder_ratio: f64,
 }
 
 impl DirectionFaults {
-    /// The delay of the next chunk or datagram, with its jitter.
+    /// Draws the delay of a chunk or datagram, including jitter.
     fn draw_delay(&self, rng: &mut impl Rng) -> Duration {
         let jitter_ms = if self.jitter_ms > 0 { rng.random_range(0..=self.jitter_ms) } else { 0 };
         Duration::from_millis(self.delay_ms + jitter_ms)
     }
 }
 
-/// The faults of a link.
+/// The faults of a TCP link.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct LinkFaults {
-    /// What happens to new connections.
+    /// Handling of new connections.
     #[serde(rename = "door")]
     pub connection_handling: ConnectionHandling,
-    /// From the side that connects to the side that listens.
+    /// Faults of the direction from the connecting side to the listening side.
     #[serde(rename = "there")]
     pub forward: DirectionFaults,
-    /// From the side that listens to the side that connects.
+    /// Faults of the direction from the listening side to the connecting side.
     #[serde(rename = "back")]
     pub reverse: DirectionFaults,
 }
 
 impl LinkFaults {
-    /// Returns the faults of a network partition: both directions are stalled, and open connections stay open.
+    /// Returns the faults of a network partition: both directions are stalled, and open connections stay
+    /// open.
     pub fn partition() -> Self {
         let stalled = DirectionFaults { stalled: true, ..DirectionFaults::default() };
         LinkFaults { forward: stalled, reverse: stalled, ..LinkFaults::default() }
--- a/fault-tests/src/links/tcp.rs
+++ b/fault-tests/src/links/tcp.rs
@@ -1,4 +1,5 @@
-//! A TCP link: accepts connections on its own address and forwards them, with the faults that are set.
+//! A TCP link: accepts connections on its own address and forwards them to a destination with the faults that
+//! are set.
 use super::{ConnectionHandling, CutAction, DirectionFaults, LinkFaults};
 use rand::SeedableRng;
 use rand_chacha::ChaCha8Rng;
@@ -13,18 +14,19 @@
 use tokio::task::JoinHandle;
 use tokio::time::sleep;
 
-/// The most bytes that are read at once.
+/// Maximum number of bytes that are read and forwarded as one chunk.
 const CHUNK_BYTES: usize = 16 * 1024;
-/// A limited direction sends this often a second.
+/// Number of sends per second in a direction with a limited rate.
 const SENDS_PER_S: usize = 50;
-/// The time between two sends of a limited direction.
+/// Time between two sends in a direction with a limited rate.
 const SEND_INTERVAL: Duration = Duration::from_millis(20);
-/// Delivered data gets this long to arrive before the connection is reset, as a reset would discard it.
-const DELIVERY_TIME: Duration = Duration::from_millis(5);
-/// The pause after an attempt to listen again has failed.
+/// Time that forwarded data gets to arrive before the connection is reset, because a reset would discard the
+/// data.
+const DELIVERY_DELAY: Duration = Duration::from_millis(5);
+/// Pause before the next try if a link that stopped refusing connections cannot bind its address again.
 const RELISTEN_INTERVAL: Duration = Duration::from_millis(20);
 
-/// How a connection, or one direction of it, ended.
+/// The way in which a connection, or one direction of a connection, ended.
 #[derive(Clone, Copy, PartialEq)]
 enum ConnectionEnd {
     Closed,
@@ -32,19 +34,19 @@
     Reset,
 }
 
-/// Listens on a loopback address of its own, so that no other program takes the port while the link refuses
-/// connections.
+/// Binds a listener to a loopback address that no other link uses, so that no other program takes the port
+/// while the link refuses connections.
 async fn listen() -> io::Result<TcpListener> {
-    static NEXT: AtomicU16 = AtomicU16::new(0);
-    let [high, low] = NEXT.fetch_add(1, Ordering::Relaxed).to_be_bytes();
-    let process = std::process::id().to_be_bytes()[3];
-    TcpListener::bind((Ipv4Addr::new(127, 16 + process % 64, high, low.max(1)), 0)).await
+    static NEXT_ADDRESS: AtomicU16 = AtomicU16::new(0);
+    let [high, low] = NEXT_ADDRESS.fetch_add(1, Ordering::Relaxed).to_be_bytes();
+    let process_byte = std::process::id().to_be_bytes()[3];
+    TcpListener::bind((Ipv4Addr::new(127, 16 + process_byte % 64, high, low.max(1)), 0)).await
 }
 
-/// A TCP link to an address. Its connections and its listener end when it is dropped.
+/// A TCP link to a destination. Dropping the link closes its listener and resets its connections.
 #[derive(Debug)]
 pub struct Link {
-    /// Where peers connect to.
+    /// Address on which the link listens.
     pub address: SocketAddr,
     faults: watch::Sender<LinkFaults>,
     resets: watch::Sender<u64>,
@@ -52,7 +54,7 @@
     accepting: JoinHandle<()>,
 }
 
-/// A connection's view of its link.
+/// The state of a link that its connections share.
 #[derive(Clone)]
 struct LinkState {
     faults: watch::Receiver<LinkFaults>,
@@ -61,17 +63,17 @@
 }
 
 impl LinkState {
-    /// Counts a connection or chunk that a fault affected.
+    /// Counts a connection or chunk that a fault has affected.
     fn record_hit(&self) {
         self.hits.fetch_add(1, Ordering::Relaxed);
     }
 }
 
 impl Link {
-    /// A link without faults to `destination`.
+    /// Returns a link without faults to `destination`.
     ///
     /// # Errors
-    /// If its listener cannot be bound.
+    /// Returns an error if the listener cannot be bound.
     pub async fn to(destination: SocketAddr) -> io::Result<Self> {
         let listener = listen().await?;
         let address = listener.local_addr()?;
@@ -83,17 +85,17 @@
         Ok(Link { address, faults, resets, hits, accepting })
     }
 
-    /// Replaces its faults, for open connections too.
+    /// Replaces the faults of the link, also for open connections.
     pub fn set(&self, faults: LinkFaults) {
         self.faults.send_replace(faults);
     }
 
-    /// Its present faults.
+    /// Returns the current faults of the link.
     pub fn faults(&self) -> LinkFaults {
         *self.faults.borrow()
     }
 
-    /// How many connections and chunks a fault has affected since the last call.
+    /// Returns how many connections and chunks a fault has affected since the last call.
     pub fn take_hit_count(&self) -> u64 {
         self.hits.swap(0, Ordering::Relaxed)
     }
@@ -111,7 +113,7 @@
     }
 }
 
-/// Accepts connections until the link is dropped; there is no listener while it refuses them.
+/// Accepts connections until the link is dropped. The listener is closed while the link refuses connections.
 async fn accept(
     address: SocketAddr, mut listener: Option<TcpListener>, destination: SocketAddr, state: LinkState,
 ) {
@@ -142,9 +144,9 @@
     }
 }
 
-/// Has the connection reset when it is dropped.
+/// Configures a connection so that dropping the stream resets the connection.
 fn reset_on_drop(stream: &TcpStream) {
-    // Fails only for a connection that has ended already.
+    // The call fails only if the connection has already ended.
     let _ = socket2::SockRef::from(stream).set_linger(Some(Duration::ZERO));
 }
 
@@ -174,7 +176,7 @@
     }
 }
 
-/// Forwards both directions until both have closed, or until one is cut or reset.
+/// Forwards both directions of a connection until both have closed, or until one is cut or reset.
 async fn forward_both(
     client: &mut TcpStream, server: &mut TcpStream, mut resets: watch::Receiver<u64>, state: &LinkState,
 ) -> ConnectionEnd {
@@ -198,7 +200,7 @@
     }
 }
 
-/// Forwards one direction of a connection until it ends.
+/// Forwards one direction of a connection until the direction is closed, cut or reset.
 async fn forward_direction(
     mut from: impl AsyncRead + Unpin, mut to: impl AsyncWrite + Unpin, state: LinkState,
     direction: impl Fn(&LinkFaults) -> DirectionFaults,
@@ -224,11 +226,11 @@
             return if to.shutdown().await.is_ok() { ConnectionEnd::Closed } else { ConnectionEnd::Reset };
         }
         let remaining = faults.cut_after.map_or(u64::MAX, |(after, _)| after.saturating_sub(forwarded_bytes));
-        let permitted = usize::try_from(remaining).unwrap_or(usize::MAX).min(read);
-        if write_limited(&mut to, &chunk[..permitted], faults.bytes_per_s, &state).await.is_err() {
+        let forwardable = usize::try_from(remaining).unwrap_or(usize::MAX).min(read);
+        if write_limited(&mut to, &chunk[..forwardable], faults.bytes_per_s, &state).await.is_err() {
             return ConnectionEnd::Reset;
         }
-        forwarded_bytes += permitted as u64;
+        forwarded_bytes += forwardable as u64;
         if let Some((_, action)) = faults.cut_after.filter(|(after, _)| forwarded_bytes >= *after) {
             state.record_hit();
             return cut(action).await;
@@ -236,7 +238,7 @@
     }
 }
 
-/// Writes a chunk, in small parts at intervals if the direction is limited.
+/// Writes a chunk, in small parts at intervals if the rate of the direction is limited.
 async fn write_limited(
     to: &mut (impl AsyncWrite + Unpin), chunk: &[u8], bytes_per_s: Option<u64>, state: &LinkState,
 ) -> io::Result<()> {
@@ -251,11 +253,12 @@
     Ok(())
 }
 
-/// Waits as the action asks for; [`CutAction::Silence`] lasts until the connection is reset.
+/// Cuts a connection and returns how it ended. [`CutAction::Silence`] never returns, because the connection
+/// stays open until it is reset.
 async fn cut(action: CutAction) -> ConnectionEnd {
     match action {
         CutAction::Reset => {
-            sleep(DELIVERY_TIME).await;
+            sleep(DELIVERY_DELAY).await;
             ConnectionEnd::Reset
         }
         CutAction::End => ConnectionEnd::Cut,
--- a/fault-tests/src/links/udp.rs
+++ b/fault-tests/src/links/udp.rs
@@ -10,15 +10,16 @@
 use tokio::task::JoinHandle;
 use tokio::time::sleep;
 
-/// The largest UDP datagram.
+/// Size of the receive buffer, which holds the largest UDP datagram.
 const MAX_DATAGRAM_BYTES: usize = 65_536;
 
-/// A pair of UDP links between two peers. Each peer sees the other one at the address that it sends to.
+/// A pair of UDP links between two peers. A peer receives datagrams from the same address that it sends to.
+/// Dropping the pair ends both links.
 #[derive(Debug)]
 pub struct UdpLinkPair {
-    /// Where the first peer sends to and receives from.
+    /// Address that the first peer sends to and receives from.
     pub first_sends_to: SocketAddr,
-    /// Where the second peer sends to and receives from.
+    /// Address that the second peer sends to and receives from.
     pub second_sends_to: SocketAddr,
     forward: watch::Sender<DirectionFaults>,
     reverse: watch::Sender<DirectionFaults>,
@@ -26,10 +27,11 @@
 }
 
 impl UdpLinkPair {
-    /// Links without faults between `first` and `second`. Random faults are drawn from `seed`.
+    /// Returns links without faults between the peers `first` and `second`. Random faults are drawn from
+    /// `seed`.
     ///
     /// # Errors
-    /// If no socket can be bound.
+    /// Returns an error if a socket cannot be bound.
     pub async fn between(first: SocketAddr, second: SocketAddr, seed: u64) -> io::Result<Self> {
         let to_second = Arc::new(UdpSocket::bind((Ipv4Addr::LOCALHOST, 0)).await?);
         let to_first = Arc::new(UdpSocket::bind((Ipv4Addr::LOCALHOST, 0)).await?);
@@ -53,7 +55,7 @@
         Ok(UdpLinkPair { first_sends_to, second_sends_to, forward, reverse, tasks })
     }
 
-    /// Sets the faults of each direction: first to second, and second to first.
+    /// Replaces the faults of both directions: `forward` is from the first to the second peer.
     pub fn set(&self, forward: DirectionFaults, reverse: DirectionFaults) {
         self.forward.send_replace(forward);
         self.reverse.send_replace(reverse);
@@ -66,7 +68,7 @@
     }
 }
 
-/// Forwards the datagrams of one direction.
+/// The forwarder of the datagrams of one direction.
 struct Forwarder {
     receive_from: Arc<UdpSocket>,
     send_with: Arc<UdpSocket>,
@@ -99,7 +101,7 @@
                     sleep(delay).await;
                 }
                 for datagram in datagrams {
-                    // A datagram to nobody is lost without an error that matters here.
+                    // An error is ignored, because a datagram to a peer that does not listen counts as lost.
                     let _ = socket.send_to(&datagram, destination).await;
                 }
             });
--- a/fault-tests/src/main.rs
+++ b/fault-tests/src/main.rs
@@ -58,8 +58,8 @@
         /// TOML file as printed by `nemesis --print`.
         file: PathBuf,
     },
-    /// Inject failing system calls, clock steps and process stops. Prints JSON; exits with 1 if an invariant was
-    /// violated.
+    /// Inject failing system calls, clock steps and process stops. Prints JSON; exits with 1 if an invariant
+    /// was violated.
     Soak {
         /// Seed of the first run; each further run uses the next number.
         #[arg(long, default_value_t = 1)]
--- a/fault-tests/src/matrix/cases.rs
+++ b/fault-tests/src/matrix/cases.rs
@@ -5,7 +5,8 @@
 /// Offsets at which the short matrix cuts requests, in bytes: in the request line, in the head, at the end of
 /// the head and in the body.
 const REQUEST_CUT_OFFSETS_BYTES: [u64; 5] = [1, 15, 60, 150, 200];
-/// Offsets at which the short matrix cuts responses, in bytes: in the status line, in the head and in the body.
+/// Offsets at which the short matrix cuts responses, in bytes: in the status line, in the head and in the
+/// body.
 const RESPONSE_CUT_OFFSETS_BYTES: [u64; 6] = [1, 9, 17, 60, 90, 150];
 /// Upper bound of a request's length; the long matrix cuts requests after each byte up to it.
 const MAX_REQUEST_BYTES: u64 = 230;
@@ -70,13 +71,8 @@
 }
 
 fn add_cuts(cases: &mut Vec<Case>, path: Path, long: bool) {
-    let offsets = |short_matrix: &[u64], max_bytes: u64| {
-        if long {
-            (1..=max_bytes).collect()
-        } else {
-            short_matrix.to_vec()
-        }
-    };
+    let offsets =
+        |short: &[u64], max_bytes: u64| if long { (1..=max_bytes).collect() } else { short.to_vec() };
     for action in [CutAction::Reset, CutAction::End, CutAction::Silence] {
         let cut = |after| DirectionFaults { cut_after: Some((after, action)), ..DirectionFaults::default() };
         for after in offsets(&REQUEST_CUT_OFFSETS_BYTES, MAX_REQUEST_BYTES) {
--- a/fault-tests/src/matrix/play.rs
+++ b/fault-tests/src/matrix/play.rs
@@ -92,7 +92,8 @@
     site.links(0, path.link_target())
 }
 
-/// Sends requests while the path is faulty. Returns the number of connections and chunks that the fault affected.
+/// Sends requests while the path is faulty. Returns the number of connections and chunks that the fault
+/// affected.
 async fn play_link_faults(site: &Site, path: Path, fault_name: &str, faults: LinkFaults) -> u64 {
     if path == Path::Clients {
         site.record_fault(0, fault_name);
--- a/fault-tests/src/process.rs
+++ b/fault-tests/src/process.rs
@@ -40,16 +40,16 @@
     }
 }
 
-/// Has the kernel kill this process when its parent exits, also when the parent is killed. Returns `false` if the
-/// parent has already exited or the kernel rejects the setting.
+/// Has the kernel kill this process when its parent exits, also when the parent is killed. Returns `false` if
+/// the parent has already exited or the kernel rejects the setting.
 pub fn exit_with_parent() -> bool {
     let parent = rustix::process::getppid();
     let bound = rustix::process::set_parent_process_death_signal(Some(Signal::KILL));
     bound.is_ok() && rustix::process::getppid() == parent && parent != Some(Pid::INIT)
 }
 
-/// Runs the gateway program as a child of the fault tests. The process exits with its parent, so that no gateway
-/// is left running after the fault tests.
+/// Runs the gateway program as a child of the fault tests. The process exits with its parent, so that no
+/// gateway is left running after the fault tests.
 pub fn run_gateway() -> std::process::ExitCode {
     if !exit_with_parent() {
         eprintln!("ternstack-fault-tests: the process that started this gateway has exited");
@@ -89,8 +89,8 @@
 }
 
 impl Process {
-    /// Starts a gateway and waits until the process has logged the address on which it listens. The configuration
-    /// is written to `folder`. With port 0 in `listen` the kernel chooses the port.
+    /// Starts a gateway and waits until the process has logged the address on which it listens. The
+    /// configuration is written to `folder`. With port 0 in `listen` the kernel chooses the port.
     ///
     /// # Errors
     /// Returns an error if the process cannot be started or does not log its listen address in time.
@@ -150,7 +150,8 @@
     /// Replaces the configuration file and asks the process to reload it (SIGHUP).
     ///
     /// # Errors
-    /// Returns an error if the configuration cannot be written, or the process has exited or cannot be signalled.
+    /// Returns an error if the configuration cannot be written, or the process has exited or cannot be
+    /// signalled.
     pub fn reload(&self, config: &Value) -> Result<(), ProcessError> {
         write_config(&self.config_file, config)?;
         self.signal(Signal::HUP)
@@ -164,8 +165,8 @@
         self.signal(Signal::TERM)
     }
 
-    /// Asks the process to exit (SIGTERM) and waits for the exit. Returns the exit code, or `None` if a signal
-    /// killed the process.
+    /// Asks the process to exit (SIGTERM) and waits for the exit. Returns the exit code, or `None` if a
+    /// signal killed the process.
     ///
     /// # Errors
     /// Returns an error if the process cannot be signalled, cannot be awaited or does not exit in time.
@@ -228,8 +229,8 @@
     }
 }
 
-/// Reads the log of a process to its end, so that the process never blocks on a full pipe, and sends the listen
-/// address that the log contains to `addresses`.
+/// Reads the log of a process to its end, so that the process never blocks on a full pipe, and sends the
+/// listen address that the log contains to `addresses`.
 async fn read_log(stderr: ChildStderr, log: Log, addresses: mpsc::Sender<SocketAddr>) {
     let mut lines = BufReader::new(stderr).lines();
     while let Ok(Some(line)) = lines.next_line().await {
--- a/fault-tests/src/soak/clients.rs
+++ b/fault-tests/src/soak/clients.rs
@@ -1,4 +1,5 @@
-//! Clients of a soak: most send one request after another; some disconnect, write slowly, or pipeline several.
+//! Clients of a soak. Most requests are sent one after another; for some the client disconnects, writes
+//! slowly, or pipelines several requests.
 use crate::client::{read_message, Request};
 use crate::history::{EventKind, HistoryRecorder};
 use crate::site::{RequestFactory, CLASSES};
@@ -13,23 +14,24 @@
 use tokio::net::TcpStream;
 use tokio::time::{sleep, timeout};
 
-/// The most requests that a client pipelines.
-pub const MAX_PIPELINED_COUNT: u64 = 12;
-/// How long a client tries to connect.
+/// Maximum number of requests that a client pipelines.
+pub const MAX_PIPELINED_REQUESTS: u64 = 12;
+/// Time limit for a client's connect.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
-/// A client waits this much longer than its timeout, so that a late response is recorded.
-const LATE_RESPONSE_TIME: Duration = Duration::from_secs(2);
+/// Time that a client waits beyond its timeout, so that a late response is recorded.
+const LATE_RESPONSE_WAIT: Duration = Duration::from_secs(2);
 
-/// What the clients of a gateway are told of its shutdown.
+/// The shutdown state of a gateway, shared with the gateway's clients.
 #[derive(Debug, Default)]
-pub struct ClientGate {
-    /// Clients open no new connections: the load balancer in front has noticed the shutdown.
-    pub closed: AtomicBool,
-    /// Clients stop.
-    pub over: AtomicBool,
+pub struct ShutdownState {
+    /// Whether clients open no new connections, as if the load balancer in front of the gateway had noticed
+    /// the shutdown.
+    pub connects_stopped: AtomicBool,
+    /// Whether clients send no further requests and exit.
+    pub clients_stopped: AtomicBool,
 }
 
-/// How a client sends a request.
+/// The way in which a client sends a request.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum SendMode {
     Plain,
@@ -43,41 +45,41 @@
         match rng.random_range(0..100) {
             0..8 => SendMode::Disconnect { after: client_timeout.mul_f64(rng.random_range(0.0..0.5)) },
             8..12 => SendMode::Slow { pause: Duration::from_millis(rng.random_range(5..150)) },
-            12..16 => SendMode::Pipelined { count: rng.random_range(2..=MAX_PIPELINED_COUNT as usize) },
+            12..16 => SendMode::Pipelined { count: rng.random_range(2..=MAX_PIPELINED_REQUESTS as usize) },
             _ => SendMode::Plain,
         }
     }
 }
 
-/// An open connection.
+/// An open connection from a client to a gateway.
 struct Connection {
     stream: TcpStream,
-    /// Whether it has carried a request before.
+    /// Whether the connection has carried a request before.
     reused: bool,
 }
 
-/// One client of a gateway.
+/// A client of one gateway in a soak.
 pub struct SoakClient {
-    /// The gateway's number.
+    /// Index of the gateway.
     pub gateway: usize,
-    /// Where the gateway listens.
+    /// Address on which the gateway listens.
     pub address: SocketAddr,
-    /// Records what it observes.
+    /// Recorder of the events that the client observes.
     pub recorder: HistoryRecorder,
-    /// Creates its requests.
+    /// Source of the client's requests.
     pub requests: RequestFactory,
-    /// Tells it when to stop.
-    pub gate: Arc<ClientGate>,
-    /// The seed of its draws.
+    /// Shutdown state of the gateway, which ends the client.
+    pub shutdown: Arc<ShutdownState>,
+    /// Seed of the client's random choices.
     pub seed: u64,
 }
 
 impl SoakClient {
-    /// Sends requests until the gate says that all is over.
+    /// Sends requests until [`ShutdownState::clients_stopped`] is set.
     pub async fn run(self) {
         let mut rng = ChaCha8Rng::seed_from_u64(self.seed);
         let mut idle: Option<TcpStream> = None;
-        while !self.gate.over.load(Relaxed) {
+        while !self.shutdown.clients_stopped.load(Relaxed) {
             let class = CLASSES[rng.random_range(0..CLASSES.len())];
             let request = self.requests.next(class);
             let mode = SendMode::draw(&mut rng, request.client_timeout);
@@ -89,12 +91,13 @@
         }
     }
 
-    /// The idle connection or a new one; `None` if the gateway cannot be reached now.
+    /// Returns the idle connection or a new one, or `None` if the gateway cannot be reached or new
+    /// connections are stopped.
     async fn connection(&self, idle: Option<TcpStream>) -> Option<Connection> {
         if let Some(stream) = idle {
             return Some(Connection { stream, reused: true });
         }
-        if self.gate.closed.load(Relaxed) {
+        if self.shutdown.connects_stopped.load(Relaxed) {
             return None;
         }
         let connected = timeout(CONNECT_TIMEOUT, TcpStream::connect(self.address)).await;
@@ -103,7 +106,7 @@
         Some(Connection { stream, reused: false })
     }
 
-    /// Sends a request; the connection, if it can be reused.
+    /// Sends a request in the given mode. Returns the connection if it can be reused.
     async fn send(&self, connection: Connection, request: &Request, mode: SendMode) -> Option<TcpStream> {
         let Connection { mut stream, reused } = connection;
         let text = request.to_http();
@@ -130,13 +133,13 @@
         let mut reader = Reader::new(MAX_BODY_BYTES);
         match self.receive(&mut stream, &mut reader, request).await {
             Some(response) => (response.keep_alive && reader.is_idle()).then_some(stream),
-            // The gateway closed the idle connection while the request was under way.
+            // The gateway closed the idle connection while the request was on the way.
             None if reused && !reader.has_begun() => self.resend(request).await,
             None => self.record_missing(request),
         }
     }
 
-    /// Sends a request again, over a new connection.
+    /// Resends a request over a new connection. Returns the connection if it can be reused.
     async fn resend(&self, request: &Request) -> Option<TcpStream> {
         let Some(Connection { mut stream, .. }) = self.connection(None).await else {
             self.recorder.record(EventKind::RequestMoved { id: request.id.clone() });
@@ -153,9 +156,9 @@
         }
     }
 
-    /// Pipelines some requests and reads their responses in order. After a response that closes the connection,
-    /// the
-    /// remaining requests have not been accepted.
+    /// Pipelines `count` requests and reads their responses in order. Requests after a response that closes
+    /// the connection count as moved, because the gateway has not accepted them. Returns the connection if it
+    /// can be reused.
     async fn send_pipelined(
         &self, connection: Connection, first: &Request, count: usize,
     ) -> Option<TcpStream> {
@@ -186,11 +189,11 @@
         (answered == requests.len() && keep_alive).then_some(stream)
     }
 
-    /// Reads the next response and records it as the request's.
+    /// Reads the next response and records it as the response to `request`.
     async fn receive(
         &self, stream: &mut TcpStream, reader: &mut Reader<StatusLine>, request: &Request,
     ) -> Option<CompleteMessage<StatusLine>> {
-        let limit = request.client_timeout + LATE_RESPONSE_TIME;
+        let limit = request.client_timeout + LATE_RESPONSE_WAIT;
         let (response, _) = timeout(limit, read_message(stream, reader, &self.recorder)).await.ok()??;
         self.recorder.record(request.answered_by(&response));
         Some(response)
--- a/fault-tests/src/soak/faults.rs
+++ b/fault-tests/src/soak/faults.rs
@@ -1,4 +1,5 @@
-//! The faults of processes, and the control file that tells a process's shim which to inject.
+//! The kinds of faults of processes, and the control file that selects the faults that a process's shim
+//! injects.
 use serde::Serialize;
 use std::fs::File;
 use std::io;
@@ -6,48 +7,50 @@
 use std::path::{Path, PathBuf};
 use std::time::Duration;
 
-/// The library that is preloaded into gateways, built from `shim/faults.rs`.
+/// Shared library that is preloaded into gateways, built from `shim/faults.rs`.
 const SHIM: &[u8] = include_bytes!(concat!(env!("OUT_DIR"), "/faults.so"));
 
-/// How many kinds the shim's `Control` has room for.
-const MAX_KIND_COUNT: usize = 32;
-/// Where the shim's `Control` holds the offset of the wall clock, in bytes from its start.
-const CLOCK_OFFSET_AT_BYTES: u64 = 8;
-/// Where it holds the delay of a held write.
-const HELD_MS_AT_BYTES: u64 = 20;
-/// Where it holds the rate of each kind.
-const RATES_AT_BYTES: u64 = 24;
-/// Where it holds the count of each kind.
-const INJECTED_AT_BYTES: u64 = RATES_AT_BYTES + 4 * MAX_KIND_COUNT as u64;
-/// Its length.
-const CONTROL_BYTES: u64 = INJECTED_AT_BYTES + 8 * MAX_KIND_COUNT as u64;
-/// The rate that injects a fault into every call.
+/// Number of kinds in the shim's `Control`.
+const MAX_KINDS: usize = 32;
+/// Position of the wall clock's offset in the control file, in bytes. All positions follow the layout of the
+/// shim's `Control`.
+const CLOCK_OFFSET_POSITION_BYTES: u64 = 8;
+/// Position of the delay of a delayed write in the control file, in bytes.
+const WRITE_DELAY_POSITION_BYTES: u64 = 20;
+/// Position of the rates of all kinds in the control file, in bytes.
+const RATES_POSITION_BYTES: u64 = 24;
+/// Position of the numbers of injected faults of all kinds in the control file, in bytes.
+const INJECTED_POSITION_BYTES: u64 = RATES_POSITION_BYTES + 4 * MAX_KINDS as u64;
+/// Length of the control file, in bytes.
+const CONTROL_BYTES: u64 = INJECTED_POSITION_BYTES + 8 * MAX_KINDS as u64;
+/// Rate that injects a fault into every call; smaller rates are fractions of it.
 const ALWAYS_RATE: u32 = 1 << 16;
-/// How long a held write is delayed: what the protocol allows a gateway between reading its clock and writing.
-const HELD_MS: u32 = 120;
+/// Delay of a delayed write, in ms: the time that the protocol permits a gateway between reading its clock
+/// and writing.
+const WRITE_DELAY_MS: u32 = 120;
 
-/// How a kind of fault is injected.
+/// The way in which a kind of fault is injected.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum InjectionMethod {
-    /// The shim has a system call fail.
+    /// The shim makes a system call fail.
     Call {
-        /// The index of the kind in the shim's control.
+        /// Index of the kind in the shim's `Control`.
         index: usize,
-        /// The probability for each call, 0 to 1.
+        /// Probability of a fault for each call, 0 to 1.
         probability: f64,
     },
-    /// The shim steps the wall clock by so many ms.
+    /// The shim steps the wall clock by this time, in ms.
     Clock(i64),
-    /// The process is stopped for this time, repeatedly.
+    /// The process is stopped repeatedly (SIGSTOP), each time for this long.
     Standstill(Duration),
 }
 
-/// A kind of fault.
+/// A kind of fault that a soak injects.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Kind {
-    /// Its name in reports.
+    /// Name of the kind in reports.
     pub name: &'static str,
-    /// How it is injected.
+    /// Way in which the fault is injected.
     pub method: InjectionMethod,
 }
 
@@ -63,12 +66,12 @@
     Kind { name, method: InjectionMethod::Standstill(Duration::from_millis(ms)) }
 }
 
-/// An hour.
+/// Step of the clock kinds `clock_forward_1h` and `clock_back_1h`, in ms.
 const HOUR_MS: i64 = 3_600_000;
-/// The index at which the shim counts how often it has returned a stepped time.
+/// Index in the shim's `Control` of the number of reads of the clock that returned a stepped time.
 const CLOCK_STEP_INDEX: usize = 26;
 
-/// All kinds. The last one injects nothing.
+/// All kinds of faults. The last kind, `none`, injects nothing.
 pub const ALL: [Kind; 34] = [
     call("accept_econnaborted", 0, 0.3),
     call("accept_enfile", 1, 0.3),
@@ -106,75 +109,75 @@
     Kind { name: "none", method: InjectionMethod::Call { index: 31, probability: 0.0 } },
 ];
 
-/// The kinds that break a client's connection, so that its request may stay unanswered.
+/// Names of the kinds that break a client's connection, so that the client's request may stay unanswered.
 pub const CLIENT_CONNECTION_FAULTS: [&str; 2] = ["client_etimedout", "client_ehostunreach"];
 
-/// The kind with this name.
+/// Returns the kind named `name`.
 pub fn named(name: &str) -> Option<Kind> {
     ALL.into_iter().find(|kind| kind.name == name)
 }
 
-/// When in the life of a process a fault is injected.
+/// The phases in the life of a gateway process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Phase {
-    /// From the start until it serves.
+    /// From the start of the process until shortly after all gateways serve.
     Start,
-    /// While it serves.
+    /// From the end of the start phase until the reload.
     Service,
-    /// From a reload of the configuration on.
+    /// From the reload of the configuration until the shutdown.
     Reload,
-    /// From SIGTERM until it exits.
+    /// From SIGTERM until the process exits.
     Shutdown,
 }
 
 impl Phase {
-    /// All phases, in order.
+    /// All phases, in order of time.
     pub const ALL: [Phase; 4] = [Phase::Start, Phase::Service, Phase::Reload, Phase::Shutdown];
 }
 
-/// The control file of one process.
+/// The control file of one process, which the process's shim maps into memory.
 #[derive(Debug)]
 pub struct Control {
     file: File,
 }
 
 impl Control {
-    /// Creates the file for a process with this name.
+    /// Creates the control file of the gateway named `name`. The shim draws from `seed`.
     ///
     /// # Errors
-    /// If it cannot be written.
+    /// Returns an error if the file cannot be written.
     pub fn create(folder: &Path, name: &str, seed: u64) -> io::Result<Self> {
         let path = folder.join(format!("{name}.faults"));
         let file = File::options().create(true).truncate(true).read(true).write(true).open(path)?;
         file.set_len(CONTROL_BYTES)?;
         file.write_all_at(&seed.to_ne_bytes(), 0)?;
-        file.write_all_at(&HELD_MS.to_ne_bytes(), HELD_MS_AT_BYTES)?;
+        file.write_all_at(&WRITE_DELAY_MS.to_ne_bytes(), WRITE_DELAY_POSITION_BYTES)?;
         Ok(Control { file })
     }
 
-    /// Begins or ends the injection of a kind.
+    /// Starts or ends the injection of a kind. Clock steps stay, and standstills need no control file.
     ///
     /// # Errors
-    /// If the file cannot be written.
+    /// Returns an error if the file cannot be written.
     pub fn set(&self, kind: Kind, on: bool) -> io::Result<()> {
         match kind.method {
             InjectionMethod::Call { index, probability } => {
                 let rate = if on { (probability * f64::from(ALWAYS_RATE)) as u32 } else { 0 };
-                self.file.write_all_at(&rate.to_ne_bytes(), RATES_AT_BYTES + 4 * index as u64)
+                self.file.write_all_at(&rate.to_ne_bytes(), RATES_POSITION_BYTES + 4 * index as u64)
             }
-            // A stepped clock is never set back.
+            // A stepped clock stays stepped when the injection ends.
             InjectionMethod::Clock(ms) if on => {
-                self.file.write_all_at(&(ms * 1_000_000).to_ne_bytes(), CLOCK_OFFSET_AT_BYTES)
+                self.file.write_all_at(&(ms * 1_000_000).to_ne_bytes(), CLOCK_OFFSET_POSITION_BYTES)
             }
             InjectionMethod::Clock(_) | InjectionMethod::Standstill(_) => Ok(()),
         }
     }
 
-    /// How often a kind has been injected.
+    /// Returns how often a kind has been injected, 0 for standstills.
     ///
     /// # Errors
-    /// If the file cannot be read.
+    /// Returns an error if the file cannot be read.
     pub fn injected(&self, kind: Kind) -> io::Result<u64> {
         let index = match kind.method {
             InjectionMethod::Call { index, .. } => index,
@@ -182,16 +185,16 @@
             InjectionMethod::Standstill(_) => return Ok(0),
         };
         let mut bytes = [0; 8];
-        self.file.read_exact_at(&mut bytes, INJECTED_AT_BYTES + 8 * index as u64)?;
+        self.file.read_exact_at(&mut bytes, INJECTED_POSITION_BYTES + 8 * index as u64)?;
         Ok(u64::from_ne_bytes(bytes))
     }
 }
 
-/// Writes the shim to a folder; the environment variables with which a gateway loads it and finds its control file
-/// there.
+/// Writes the shim to a folder. Returns the environment variables with which a gateway loads the shim and
+/// finds its control file in the folder.
 ///
 /// # Errors
-/// If the shim cannot be written.
+/// Returns an error if the shim cannot be written.
 pub fn variables(folder: &Path) -> io::Result<Vec<(String, String)>> {
     let shim: PathBuf = folder.join("faults.so");
     std::fs::write(&shim, SHIM)?;
@@ -199,7 +202,8 @@
     Ok(vec![
         ("LD_PRELOAD".into(), text(&shim)),
         ("TERNSTACK_FAULTS".into(), format!("{}/{{name}}.faults", text(folder))),
-        // Only files in the folder of configurations are subject to faults.
+        // Only files in the directory of temporary files are subject to faults; the configurations are among
+        // them.
         ("TERNSTACK_FAULTS_FOLDER".into(), text(&std::env::temp_dir())),
     ])
 }
--- a/fault-tests/src/soak/judge.rs
+++ b/fault-tests/src/soak/judge.rs
@@ -1,5 +1,5 @@
-//! Judges the history of a soak run, with what its faults excuse.
-use super::clients::MAX_PIPELINED_COUNT;
+//! Checks the history of a soak run, with the violations excused that the injected faults cause.
+use super::clients::MAX_PIPELINED_REQUESTS;
 use super::faults::{Control, InjectionMethod, Phase, CLIENT_CONNECTION_FAULTS};
 use super::plan::Plan;
 use crate::error::Error;
@@ -8,50 +8,51 @@
 use crate::site::Site;
 use std::collections::BTreeMap;
 
-/// The protocol's tolerance for every time limit, in ms.
+/// Tolerance that the protocol grants on every time limit, in ms.
 const TOLERANCE_MS: u64 = 50;
-/// After a broken connection to discovery, what it sent counts as notified this much later, in ms.
+/// Time by which the drain grace period is extended if connections to discovery break, in ms, because the
+/// gateway reads the list only after its retry.
 const DISCOVERY_RETRY_MS: u64 = 6000;
 
-/// The result of a run.
+/// The result of a soak run.
 #[derive(Debug, Default)]
 pub struct Outcome {
-    /// How many faults were injected, by kind.
+    /// Number of injected faults, by name of the kind.
     pub injected: BTreeMap<&'static str, u64>,
-    /// How many requests were sent, by phase.
+    /// Number of requests that were sent, by phase.
     pub requests: BTreeMap<Phase, u64>,
-    /// How all requests ended.
+    /// Numbers of requests by the way in which they ended.
     pub counts: Counts,
-    /// What was violated.
+    /// Descriptions of all violations: of invariants, of time limits and of exits.
     pub violations: Vec<String>,
-    /// The largest delay of this process's own timers, in ms; time limits are extended by it.
+    /// Largest delay of the timers of the test program itself, in ms. Time limits are extended by this delay.
     pub harness_lag_ms: u64,
 }
 
-/// The begin of a phase.
+/// The begin of a phase of a run.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct PhaseStart {
     pub(super) phase: Phase,
-    /// In µs since the run's start.
+    /// Begin of the phase, in µs since the start of the run.
     pub(super) at_us: u64,
 }
 
-/// What a run leaves to be judged.
+/// A run that has ended and is to be checked.
 pub(super) struct FinishedRun<'a> {
     pub(super) plan: &'a Plan,
     pub(super) site: Site,
     pub(super) controls: Vec<Control>,
-    /// How often a process was stopped.
+    /// Number of times that a process was stopped and continued.
     pub(super) standstill_count: u64,
-    /// What was violated during the run.
+    /// Descriptions of violations that were found while the run was played.
     pub(super) violations: Vec<String>,
-    /// In order of time.
+    /// Begins of the phases, in order of time.
     pub(super) phase_starts: Vec<PhaseStart>,
     pub(super) harness_lag_ms: u64,
 }
 
 impl FinishedRun<'_> {
-    /// Checks the history and counts.
+    /// Checks the history, and counts requests and injected faults.
     pub(super) fn judge(self) -> Result<Outcome, Error> {
         let history = self.site.take_history();
         let guarantees = self.guarantees();
@@ -80,7 +81,7 @@
         begun.map_or(Phase::Start, |start| start.phase)
     }
 
-    /// The site's guarantees, with what the faults of the run excuse.
+    /// Returns the guarantees of the site, extended by the delays that the faults of the run cause.
     fn guarantees(&self) -> Guarantees {
         let standstills_ms = self.plan.kinds.iter().map(|kind| match kind.method {
             InjectionMethod::Standstill(length) => length.as_millis() as u64,
@@ -101,7 +102,7 @@
     }
 }
 
-/// How many faults of each kind were injected.
+/// Returns how many faults of each kind in the plan were injected.
 pub(super) fn count_injected(
     plan: &Plan, controls: &[Control], standstill_count: u64,
 ) -> Result<BTreeMap<&'static str, u64>, Error> {
@@ -117,9 +118,9 @@
     Ok(injected)
 }
 
-/// Where faults break clients' connections, a request may stay unanswered, or be resent although it was accepted:
-/// as many
-/// as were broken, and those that were pipelined behind them.
+/// Removes the violations that broken connections of clients excuse. A request on a broken connection may
+/// stay unanswered, or be resent although the gateway accepted it. At most [`MAX_PIPELINED_REQUESTS`]
+/// violations are excused per broken connection, because all requests that were pipelined on it are affected.
 fn without_excused(plan: &Plan, outcome: &Outcome, violations: Vec<Violation>) -> Vec<Violation> {
     let broken_count: u64 =
         CLIENT_CONNECTION_FAULTS.iter().filter_map(|kind| outcome.injected.get(kind)).sum();
@@ -129,7 +130,7 @@
     let is_excusable =
         |violation: &Violation| matches!(violation.invariant, Invariant::Answered | Invariant::Idempotency);
     let (excused, mut others): (Vec<_>, Vec<_>) = violations.into_iter().partition(is_excusable);
-    if excused.len() as u64 > broken_count * MAX_PIPELINED_COUNT {
+    if excused.len() as u64 > broken_count * MAX_PIPELINED_REQUESTS {
         others.extend(excused);
     }
     others
@@ -140,7 +141,7 @@
     format!("{invariant:?}: {} ms: {description}{}", at_us / 1000, request_history(history, description))
 }
 
-/// The events of the request whose id is in the description, and the faults of gateways meanwhile.
+/// Returns the events of the request whose id is in the description, and all faults of gateways, as text.
 fn request_history(history: &[Event], description: &str) -> String {
     let is_id = |word: &&str| word.len() == 16 && word.bytes().all(|byte| byte.is_ascii_hexdigit());
     let Some(id) = description.split(' ').find(is_id) else { return String::new() };
--- a/fault-tests/src/soak/mod.rs
+++ b/fault-tests/src/soak/mod.rs
@@ -1,10 +1,9 @@
-//! The soak: drawn sites of real processes whose system calls fail, whose clocks step and which are stopped, alone
-//! and
-//! mixed, at each phase of a process's life, judged by the invariants.
+//! The soak: random sites of real gateway processes, in which system calls fail, clocks step and processes
+//! are stopped. Each kind of fault is injected alone and mixed with others, in each phase of a process's
+//! life, and the invariants are checked.
 //!
-//! [`faults`] tells a process's shim what to inject, [`plan`] draws the runs, [`clients`] send requests, [`run`]
-//! plays one
-//! run and [`judge`] checks it, [`report`] sums up.
+//! [`faults`] sets the faults that a process's shim injects, [`plan`] draws the runs, [`clients`] send
+//! requests, [`run`] plays one run, [`judge`] checks its history, and [`report`] summarizes all runs.
 pub mod clients;
 pub mod faults;
 pub mod judge;
@@ -20,10 +19,10 @@
 use report::Report;
 use tokio::task::JoinSet;
 
-/// Plays plans, `jobs` of them at once.
+/// Plays plans, `jobs` of them at the same time, and returns the report of all runs.
 ///
 /// # Errors
-/// If a run cannot be continued; the error names its seed.
+/// Returns an error if a run cannot be continued. The error contains the seed of the run.
 pub async fn play(launch: &Launch, plans: Vec<Plan>, jobs: usize) -> Result<Report, Error> {
     let mut report = Report::default();
     let mut running = JoinSet::new();
--- a/fault-tests/src/soak/plan.rs
+++ b/fault-tests/src/soak/plan.rs
@@ -1,34 +1,35 @@
-//! What a soak run plays, drawn from a seed.
+//! The plans of soak runs, drawn from a seed.
 use super::faults::{self, Kind, Phase};
 use crate::site::SiteConfig;
-use crate::stub_servers::{FaultEvery, ResponseFault};
+use crate::stub_servers::{RecurringFault, ResponseFault};
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use std::time::Duration;
 
-/// A run: a site, and which faults are injected in which phases.
+/// The plan of a soak run: a site, the faults to inject, and the phases of the injection.
 #[derive(Clone, Debug)]
 pub struct Plan {
-    /// Its seed.
+    /// Seed of the run.
     pub seed: u64,
-    /// The faults.
+    /// Kinds of faults that are injected.
     pub kinds: Vec<Kind>,
-    /// The phases in which they are injected.
+    /// Phases in which the faults are injected.
     pub phases: Vec<Phase>,
-    /// The site.
+    /// Size and settings of the site.
     pub site: SiteConfig,
-    /// The response fault of every third host, if any.
-    pub response_fault: Option<FaultEvery>,
-    /// How many clients each gateway has.
+    /// Response fault of every third host, if any.
+    pub response_fault: Option<RecurringFault>,
+    /// Number of clients per gateway.
     pub clients: usize,
-    /// How long the site is in service before the reload.
+    /// Length of the service phase, which ends with the reload.
     pub service: Duration,
-    /// Whether a gateway is killed and restarted in service.
+    /// Whether gateway 0 is killed and restarted in the service phase.
     pub kills: bool,
 }
 
 impl Plan {
-    /// Draws a site for these faults.
+    /// Draws a plan with these kinds of faults from `seed`. A large site has 8 to 16 gateways, any other 1 to
+    /// 3.
     pub fn draw(seed: u64, kinds: Vec<Kind>, phases: Vec<Phase>, service: Duration, large: bool) -> Self {
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
         let gateways = if large { rng.random_range(8..=16) } else { rng.random_range(1..=3) };
@@ -48,22 +49,21 @@
             },
             response_fault: rng
                 .random_bool(0.6)
-                .then_some(FaultEvery { fault, request_count: rng.random_range(3..20) }),
+                .then_some(RecurringFault { fault, period: rng.random_range(3..20) }),
             clients: rng.random_range(3..8),
             service,
             kills: large,
         }
     }
 
-    /// Whether a kind is among the faults.
+    /// Returns whether the plan injects the kind of faults named `name`.
     pub(super) fn injects(&self, name: &str) -> bool {
         self.kinds.iter().any(|kind| kind.name == name)
     }
 }
 
-/// The plans of a soak: each kind alone in each phase, in order, and then mixed ones with two or three kinds and a
-/// few
-/// dozen processes at once.
+/// Returns the `count` plans of a soak: first each kind alone in each phase, in order, then mixed plans with
+/// two or three kinds on a large site.
 pub fn plans(seed: u64, count: usize, service: Duration) -> Vec<Plan> {
     let alone = faults::ALL.iter().flat_map(|kind| Phase::ALL.map(|phase| (*kind, phase)));
     let mut plans: Vec<Plan> = Vec::new();
@@ -73,7 +73,7 @@
     let mut rng = ChaCha8Rng::seed_from_u64(seed);
     while plans.len() < count {
         let number = plans.len() as u64;
-        // The last kind injects nothing.
+        // The last kind is excluded, because it injects nothing.
         let kinds =
             (0..rng.random_range(2..=3)).map(|_| faults::ALL[rng.random_range(0..faults::ALL.len() - 1)]);
         let mut kinds: Vec<_> = kinds.collect();
--- a/fault-tests/src/soak/report.rs
+++ b/fault-tests/src/soak/report.rs
@@ -1,68 +1,68 @@
-//! The report of a soak: a table of kinds by phases, and all violations.
+//! The report of a soak: a table of fault kinds by phases, and all violations.
 use super::faults::{self, Phase};
 use super::judge::Outcome;
 use super::plan::Plan;
 use serde::Serialize;
 use std::collections::BTreeMap;
 
-/// The runs of a kind in a phase.
+/// The sums over the runs of a kind in a phase, or over the mixed runs of a kind.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize)]
 pub struct Cell {
-    /// Runs with at least one injected event.
+    /// Number of runs in which at least one fault of the kind was injected.
     pub runs: u64,
-    /// Runs in which nothing was injected; they count as not run.
+    /// Number of runs in which no fault of the kind was injected, which count as not run.
     pub without_event: u64,
-    /// How many faults were injected.
+    /// Number of faults of the kind that were injected.
     pub injected: u64,
-    /// How many requests were sent in that phase.
+    /// Number of requests that were sent in the phases of the runs' plans.
     pub requests: u64,
-    /// How many violations there were.
+    /// Number of violations.
     pub violations: u64,
 }
 
 /// A run with violations.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct FailedRun {
-    /// Its seed.
+    /// Seed of the run.
     pub seed: u64,
-    /// Its kinds.
+    /// Names of the kinds of faults that were injected.
     pub kinds: Vec<&'static str>,
-    /// Its phases.
+    /// Phases in which the faults were injected.
     pub phases: Vec<Phase>,
-    /// Its violations.
+    /// First 12 violations of the run.
     pub violations: Vec<String>,
 }
 
-/// The report.
+/// The report of a soak.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize)]
 pub struct Report {
-    /// How many runs there were.
+    /// Number of runs.
     pub runs: u64,
-    /// How many requests were sent.
+    /// Number of requests that were sent.
     pub requests: u64,
-    /// How many of them were served.
+    /// Number of responses with status 200.
     pub served: u64,
-    /// How many were rejected.
+    /// Number of responses with status 429 or 503.
     #[serde(rename = "refused")]
     pub rejected: u64,
-    /// How many failed.
+    /// Number of complete responses with any other status.
     pub failed: u64,
-    /// How many violations there were.
+    /// Number of violations.
     pub violations: u64,
-    /// Runs of a kind alone in a phase, by name and phase.
+    /// Runs of a single kind in a single phase, by name of the kind and phase.
     pub alone: BTreeMap<&'static str, BTreeMap<Phase, Cell>>,
     /// Mixed runs, by name of the kind.
     pub mixed: BTreeMap<&'static str, Cell>,
-    /// The runs with violations.
+    /// Runs with violations.
     #[serde(rename = "broken")]
     pub failed_runs: Vec<FailedRun>,
-    /// The largest delay of this process's own timers, in ms.
+    /// Largest delay of the timers of the test program itself in any run, in ms.
     #[serde(rename = "rig_lag_ms")]
     pub harness_lag_ms: u64,
 }
 
 impl Report {
-    /// Adds a run.
+    /// Adds the outcome of a run.
     pub fn add(&mut self, plan: &Plan, outcome: &Outcome) {
         let violations = outcome.violations.len() as u64;
         self.runs += 1;
@@ -100,7 +100,7 @@
         }
     }
 
-    /// The table as Markdown: runs / injected / requests / violations in each cell.
+    /// Returns the table as Markdown. A cell shows runs / injected faults / requests / violations.
     pub fn table(&self) -> String {
         let mut text = String::from(
             "| kind | start | service | reload | shutdown | mixed |\n| --- | --- | --- | --- | --- | --- |\n",
--- a/fault-tests/src/soak/run.rs
+++ b/fault-tests/src/soak/run.rs
@@ -1,5 +1,5 @@
-//! One run of a soak: a drawn site through all phases of its life, with faults in some of them.
-use super::clients::{ClientGate, SoakClient};
+//! Plays one run of a soak: a random site through all phases of its life, with faults in some phases.
+use super::clients::{ShutdownState, SoakClient};
 use super::faults::{self, Control, InjectionMethod, Kind, Phase};
 use super::judge::{count_injected, FinishedRun, Outcome, PhaseStart};
 use super::plan::Plan;
@@ -15,28 +15,30 @@
 use tokio::task::{JoinHandle, JoinSet};
 use tokio::time::{sleep, Instant};
 
-/// How soon a new configuration has to be applied.
+/// Time limit for gateways to follow discovery to its new address, counted from the end of
+/// [`RELOAD_DURATION`].
 const RELOAD_TIMEOUT: Duration = Duration::from_secs(4);
-/// How long clients still open connections after SIGTERM.
-const CONNECT_AFTER_SIGTERM: Duration = Duration::from_millis(300);
-/// By how much an exit may take longer than the client timeout.
+/// Time after SIGTERM in which clients still open new connections.
+const CONNECTS_AFTER_SIGTERM: Duration = Duration::from_millis(300);
+/// Time by which an exit may take longer than the client timeout.
 const EXIT_MARGIN: Duration = Duration::from_millis(2500);
-/// How long the faults of the start phase go on after all gateways serve.
+/// Time for which the faults of the start phase continue after all gateways serve.
 const START_FAULT_DURATION: Duration = Duration::from_millis(300);
-/// After a restart, links have closed the connections of before by then.
+/// Time after the restart of a gateway in which links close the connections that they accepted before.
 const LINK_RECOVERY: Duration = Duration::from_millis(100);
-/// The pause between two standstills.
+/// Pause between two standstills of a process.
 const STANDSTILL_PAUSE: Duration = Duration::from_millis(250);
-/// How long the reload phase lasts at least.
+/// Minimum length of the reload phase.
 const RELOAD_DURATION: Duration = Duration::from_millis(700);
-/// How long gateways have to learn of a drain after the reload.
+/// Time that gateways get to receive a drain notification after the reload.
 const DRAIN_DURATION: Duration = Duration::from_millis(300);
-/// How long the faults of the shutdown phase go on.
+/// Time for which the faults of the shutdown phase continue.
 const SHUTDOWN_FAULT_DURATION: Duration = Duration::from_millis(600);
 
-/// Measures by how much this process's own timers are late, so that its delays count as nobody's fault.
+/// A measurement of how late the timers of the test program itself are, so that its own delays are not
+/// counted as violations of a gateway.
 struct HarnessLag {
-    worst_ms: Arc<AtomicU64>,
+    max_lag_ms: Arc<AtomicU64>,
     task: JoinHandle<()>,
 }
 
@@ -44,16 +46,16 @@
     const INTERVAL: Duration = Duration::from_millis(5);
 
     fn measure() -> Self {
-        let worst_ms = Arc::new(AtomicU64::new(0));
-        let measured = worst_ms.clone();
+        let max_lag_ms = Arc::new(AtomicU64::new(0));
+        let task_max_lag_ms = max_lag_ms.clone();
         let task = tokio::spawn(async move {
             loop {
                 let due = Instant::now() + Self::INTERVAL;
                 sleep(Self::INTERVAL).await;
-                measured.fetch_max(due.elapsed().as_millis() as u64, Relaxed);
+                task_max_lag_ms.fetch_max(due.elapsed().as_millis() as u64, Relaxed);
             }
         });
-        HarnessLag { worst_ms, task }
+        HarnessLag { max_lag_ms, task }
     }
 }
 
@@ -63,10 +65,10 @@
     }
 }
 
-/// Plays a run. A site that does not start is a violation and not an error.
+/// Plays a run and checks its history. A site that does not start is a violation and not an error.
 ///
 /// # Errors
-/// If the run cannot be continued.
+/// Returns an error if the run cannot be continued.
 pub async fn play(launch: &Launch, plan: &Plan) -> Result<Outcome, Error> {
     let folder = tempfile::tempdir()?;
     let mut launch = launch.clone();
@@ -92,13 +94,13 @@
         host.update_behaviour(|behaviour| behaviour.response_fault = plan.response_fault);
     }
     let lag = HarnessLag::measure();
-    let gates: Vec<Arc<ClientGate>> = (0..plan.site.gateways).map(|_| Arc::default()).collect();
-    let mut clients = start_clients(&site, plan, &gates);
+    let shutdowns: Vec<Arc<ShutdownState>> = (0..plan.site.gateways).map(|_| Arc::default()).collect();
+    let mut clients = start_clients(&site, plan, &shutdowns);
     let mut run =
         Run { plan, site, controls, standstill_count: 0, violations: Vec::new(), phase_starts: Vec::new() };
-    run.play_phases(&gates).await?;
+    run.play_phases(&shutdowns).await?;
     while clients.join_next().await.is_some() {}
-    run.finish(lag.worst_ms.load(Relaxed)).judge()
+    run.finish(lag.max_lag_ms.load(Relaxed)).judge()
 }
 
 fn set_faults(controls: &[Control], kinds: &[Kind], on: bool) -> io::Result<()> {
@@ -110,16 +112,16 @@
     Ok(())
 }
 
-fn start_clients(site: &Site, plan: &Plan, gates: &[Arc<ClientGate>]) -> JoinSet<()> {
+fn start_clients(site: &Site, plan: &Plan, shutdowns: &[Arc<ShutdownState>]) -> JoinSet<()> {
     let mut clients = JoinSet::new();
-    for (gateway, gate) in gates.iter().enumerate() {
+    for (gateway, shutdown) in shutdowns.iter().enumerate() {
         for number in 0..plan.clients {
             let client = SoakClient {
                 gateway,
                 address: site.gateways[gateway].address,
                 recorder: site.recorder.clone(),
                 requests: site.request_factory(),
-                gate: gate.clone(),
+                shutdown: shutdown.clone(),
                 seed: plan.seed ^ ((gateway * 100 + number + 1) as u64),
             };
             clients.spawn(client.run());
@@ -128,7 +130,7 @@
     clients
 }
 
-/// A run in progress.
+/// A run that is being played.
 struct Run<'a> {
     plan: &'a Plan,
     site: Site,
@@ -139,7 +141,7 @@
 }
 
 impl<'a> Run<'a> {
-    async fn play_phases(&mut self, gates: &[Arc<ClientGate>]) -> Result<(), Error> {
+    async fn play_phases(&mut self, shutdowns: &[Arc<ShutdownState>]) -> Result<(), Error> {
         self.phase_starts.push(PhaseStart { phase: Phase::Start, at_us: 0 });
         self.spend(Phase::Start, START_FAULT_DURATION).await;
         self.inject(Phase::Start, false)?;
@@ -148,14 +150,14 @@
         self.begin(Phase::Reload);
         self.reload().await?;
         self.begin(Phase::Shutdown);
-        self.shut_down(gates).await
+        self.shut_down(shutdowns).await
     }
 
     fn begin(&mut self, phase: Phase) {
         self.phase_starts.push(PhaseStart { phase, at_us: self.site.recorder.now_us() });
     }
 
-    /// Begins or ends the injection of a phase's faults.
+    /// Starts or ends the injection of the run's faults if the plan injects them in `phase`.
     fn inject(&self, phase: Phase, on: bool) -> Result<(), Error> {
         if !self.plan.phases.contains(&phase) {
             return Ok(());
@@ -163,7 +165,7 @@
         set_faults(&self.controls, &self.plan.kinds, on).map_err(Error::FaultControl)
     }
 
-    /// Lets a phase last, with standstills if they are among its faults.
+    /// Waits for `length`, and stops the gateways repeatedly if standstills are among the faults of `phase`.
     async fn spend(&mut self, phase: Phase, length: Duration) {
         let end = Instant::now() + length;
         let standstill = self.plan.kinds.iter().find_map(|kind| match kind.method {
@@ -171,7 +173,7 @@
             _ => None,
         });
         while let Some(standstill) = standstill.filter(|_| Instant::now() < end) {
-            // A process that has exited cannot be stopped.
+            // A process that has exited cannot be stopped, and is not continued below.
             let stopped: Vec<bool> =
                 self.site.gateways.iter().map(|gateway| gateway.pause().is_ok()).collect();
             sleep(standstill).await;
@@ -183,7 +185,7 @@
         sleep(end.saturating_duration_since(Instant::now())).await;
     }
 
-    /// In service, a host drains and comes back, and a gateway may be killed and restarted.
+    /// Plays the service phase: a host drains and serves again, and gateway 0 may be killed and restarted.
     async fn serve(&mut self) -> Result<(), Error> {
         let third = self.plan.service / 3;
         self.inject(Phase::Service, true)?;
@@ -191,11 +193,11 @@
         self.site.discovery.set_state(0, "DRAINING");
         self.spend(Phase::Service, third).await;
         if self.plan.kills {
-            self.site.record_fault(0, "is killed");
+            self.site.record_fault(0, "killed");
             self.site.gateways[0].kill().await?;
             self.site.restart(0).await?;
             // A link closes the connections that it accepted while it could not reach the gateway.
-            self.site.record_fault(0, "what came while it was gone ends");
+            self.site.record_fault(0, "links close connections accepted while the gateway was down");
             sleep(LINK_RECOVERY).await;
             self.site.record_recovery(0);
         }
@@ -204,7 +206,7 @@
         self.inject(Phase::Service, false)
     }
 
-    /// Discovery moves to a new address, and the old one refuses connections.
+    /// Plays the reload phase: discovery moves to a new address, and the old address refuses connections.
     async fn reload(&mut self) -> Result<(), Error> {
         self.inject(Phase::Reload, true)?;
         let since_us = self.site.recorder.now_us();
@@ -221,16 +223,17 @@
             sleep(Duration::from_millis(50)).await;
         }
         if !self.all_notified_since(since_us) {
-            self.violations.push("Reload: discovery is not followed to its new address within 4 s".into());
+            self.violations
+                .push("Reload: a gateway did not follow discovery to its new address within 4 s".into());
         }
         self.inject(Phase::Reload, false)?;
-        // A change that only the new address announces.
+        // The drain is sent only over the new address, so that a gateway that ignored the reload is found.
         self.site.discovery.set_state(1, "DRAINING");
         sleep(DRAIN_DURATION).await;
         Ok(())
     }
 
-    /// Whether discovery has sent something to every gateway since then.
+    /// Returns whether discovery has sent a host's state to every gateway after `since_us`.
     fn all_notified_since(&self, since_us: u64) -> bool {
         let events = self.site.recorder.since(0);
         let is_notified = |number: usize| {
@@ -242,35 +245,36 @@
         (0..self.site.gateways.len()).all(is_notified)
     }
 
-    /// All gateways are asked to exit while their clients go on.
-    async fn shut_down(&mut self, gates: &[Arc<ClientGate>]) -> Result<(), Error> {
+    /// Plays the shutdown phase: all gateways are asked to exit while their clients continue to send
+    /// requests.
+    async fn shut_down(&mut self, shutdowns: &[Arc<ShutdownState>]) -> Result<(), Error> {
         for (number, gateway) in self.site.gateways.iter_mut().enumerate() {
             if gateway.has_exited() {
-                self.violations.push(format!("Crash: gateway {number} has ended by itself"));
+                self.violations.push(format!("Crash: gateway {number} exited unexpectedly"));
             }
         }
         self.inject(Phase::Shutdown, true)?;
-        let asked_at = Instant::now();
+        let sigterm_at = Instant::now();
         for gateway in &self.site.gateways {
-            // One that has exited was recorded above.
+            // A gateway that has already exited cannot be signalled, and is recorded as crashed above.
             let _ = gateway.send_sigterm();
         }
-        sleep(CONNECT_AFTER_SIGTERM).await;
-        gates.iter().for_each(|gate| gate.closed.store(true, Relaxed));
+        sleep(CONNECTS_AFTER_SIGTERM).await;
+        shutdowns.iter().for_each(|shutdown| shutdown.connects_stopped.store(true, Relaxed));
         let standstills_before = self.standstill_count;
         self.spend(Phase::Shutdown, SHUTDOWN_FAULT_DURATION).await;
         let stopped = self.stopped_time(self.standstill_count - standstills_before);
         let limit = self.plan.site.client_timeout + EXIT_MARGIN + stopped;
         self.await_exits().await;
-        if asked_at.elapsed() > limit {
-            let elapsed = asked_at.elapsed();
-            self.violations.push(format!("Exit: it took {elapsed:?}, and may take {limit:?}"));
+        if sigterm_at.elapsed() > limit {
+            let elapsed = sigterm_at.elapsed();
+            self.violations.push(format!("Exit: the gateways took {elapsed:?}, expected at most {limit:?}"));
         }
-        gates.iter().for_each(|gate| gate.over.store(true, Relaxed));
+        shutdowns.iter().for_each(|shutdown| shutdown.clients_stopped.store(true, Relaxed));
         Ok(())
     }
 
-    /// How long processes were stopped in so many standstills.
+    /// Returns the total time for which processes were stopped in `standstill_count` standstills.
     fn stopped_time(&self, standstill_count: u64) -> Duration {
         let lengths = self.plan.kinds.iter().map(|kind| match kind.method {
             InjectionMethod::Standstill(length) => length * standstill_count as u32,
@@ -283,7 +287,9 @@
         for (number, gateway) in self.site.gateways.iter_mut().enumerate() {
             match gateway.wait_for_exit().await {
                 Ok(Some(0)) => {}
-                Ok(code) => self.violations.push(format!("Exit: gateway {number} ended with {code:?}")),
+                Ok(code) => self
+                    .violations
+                    .push(format!("Exit: gateway {number} exited with code {code:?}, expected 0")),
                 Err(error) => self.violations.push(format!("Exit: gateway {number}: {error}")),
             }
         }
--- a/fault-tests/src/stub_servers/discovery.rs
+++ b/fault-tests/src/stub_servers/discovery.rs
@@ -1,4 +1,4 @@
-//! Stub discovery: the endpoint list with revisions, complete or as a delta, by long polling.
+//! Stub discovery: serves the endpoint list with revisions by long polling, complete or as a delta.
 use super::Listeners;
 use crate::client::read_message;
 use crate::history::{EventKind, HistoryRecorder};
@@ -14,14 +14,14 @@
 use tokio::sync::watch;
 use tokio::time::timeout;
 
-/// A host in the list.
+/// A host in the endpoint list.
 #[derive(Clone, Debug)]
 struct ListedHost {
-    /// By gateway, as each has its own link to the host.
+    /// Addresses by index of the gateway, because each gateway has its own link to the host.
     addresses: Vec<SocketAddr>,
     state: &'static str,
     boot_ms: u64,
-    /// The revision of its last change.
+    /// Revision of the list at the host's last change.
     revision: u64,
 }
 
@@ -32,14 +32,15 @@
 }
 
 impl HostList {
-    /// The list for a gateway: what has changed after a revision, or all hosts that are not deleted.
+    /// Returns the list for a gateway as JSON: the hosts that changed after a revision, or without a revision
+    /// all hosts that are not deleted.
     fn to_json(&self, gateway: usize, after: Option<u64>) -> Value {
         let changed = |host: &ListedHost| after.is_none_or(|revision| host.revision > revision);
-        let shown = |host: &ListedHost| after.is_some() || host.state != "DELETED";
+        let listed = |host: &ListedHost| after.is_some() || host.state != "DELETED";
         let targets: Vec<Value> = self
             .hosts
             .iter()
-            .filter(|(_, host)| changed(host) && shown(host))
+            .filter(|(_, host)| changed(host) && listed(host))
             .map(|(number, host)| {
                 json!({"uid": format!("s-{number}"), "endpoint": host.addresses[gateway].to_string(), "az": "a",
                        "pod_group": 0, "state": host.state, "capacity_hint": 1.0, "boot_ms": host.boot_ms})
@@ -49,17 +50,17 @@
     }
 }
 
-/// The list, shared with all connections.
+/// The endpoint list, shared by all connections.
 type SharedList = Arc<Mutex<HostList>>;
 
 fn lock(list: &Mutex<HostList>) -> MutexGuard<'_, HostList> {
     list.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-/// Stub discovery, with a listener for each gateway.
+/// A stub of discovery, with a listener for each gateway.
 #[derive(Debug)]
 pub struct StubDiscovery {
-    /// Where it listens for each gateway.
+    /// Listen addresses, by index of the gateway.
     pub addresses: Vec<SocketAddr>,
     list: SharedList,
     revision: watch::Sender<u64>,
@@ -67,10 +68,10 @@
 }
 
 impl StubDiscovery {
-    /// Starts discovery with an empty list.
+    /// Starts discovery with an empty endpoint list.
     ///
     /// # Errors
-    /// If it cannot listen.
+    /// Returns an error if a listener cannot be bound.
     pub async fn start(gateways: usize, recorder: &HistoryRecorder) -> io::Result<Self> {
         let list = Arc::new(Mutex::new(HostList { revision: 1, hosts: BTreeMap::new() }));
         let (revision, revision_seen) = watch::channel(1);
@@ -91,14 +92,14 @@
         Ok(StubDiscovery { addresses, list, revision, _listeners: listeners })
     }
 
-    /// Adds a host with its address for each gateway and its start time, in ms.
+    /// Adds a host with its addresses by gateway and its start time in ms.
     pub fn add(&self, host: usize, addresses: Vec<SocketAddr>, boot_ms: u64) {
         self.change(|list, revision| {
             list.hosts.insert(host, ListedHost { addresses, state: "SERVING", boot_ms, revision });
         });
     }
 
-    /// Sets a host's state: `SERVING`, `DRAINING` or `DELETED`.
+    /// Sets the state of a host: `SERVING`, `DRAINING` or `DELETED`. A host that is not listed is ignored.
     pub fn set_state(&self, host: usize, state: &'static str) {
         self.change(|list, revision| {
             if let Some(listed) = list.hosts.get_mut(&host) {
@@ -116,12 +117,12 @@
         self.revision.send_replace(revision);
     }
 
-    /// The complete list, as in a gateway's configuration.
+    /// Returns the complete list for a gateway, in the form of the gateway's configuration.
     pub fn complete_list(&self, gateway: usize) -> Value {
         lock(&self.list).to_json(gateway, None)
     }
 
-    /// Records that a gateway starts with the complete list.
+    /// Records the states of all hosts as sent to a gateway that starts with the complete list.
     pub fn record_initial_list(&self, gateway: usize, recorder: &HistoryRecorder) {
         for (host, listed) in &lock(&self.list).hosts {
             let serving = listed.state == "SERVING";
@@ -148,7 +149,8 @@
             let after = query_number(&target, "after");
             if let Some(after) = after {
                 let wait = Duration::from_millis(query_number(&target, "wait_ms").unwrap_or(0));
-                // The response is the same whether there was a change or the wait timed out: the list of then.
+                // The result of the wait is ignored, because the response is the delta of the current list,
+                // which is empty after a timeout.
                 let _ = timeout(wait, self.revision.wait_for(|revision| *revision > after)).await;
             }
             let list = lock(&self.list).to_json(self.gateway, after);
@@ -172,7 +174,7 @@
     }
 }
 
-/// The number of a query parameter.
+/// Returns the numeric value of a query parameter, if the target has one.
 fn query_number(target: &str, name: &str) -> Option<u64> {
     let value = target.split(['?', '&']).find_map(|part| part.strip_prefix(name)?.strip_prefix('='));
     value.and_then(|text| text.parse().ok())
--- a/fault-tests/src/stub_servers/host.rs
+++ b/fault-tests/src/stub_servers/host.rs
@@ -1,4 +1,4 @@
-//! A stub host: it serves requests, drains, and responds with faults on demand.
+//! A stub host: serves requests, drains, and injects faults into its responses.
 use super::{field, Listeners};
 use crate::client::read_message;
 use crate::history::{EventKind, HistoryRecorder};
@@ -11,34 +11,34 @@
 use tokio::sync::watch;
 use tokio::time::sleep;
 
-/// The load report in every response of 200.
+/// Header field with the load report of recurring response with status 200.
 const LOAD_REPORT: &str = "X-Backend-Load: util=0.4,qps=20";
-/// The response of a host that fails.
+/// Response of a host that fails.
 const ERROR_RESPONSE: &str = "HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n";
-/// The response of a host that has not processed the request.
+/// Response of a host that rejects the request unprocessed.
 const REJECTION: &str = "HTTP/1.1 503 Draining\r\nX-Unprocessed: 1\r\nContent-Length: 0\r\n\r\n";
 
-/// A fault of a host's response.
+/// A fault of a stub host's response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ResponseFault {
-    /// It never responds.
+    /// The host never responds.
     Hang,
-    /// It resets the connection instead.
+    /// The host resets the connection instead of responding.
     Reset,
-    /// It closes the connection instead.
+    /// The host closes the connection instead of responding.
     Close,
-    /// It responds with an error.
+    /// The host responds with status 500.
     Error,
-    /// It rejects the request unprocessed.
+    /// The host rejects the request unprocessed with status 503.
     Reject,
-    /// It closes the connection in the middle of the response.
+    /// The host closes the connection in the middle of the response's body.
     Truncated,
-    /// The response has no length and ends with the connection.
+    /// The response has no Content-Length and ends with the connection.
     NoContentLength,
 }
 
 impl ResponseFault {
-    /// All faults. Soaks draw from this order.
+    /// All faults. The order is fixed, because a soak draws an index into the array from its seed.
     pub const ALL: [ResponseFault; 7] = [
         ResponseFault::Hang,
         ResponseFault::Reset,
@@ -50,40 +50,42 @@
     ];
 }
 
-/// A response fault that recurs on each connection.
+/// A response fault that recurs on recurring connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct FaultEvery {
-    /// The fault.
+pub struct RecurringFault {
+    /// Fault of the affected responses.
     pub fault: ResponseFault,
-    /// It affects every request of a connection whose number this divides.
-    pub request_count: usize,
+    /// Number of requests from one affected request to the next: request number `period` of a connection is
+    /// the first one that is affected.
+    pub period: usize,
 }
 
-/// How a host behaves.
+/// The behaviour of a stub host.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct ServerBehaviour {
-    /// How long it processes a request.
+pub struct HostBehaviour {
+    /// Time that the host takes to process a request.
     pub service_time: Duration,
-    /// Whether it rejects new requests.
+    /// Whether the host rejects new requests because it drains.
     pub drains: bool,
-    /// The fault of its responses, if any.
-    pub response_fault: Option<FaultEvery>,
+    /// Fault of the host's responses, if any.
+    pub response_fault: Option<RecurringFault>,
 }
 
-impl ServerBehaviour {
-    /// The fault of the response to a connection's request with this number, counted from 1.
+impl HostBehaviour {
+    /// Returns the fault of the response to a connection's request number `request_number`, counted from 1.
     fn fault_of(&self, request_number: usize) -> Option<ResponseFault> {
-        let every = self.response_fault.filter(|every| request_number.is_multiple_of(every.request_count));
-        every.map(|every| every.fault)
+        let recurring =
+            self.response_fault.filter(|recurring| request_number.is_multiple_of(recurring.period));
+        recurring.map(|recurring| recurring.fault)
     }
 }
 
-/// A stub host.
+/// A stub host, with a listener for each gateway.
 #[derive(Debug)]
 pub struct StubHost {
-    /// Where it listens for each gateway.
+    /// Listen addresses, by index of the gateway.
     pub addresses: Vec<SocketAddr>,
-    behaviour: watch::Sender<ServerBehaviour>,
+    behaviour: watch::Sender<HostBehaviour>,
     _listeners: Listeners,
 }
 
@@ -91,12 +93,12 @@
     /// Starts host `number`, with a listener for each gateway.
     ///
     /// # Errors
-    /// If it cannot listen.
+    /// Returns an error if a listener cannot be bound.
     pub async fn start(
         number: usize, gateways: usize, service_time: Duration, recorder: &HistoryRecorder,
     ) -> io::Result<Self> {
         let (behaviour, behaviour_seen) =
-            watch::channel(ServerBehaviour { service_time, drains: false, response_fault: None });
+            watch::channel(HostBehaviour { service_time, drains: false, response_fault: None });
         let (mut addresses, mut listeners) = (Vec::new(), Listeners::default());
         for gateway in 0..gateways {
             let (recorder, behaviour) = (recorder.clone(), behaviour_seen.clone());
@@ -115,8 +117,8 @@
         Ok(StubHost { addresses, behaviour, _listeners: listeners })
     }
 
-    /// Changes its behaviour from the next request on.
-    pub fn update_behaviour(&self, change: impl FnOnce(&mut ServerBehaviour)) {
+    /// Changes the behaviour of the host from the next request on.
+    pub fn update_behaviour(&self, change: impl FnOnce(&mut HostBehaviour)) {
         self.behaviour.send_modify(change);
     }
 }
@@ -125,7 +127,7 @@
 struct Connection {
     host: usize,
     gateway: usize,
-    behaviour: watch::Receiver<ServerBehaviour>,
+    behaviour: watch::Receiver<HostBehaviour>,
     recorder: HistoryRecorder,
     response_count: u64,
 }
@@ -146,7 +148,7 @@
             self.record_arrival(&id, &field(&request, "x-time-left-ms"), first_byte_at_us, processed);
             let response = match fault {
                 Some(ResponseFault::Hang) => {
-                    // Returns once the gateway closes the connection or sends more.
+                    // The read returns once the gateway closes the connection or sends more data.
                     let _ = stream.read_buf(reader.buffer()).await;
                     return;
                 }
@@ -189,7 +191,8 @@
         });
     }
 
-    /// Creates and records a response of 200, in HTTP with its fault.
+    /// Creates a response with status 200, records it, and returns it as HTTP/1.1 text with the fault
+    /// applied.
     fn respond(&mut self, id: String, fault: Option<ResponseFault>) -> String {
         self.response_count += 1;
         let Connection { host, gateway, response_count, .. } = self;
--- a/fault-tests/src/stub_servers/mod.rs
+++ b/fault-tests/src/stub_servers/mod.rs
@@ -1,11 +1,13 @@
-//! Stub servers on loopback in place of what gateways connect to: [`StubHost`] and [`StubDiscovery`].
+//! Stub servers on loopback addresses that stand in for the peers of gateways: [`StubHost`] and
+//! [`StubDiscovery`].
 //!
-//! Each has a listener for every gateway, so that it knows who connects. All end when they are dropped.
+//! A stub server has a listener for each gateway, so that it knows which gateway connects. Dropping a stub
+//! server closes its listeners.
 mod discovery;
 mod host;
 
 pub use discovery::StubDiscovery;
-pub use host::{FaultEvery, ResponseFault, ServerBehaviour, StubHost};
+pub use host::{HostBehaviour, RecurringFault, ResponseFault, StubHost};
 
 use std::future::Future;
 use std::io;
@@ -14,7 +16,7 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::task::JoinHandle;
 
-/// The listeners of a stub server.
+/// The listeners of a stub server, one task each.
 #[derive(Debug, Default)]
 struct Listeners(Vec<JoinHandle<()>>);
 
@@ -25,7 +27,7 @@
 }
 
 impl Listeners {
-    /// Listens on a port of its own and has `serve` handle each connection; the address.
+    /// Adds a listener on a free port, whose connections are handled by `serve`, and returns its address.
     async fn add<F: Future<Output = ()> + Send + 'static>(
         &mut self, serve: impl Fn(TcpStream) -> F + Send + 'static,
     ) -> io::Result<SocketAddr> {
@@ -40,7 +42,7 @@
     }
 }
 
-/// A header field's value, or an empty text.
+/// Returns the value of a header field, or an empty string if the message has no such field.
 fn field<S>(message: &CompleteMessage<S>, name: &str) -> String {
     message.fields.text(name).unwrap_or("").to_string()
 }
--- a/fault-tests/tests/soak.rs
+++ b/fault-tests/tests/soak.rs
@@ -231,8 +231,14 @@
         }
         assert!(outcome.counts.served > 20, "seed {seed}: {:?}", outcome.counts);
         // Times are the soak's own matter: a busy machine is late here and there.
-        let timed =
-            ["InTime", "ForwardedDeadline", "NoAttemptAfterDisconnect", "Draining", "Exit: it took", "g"];
+        let timed = [
+            "InTime",
+            "ForwardedDeadline",
+            "NoAttemptAfterDisconnect",
+            "Draining",
+            "Exit: the gateways took",
+            "g",
+        ];
         let lost: Vec<_> =
             outcome.violations.iter().filter(|v| !timed.iter().any(|t| v.starts_with(t))).collect();
         assert!(lost.is_empty(), "seed {seed}: {lost:#?}");
