--- a/fault-tests/shim/faults.rs
+++ b/fault-tests/shim/faults.rs
@@ -205,7 +205,7 @@
 }
 
 /// Draws whether a fault is injected into the current call, and counts the fault if so.
-fn should_inject(kind: Kind) -> bool {
+fn injects(kind: Kind) -> bool {
     let Some(control) = control() else { return false };
     let rate = control.rates[kind as usize].load(Relaxed);
     if rate == 0 || draw(control) as u32 % ALWAYS >= rate {
@@ -229,7 +229,7 @@
 
 /// Draws the faults in order and fails with the error of the first one that is injected, if any.
 fn first_failure(kinds: &[(Kind, c_int)]) -> Option<c_long> {
-    kinds.iter().find(|(kind, _)| should_inject(*kind)).map(|(_, error)| fail_with(*error))
+    kinds.iter().find(|(kind, _)| injects(*kind)).map(|(_, error)| fail_with(*error))
 }
 
 /// Returns the type of a descriptor, [`UNTRACKED`] if the type is not stored.
@@ -250,7 +250,7 @@
 /// Draws the faults in order. If one is injected, shuts the connection down, so that both ends notice, and
 /// fails with the error of the fault.
 fn break_connection(fd: c_int, kinds: &[(Kind, c_int)]) -> Option<c_long> {
-    let (_, error) = kinds.iter().find(|(kind, _)| should_inject(*kind))?;
+    let (_, error) = kinds.iter().find(|(kind, _)| injects(*kind))?;
     // SAFETY: `shutdown` takes no pointers.
     unsafe { syscall(number::SHUTDOWN, fd, SHUT_RDWR) };
     Some(fail_with(*error))
@@ -264,13 +264,10 @@
     unsafe { syscall(number::NANOSLEEP, &time, null_mut::<TimeSpec>()) };
 }
 
-/// Returns the length of a read or write of `length` bytes. If a short one is injected, the length is random,
-/// at least 1 and less than `length`.
+/// Returns `length`, or a random smaller length of at least 1 if a short read or write is injected.
 fn short_length(kind: Kind, length: usize) -> usize {
     match control() {
-        Some(control) if length > 1 && should_inject(kind) => {
-            1 + (draw(control) as usize) % (length - 1).min(64)
-        }
+        Some(control) if length > 1 && injects(kind) => 1 + (draw(control) as usize) % (length - 1).min(64),
         _ => length,
     }
 }
@@ -293,7 +290,7 @@
         SERVER_CONNECTION => [(Kind::WriteTimedOut, ETIMEDOUT), (Kind::WriteHostUnreachable, EHOSTUNREACH)],
         _ => [(Kind::ClientTimedOut, ETIMEDOUT), (Kind::ClientUnreachable, EHOSTUNREACH)],
     };
-    if should_inject(Kind::WriteDelayed) {
+    if injects(Kind::WriteDelayed) {
         delay_write();
     }
     first_failure(&[(Kind::WriteInterrupted, EINTR), (Kind::WriteNoBuffers, ENOBUFS)])
@@ -386,7 +383,7 @@
     if let Some(failed) = write_fault(fd) {
         return failed as isize;
     }
-    let short = descriptor_type(fd) != UNTRACKED && count > 0 && should_inject(Kind::WriteShort);
+    let short = descriptor_type(fd) != UNTRACKED && count > 0 && injects(Kind::WriteShort);
     if short {
         // A short write accepts at most 64 bytes of the first buffer that is not empty.
         let first = (0..count as usize).map(|n| *buffers.add(n)).find(|buffer| buffer.length > 0);
--- a/fault-tests/src/client.rs
+++ b/fault-tests/src/client.rs
@@ -35,7 +35,7 @@
     }
 }
 
-/// A request of a client, with the values that its HTTP fields are made of.
+/// A request of a client, with the values of the HTTP fields that vary.
 #[derive(Clone, Debug)]
 pub struct Request {
     /// Id of the request: 16 hexadecimal digits.
--- a/fault-tests/src/error.rs
+++ b/fault-tests/src/error.rs
@@ -10,7 +10,7 @@
     #[error(transparent)]
     Io(#[from] io::Error),
     /// A file could not be read.
-    #[error("{}: {source}", path.display())]
+    #[error("cannot read {}: {source}", path.display())]
     File {
         /// Path of the file.
         path: PathBuf,
@@ -18,7 +18,7 @@
         source: io::Error,
     },
     /// A file does not contain a valid fault schedule.
-    #[error("{}: {source}", path.display())]
+    #[error("invalid fault schedule {}: {source}", path.display())]
     ScheduleFile {
         /// Path of the file.
         path: PathBuf,
@@ -109,7 +109,7 @@
 #[derive(Debug, thiserror::Error)]
 pub enum ProcessError {
     /// The configuration file could not be written, or the program could not be started.
-    #[error("{}: {source}", path.display())]
+    #[error("cannot write or start {}: {source}", path.display())]
     File {
         /// Path of the configuration file or of the program.
         path: PathBuf,
--- a/fault-tests/src/history.rs
+++ b/fault-tests/src/history.rs
@@ -124,7 +124,8 @@
         /// Index of the gateway.
         gateway: usize,
     },
-    /// A step of a fault schedule begins or ends; recorded for diagnosis, no invariant reads it.
+    /// A step of a fault schedule begins or ends. The event is recorded for diagnosis, and no invariant reads
+    /// the event.
     FaultInjected {
         /// Text that describes the fault.
         description: String,
--- a/fault-tests/src/invariants/placement.rs
+++ b/fault-tests/src/invariants/placement.rs
@@ -51,7 +51,7 @@
                 if let Some(at_us) = notified_at_us.filter(|at_us| *first_byte_at_us > at_us + grace_us) {
                     let late_ms = (first_byte_at_us - at_us) / US_PER_MS;
                     let description = format!(
-                        "gateway {gateway} sent request {id} to host {host} {late_ms} ms after its drain notice"
+                        "gateway {gateway} sent request {id} to host {host} {late_ms} ms after its drain"
                     );
                     found.push(Violation::new(Invariant::Draining, *first_byte_at_us, description));
                 }
--- a/fault-tests/src/links/mod.rs
+++ b/fault-tests/src/links/mod.rs
@@ -1,4 +1,4 @@
-//! Links with injected faults. Every path between two processes of a site leads through a link, and each
+//! Links with injected faults. A site has a link on every path between a gateway and a peer, and each
 //! direction of a link has its own faults.
 //!
 //! A [`Link`] forwards TCP connections, [`UdpLinkPair`] forwards datagrams. Both start without faults and
@@ -13,7 +13,7 @@
 use serde::{Deserialize, Serialize};
 use std::time::Duration;
 
-/// The way in which a connection is cut after [`DirectionFaults::cut_after`].
+/// The way in which a connection is cut after the number of bytes in [`DirectionFaults::cut_after`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum CutAction {
@@ -36,11 +36,11 @@
     Refused,
     /// The connection is accepted and reset immediately.
     Reset,
-    /// The connection is accepted, and all data from the connecting side is discarded.
+    /// The connection is accepted, all data from the connecting side is discarded, and no data is sent back.
     BlackHole,
 }
 
-/// The faults of one direction of a link. Values of 0 and `None` mean no fault.
+/// The faults of one direction of a link. The default values mean no fault.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct DirectionFaults {
--- a/fault-tests/src/site.rs
+++ b/fault-tests/src/site.rs
@@ -61,7 +61,7 @@
 pub enum LinkTarget {
     /// All clients of the gateway.
     Clients,
-    /// The host with this index.
+    /// One host, by its index.
     Host(usize),
     /// All hosts of the site.
     Hosts,
--- a/fault-tests/src/soak/faults.rs
+++ b/fault-tests/src/soak/faults.rs
@@ -39,9 +39,9 @@
         /// Probability of a fault for each call, 0 to 1.
         probability: f64,
     },
-    /// The shim steps the wall clock by this time, in ms.
+    /// The shim steps the wall clock by the given time, in ms; a negative time steps the clock back.
     Clock(i64),
-    /// The process is stopped repeatedly (SIGSTOP), each time for this long.
+    /// The process is stopped (SIGSTOP) repeatedly, each time for the given duration.
     Standstill(Duration),
 }
 
--- a/fault-tests/src/soak/judge.rs
+++ b/fault-tests/src/soak/judge.rs
@@ -1,4 +1,4 @@
-//! Checks the history of a soak run, with the violations excused that the injected faults cause.
+//! Checks the history of a soak run and excuses the violations that the injected faults cause.
 use super::clients::MAX_PIPELINED_REQUESTS;
 use super::faults::{Control, InjectionMethod, Phase, CLIENT_CONNECTION_FAULTS};
 use super::plan::Plan;
--- a/fault-tests/src/soak/run.rs
+++ b/fault-tests/src/soak/run.rs
@@ -15,8 +15,7 @@
 use tokio::task::{JoinHandle, JoinSet};
 use tokio::time::{sleep, Instant};
 
-/// Time limit for gateways to follow discovery to its new address, counted from the end of
-/// [`RELOAD_DURATION`].
+/// Time limit for gateways to follow discovery to a new address, counted from the end of [`RELOAD_DURATION`].
 const RELOAD_TIMEOUT: Duration = Duration::from_secs(4);
 /// Time after SIGTERM in which clients still open new connections.
 const CONNECTS_AFTER_SIGTERM: Duration = Duration::from_millis(300);
@@ -24,7 +23,7 @@
 const EXIT_MARGIN: Duration = Duration::from_millis(2500);
 /// Time for which the faults of the start phase continue after all gateways serve.
 const START_FAULT_DURATION: Duration = Duration::from_millis(300);
-/// Time after the restart of a gateway in which links close the connections that they accepted before.
+/// Time after the restart of a gateway in which links close the connections that the links accepted before.
 const LINK_RECOVERY: Duration = Duration::from_millis(100);
 /// Pause between two standstills of a process.
 const STANDSTILL_PAUSE: Duration = Duration::from_millis(250);
@@ -35,7 +34,7 @@
 /// Time for which the faults of the shutdown phase continue.
 const SHUTDOWN_FAULT_DURATION: Duration = Duration::from_millis(600);
 
-/// A measurement of how late the timers of the test program itself are, so that its own delays are not
+/// A measurement of how late the timers of the test program are, so that delays of the test program are not
 /// counted as violations of a gateway.
 struct HarnessLag {
     max_lag_ms: Arc<AtomicU64>,
@@ -196,7 +195,7 @@
             self.site.record_fault(0, "killed");
             self.site.gateways[0].kill().await?;
             self.site.restart(0).await?;
-            // A link closes the connections that it accepted while it could not reach the gateway.
+            // A link closes the connections that the link accepted while the gateway was unreachable.
             self.site.record_fault(0, "links close connections accepted while the gateway was down");
             sleep(LINK_RECOVERY).await;
             self.site.record_recovery(0);
@@ -233,7 +232,8 @@
         Ok(())
     }
 
-    /// Returns whether discovery has sent a host's state to every gateway after `since_us`.
+    /// Returns whether discovery has sent a host's state to every gateway after `since_us`, in µs since the
+    /// start of the run.
     fn all_notified_since(&self, since_us: u64) -> bool {
         let events = self.site.recorder.since(0);
         let is_notified = |number: usize| {
--- a/fault-tests/src/stub_servers/mod.rs
+++ b/fault-tests/src/stub_servers/mod.rs
@@ -1,7 +1,8 @@
 //! Stub servers on loopback addresses that stand in for the peers of gateways: [`StubHost`] and
 //! [`StubDiscovery`].
 //!
-//! A stub server has a listener for each gateway, so that it knows which gateway connects. Dropping a stub
+//! A stub server has a listener for each gateway, so that the stub server knows which gateway connects.
+//! Dropping a stub
 //! server closes its listeners.
 mod discovery;
 mod host;
--- a/fault-tests/tests/links.rs
+++ b/fault-tests/tests/links.rs
@@ -1,4 +1,4 @@
-//! Each fault of a link has its effect, in its own direction only.
+//! Each fault of a link takes effect, and only in the direction that the fault is set for.
 use std::net::SocketAddr;
 use std::time::Duration;
 use ternstack_fault_tests::links::{
@@ -31,9 +31,7 @@
 /// Sends `text` through a link to an echo server. Returns the received part of `text` and how the exchange
 /// ended: `refused`, `silent`, `ended`, `reset`, or `whole` if all of `text` was received.
 async fn exchange(link: &Link, text: &str) -> (String, &'static str) {
-    let Ok(mut stream) = TcpStream::connect(link.address).await else {
-        return (String::new(), "refused");
-    };
+    let Ok(mut stream) = TcpStream::connect(link.address).await else { return (String::new(), "refused") };
     // A failed write is ignored, because the next read then fails as well.
     let _ = stream.write_all(text.as_bytes()).await;
     let mut received = Vec::new();
@@ -57,7 +55,7 @@
     let forward = |faults| LinkFaults { forward: faults, ..LinkFaults::default() };
     let reverse = |faults| LinkFaults { reverse: faults, ..LinkFaults::default() };
     let handling = |connection_handling| LinkFaults { connection_handling, ..LinkFaults::default() };
-    for (faults, received, expected_end) in [
+    for (faults, expected_text, expected_end) in [
         (LinkFaults::default(), "message", "whole"),
         (handling(ConnectionHandling::Refused), "", "refused"),
         (handling(ConnectionHandling::Reset), "", "reset"),
@@ -87,7 +85,7 @@
             tokio::time::sleep(Duration::from_millis(5)).await;
             outcome = exchange(&link, "message").await;
         }
-        assert_eq!((outcome.0.as_str(), outcome.1), (received, expected_end), "{faults:?}");
+        assert_eq!((outcome.0.as_str(), outcome.1), (expected_text, expected_end), "{faults:?}");
         let was_hit = link.take_hit_count() > 0;
         assert_eq!(
             was_hit,
