--- a/control-plane/tests/snapshot_file.rs
+++ b/control-plane/tests/snapshot_file.rs
@@ -25,7 +25,7 @@
     let path = folder.path().join("gateway.snapshot");
     std::env::set_var("TERNSTACK_FAULTS_FOLDER", folder.path());
     let control: &Control = Box::leak(Box::default());
-    shim::follow(control);
+    shim::set_control(control);
     write(&path, &snapshot(1)).expect("a write without faults succeeds");
     for (kind, expected_error) in [
         (Kind::FileOpen, "Too many open files"),
--- a/gateway/tests/faults.rs
+++ b/gateway/tests/faults.rs
@@ -21,7 +21,7 @@
     FAULT_CONTROL.get_or_init(|| {
         let handle: &Control = Box::leak(Box::default());
         handle.thread.store(-1, Relaxed);
-        shim::follow(handle);
+        shim::set_control(handle);
         handle
     })
 }
--- a/scale-tests/src/run.rs
+++ b/scale-tests/src/run.rs
@@ -359,7 +359,7 @@
                 let installation = self.installation;
                 self.fleet.set_origin_link_faults(
                     |n| installation.region_of(installation.zone_of(n)) == 0,
-                    LinkFaults::cut(),
+                    LinkFaults::partition(),
                 );
             }
             Fault::ZoneLost => self.set_zone_serving(false).await?,
