--- a/balancer/src/admission.rs
+++ b/balancer/src/admission.rs
@@ -119,8 +119,8 @@
     overload.max(aimd_shed_ratio).max(stall_shed_ratio.min(MAX_STALL_SHED_RATIO))
 }
 
-/// Returns the fraction of its requests that a full fleet admits where AIMD asks for less than one request
-/// in flight at an endpoint, because the concurrency limit itself cannot fall below one.
+/// Returns the fraction of requests that a full fleet admits. The fraction is below 1 where AIMD lowers an
+/// endpoint's limit below one request in flight, because the concurrency limit itself cannot fall below one.
 fn aimd_admitted_ratio(now_ms: f64, fleet: &Fleet, is_full: bool) -> f64 {
     if !is_full {
         return 1.0;
--- a/balancer/src/endpoint_set.rs
+++ b/balancer/src/endpoint_set.rs
@@ -120,12 +120,12 @@
         ids.filter_map(|id| self.by_id.get(id))
     }
 
-    /// Returns the mean of a value over the endpoints in use that have the value.
+    /// Returns the mean of `value` over the endpoints in use for which it is `Some`.
     pub fn mean(&self, value: impl Fn(&Endpoint) -> Option<f64>) -> Option<f64> {
         mean(self.in_use().filter_map(value))
     }
 
-    /// Returns the mean of a value over the endpoints with the given ids that have the value.
+    /// Returns the mean of `value` over the endpoints with the given ids for which it is `Some`.
     pub fn mean_of<'a>(
         &'a self, ids: impl Iterator<Item = &'a EndpointId>, value: impl Fn(&Endpoint) -> Option<f64>,
     ) -> Option<f64> {
@@ -137,8 +137,9 @@
         self.mean(|endpoint| endpoint.health.ratio_unless_ejected()).unwrap_or(0.0)
     }
 
-    /// Returns the lowest error ratio of a class among the endpoints in use. A class is excluded by the
-    /// distance to this ratio, so that no endpoint is excluded where all endpoints fail the class.
+    /// Returns the lowest error ratio of a class among the endpoints in use. An endpoint is excluded for a
+    /// class by the distance of its own error ratio to the lowest one, so that no endpoint is excluded where
+    /// all endpoints fail the class.
     pub fn least_error_ratio(&self, class: usize) -> f64 {
         self.in_use().map(|endpoint| endpoint.class_errors.error_ratio(class)).fold(1.0, f64::min)
     }
--- a/balancer/src/endpoint_updates.rs
+++ b/balancer/src/endpoint_updates.rs
@@ -21,7 +21,7 @@
     pub kind: UpdateKind,
     /// Whether discovery has already sent a list since the cached list was loaded.
     pub follows_discovery: bool,
-    /// Whether a removed endpoint may still be used unless it was draining.
+    /// Whether removal is advisory, so that a removed endpoint that is proven and active stays in use.
     pub removal_is_advisory: bool,
     /// Fleet that the update is applied to.
     pub fleet: &'a mut Fleet,
--- a/balancer/src/fleet.rs
+++ b/balancer/src/fleet.rs
@@ -87,9 +87,10 @@
         self.slow_start.send_interval_ms(now_ms, endpoint, &self.endpoints, endpoint_share)
     }
 
-    /// Returns whether an endpoint in slow start gets requests only from other gateways.
-    pub fn is_left_to_others(&self, now_ms: f64, endpoint: &Endpoint) -> bool {
-        self.slow_start.is_left_to_others(now_ms, endpoint, self.endpoints.eligible_count())
+    /// Returns whether slow start leaves the endpoint to other gateways, so that this gateway sends no
+    /// requests there.
+    pub fn is_left_to_other_gateways(&self, now_ms: f64, endpoint: &Endpoint) -> bool {
+        self.slow_start.is_left_to_other_gateways(now_ms, endpoint, self.endpoints.eligible_count())
     }
 
     /// Updates this gateway's share of the traffic from its send rate and the reported throughput.
--- a/balancer/src/load.rs
+++ b/balancer/src/load.rs
@@ -44,10 +44,11 @@
 pub(crate) struct EndpointLoad {
     /// Balancing weight in requests per second: the smoothed ratio of throughput to utilization.
     pub weight_per_s: Option<f64>,
-    /// Capacity in requests per second: computed like the weight, but an idle endpoint doesn't seem smaller
-    /// than it is.
+    /// Capacity in requests per second: computed like the weight, but with a smaller lower bound of the
+    /// utilization, so that a nearly idle endpoint does not seem smaller than it is.
     pub capacity_per_s: Option<f64>,
-    /// Largest weight of the endpoint on a list whose weights reflect load, which is the weight when idle.
+    /// Largest listed weight of the endpoint so far, which counts as its weight without requests in flight;
+    /// used only where listed weights reflect load.
     pub idle_weight: f64,
     /// Requests that all gateways have in flight at the endpoint, as a multiple of those that may be in
     /// flight; at most [`MAX_FLEET_LOAD`].
@@ -96,8 +97,8 @@
         self.weight_per_s = Some(self.weight_per_s.map_or(sample, smoothed));
     }
 
-    /// Updates the capacity with a gain that falls with the utilization, because a nearly idle endpoint
-    /// seems far larger than it is.
+    /// Updates the capacity with a gain that falls with the utilization, because the capacity of a nearly
+    /// idle endpoint would otherwise be estimated far too high.
     fn update_capacity(&mut self, utilization: f64, throughput_per_s: f64, mean_capacity_per_s: Option<f64>) {
         let sample = throughput_per_s / utilization.clamp(MIN_CAPACITY_UTILIZATION, 1.0);
         let reliability = (utilization / RELIABLE_UTILIZATION).min(1.0);
@@ -107,8 +108,8 @@
         self.capacity_per_s = Some(previous.map_or(sample, smoothed));
     }
 
-    /// Applies a listed weight, where weights are endpoint sizes divided by 1 + requests in flight per
-    /// core.
+    /// Applies a listed weight that reflects load: the size of the endpoint divided by (1 + requests in
+    /// flight per core).
     pub fn apply_listed_weight(&mut self, weight: f64) {
         if weight > 0.0 && weight.is_finite() {
             self.idle_weight = self.idle_weight.max(weight);
--- a/balancer/src/pick.rs
+++ b/balancer/src/pick.rs
@@ -183,7 +183,10 @@
         let rounding_ratio = (1.0 - self.fleet.traffic_share.visibility()) / limit;
         let is_full = saturation + rounding_ratio >= 1.0;
         let is_paused = self.now_ms < endpoint.next_send_at_ms;
-        !is_unresponsive && !is_full && !is_paused && !self.fleet.is_left_to_others(self.now_ms, endpoint)
+        !is_unresponsive
+            && !is_full
+            && !is_paused
+            && !self.fleet.is_left_to_other_gateways(self.now_ms, endpoint)
     }
 
     /// Returns the weight of an endpoint in the random pick.
--- a/balancer/src/slow_start.rs
+++ b/balancer/src/slow_start.rs
@@ -107,8 +107,9 @@
         }
     }
 
-    /// Returns whether an endpoint in slow start gets requests only from other gateways.
-    pub fn is_left_to_others(&self, now_ms: f64, endpoint: &Endpoint, eligible_count: usize) -> bool {
+    /// Returns whether slow start leaves the endpoint to other gateways, so that this gateway sends no
+    /// requests there.
+    pub fn is_left_to_other_gateways(&self, now_ms: f64, endpoint: &Endpoint, eligible_count: usize) -> bool {
         self.own_slow_start_share(now_ms, endpoint, eligible_count) == Some(0.0)
     }
 
--- a/balancer/src/subset.rs
+++ b/balancer/src/subset.rs
@@ -67,7 +67,7 @@
         let mut candidates = (0..eligible.len()).map(|step| eligible[(first + step) % eligible.len()]);
         let left_to_others = |id: EndpointId| {
             endpoints.get(id).is_some_and(|endpoint| {
-                slow_start.is_left_to_others(now_ms, endpoint, endpoints.eligible_count())
+                slow_start.is_left_to_other_gateways(now_ms, endpoint, endpoints.eligible_count())
             })
         };
         let id = candidates.find(|id| !subset.contains(id) && !left_to_others(*id))?;
@@ -145,7 +145,7 @@
     let eligible_count = endpoints.eligible_count();
     endpoints
         .get_all(endpoints.subset().get(side).iter())
-        .filter(|endpoint| !slow_start.is_left_to_others(now_ms, endpoint, eligible_count))
+        .filter(|endpoint| !slow_start.is_left_to_other_gateways(now_ms, endpoint, eligible_count))
         .filter(|endpoint| !endpoint.health.is_ejected())
         .count()
 }
--- a/balancer/tests/decision_digests/fleet.rs
+++ b/balancer/tests/decision_digests/fleet.rs
@@ -149,7 +149,9 @@
 
     /// Applies a random fault or a random change of the list. Returns the numbers of the endpoints whose
     /// entries changed.
-    pub fn disturb(&mut self, scenario: &Scenario, now_ms: f64, random: &mut Random) -> Vec<usize> {
+    pub fn inject_disturbance(
+        &mut self, scenario: &Scenario, now_ms: f64, random: &mut Random,
+    ) -> Vec<usize> {
         let number = random.below(self.endpoints.len());
         match random.below(16) {
             0..=5 => {
--- a/balancer/tests/decision_digests/scenario.rs
+++ b/balancer/tests/decision_digests/scenario.rs
@@ -38,7 +38,7 @@
 
 /// Draws the scenario of a stream.
 pub fn draw_scenario(stream: u64, random: &mut Random) -> Scenario {
-    let mut scenario = draw_usual(stream, random);
+    let mut scenario = draw_common_scenario(stream, random);
     if stream >= FIRST_KEYED_STREAM {
         for class in &mut scenario.settings.classes {
             class.idempotency = 1;
@@ -59,7 +59,8 @@
     scenario
 }
 
-fn draw_usual(stream: u64, random: &mut Random) -> Scenario {
+/// Draws a scenario without the changes that distinguish slow streams and streams with idempotency keys.
+fn draw_common_scenario(stream: u64, random: &mut Random) -> Scenario {
     let zone_count = random.choose(&[1, 2, 2, 3]);
     // Every tenth stream simulates one gateway of a large fleet.
     let (gateway_count, endpoint_count) = match stream % 10 {
--- a/balancer/tests/decision_digests/simulation.rs
+++ b/balancer/tests/decision_digests/simulation.rs
@@ -143,7 +143,7 @@
             Scheduled::ClientDisconnect { request } => self.disconnect(request),
             Scheduled::Timer { token } => self.handle(Input::Timer { token }),
             Scheduled::HealthCheckEnd { endpoint, result } => self.end_health_check(endpoint, result),
-            Scheduled::Disturbance => self.disturb(),
+            Scheduled::Disturbance => self.inject_disturbance(),
             Scheduled::WatchResponse => self.send_watch_response(),
             Scheduled::EndpointChanges { endpoints } => self.send_changes(&endpoints),
             Scheduled::NextPhase => self.next_phase(),
@@ -347,9 +347,9 @@
         self.handle(Input::HealthCheckEnd { endpoint: endpoint as u32, result, load });
     }
 
-    fn disturb(&mut self) {
+    fn inject_disturbance(&mut self) {
         self.fleet.recover(self.now_ms);
-        let endpoints = self.fleet.disturb(&self.scenario, self.now_ms, &mut self.random);
+        let endpoints = self.fleet.inject_disturbance(&self.scenario, self.now_ms, &mut self.random);
         let notice_ms = self.random.range(100.0, 4000.0);
         self.schedule(notice_ms, Scheduled::EndpointChanges { endpoints });
         let next_ms = self.random.exponential(self.scenario.fault_every_ms);
--- a/balancer/tests/health_checks.rs
+++ b/balancer/tests/health_checks.rs
@@ -40,7 +40,7 @@
 }
 
 #[test]
-fn requests_fill_the_budget_of_health_checks() {
+fn requests_replenish_the_health_check_budget() {
     let without_requests: u32 = health_checks(with_health_checks(), 40, None).iter().sum();
     assert_eq!(without_requests, 10, "the initial budget allows a burst of 10 checks");
     // Each of 150 requests adds 0.15 to the budget.
--- a/balancer/tests/slow_start.rs
+++ b/balancer/tests/slow_start.rs
@@ -76,7 +76,7 @@
 
 #[test]
 fn the_first_endpoint_of_a_recovered_zone_is_shared_by_few_gateways() {
-    // All endpoints of a zone were removed from the list, and the first one has has_started again.
+    // All endpoints of a zone were removed from the list, and the first one has started again.
     let recovered = |endpoints: u32, started_at_ms: f64| -> Vec<EndpointRecord> {
         (0..endpoints)
             .map(|id| EndpointRecord { hash: u64::from(id) << 40, started_at_ms, ..record(id) })
