--- a/control-plane/src/gateway_client/config.rs
+++ b/control-plane/src/gateway_client/config.rs
@@ -27,7 +27,8 @@
     /// The interval between writes. A write is skipped if the state has not changed.
     pub write_interval: Duration,
     /// Whether the file is written on a blocking thread, so that the disk does not delay a gateway's
-    /// requests. Scale tests write without one because hundreds of clients share a process there.
+    /// requests. Scale tests write without a blocking thread, because hundreds of clients share a process
+    /// there.
     pub on_blocking_thread: bool,
 }
 
--- a/control-plane/src/polling_client.rs
+++ b/control-plane/src/polling_client.rs
@@ -116,8 +116,8 @@
     /// The connection could not be established.
     #[error("could not connect: {0}")]
     Connect(#[source] io::Error),
-    /// The server granted no lease before [`ServerSelection::deadline_ms`], because it sent nothing or sent
-    /// responses without a lease. The variant covers both cases.
+    /// The server granted no lease before [`ServerSelection::deadline_ms`]: it sent either nothing or only
+    /// responses without a lease.
     #[error("no lease was granted in time")]
     NoLease,
     /// The server did not read a poll before [`ServerSelection::deadline_ms`].
--- a/control-plane/tests/faulty_connections.rs
+++ b/control-plane/tests/faulty_connections.rs
@@ -1,5 +1,5 @@
-//! Connections with malformed or unexpected data, and connections that are not read. Each is closed or waits,
-//! and the other connections go on.
+//! Connections on which malformed or unexpected data arrives, and connections whose responses are not read. A
+//! server closes the former and stops reading from the latter, and its other connections keep working.
 mod common;
 use common::*;
 use std::io::Write;
--- a/control-plane/tests/program.rs
+++ b/control-plane/tests/program.rs
@@ -81,7 +81,7 @@
     let servers = [start_server("origin", &operator, "o"), start_server("distributor", &operator, "d")];
     let proposing = timeout(TEST_TIMEOUT, async {
         loop {
-            // The proposal is repeated because the primary may not listen yet.
+            // The proposal is repeated because the primary may not be listening yet.
             let (code, output, _) = run(&["propose", "--operator", &operator, &changes]).await;
             if code == Some(0) {
                 return output;
--- a/control-plane/tests/server_selection.rs
+++ b/control-plane/tests/server_selection.rs
@@ -99,8 +99,8 @@
         selection.on_connected(second_ms);
         assert_eq!((selection.current_server(), selection.next_failback_at_ms()), (4, f64::INFINITY));
     }
-    // Recovered servers must not be met by all clients at once: of 200 clients, fewer than a tenth try within
-    // the same fiftieth of the interval.
+    // All clients must not connect to a recovered server at once: of 200 clients, fewer than a tenth try to
+    // connect within the same fiftieth of the interval.
     let slot_starts_ms = (0..50).map(|slot| 20_000.0 + f64::from(slot) * 400.0);
     let busiest_slot = slot_starts_ms
         .map(|start_ms| {
--- a/replication/src/lessor.rs
+++ b/replication/src/lessor.rs
@@ -16,8 +16,8 @@
 use scope_set::ScopeIndex;
 use std::collections::BTreeMap;
 
-/// A follower is removed after it has not polled for this multiple of the longer of a lease and the time in
-/// which its byte budget fills.
+/// The time without a poll after which a follower is removed, as a multiple of the longer of two times: the
+/// duration of a lease, and the time in which the byte budget of a follower fills.
 const EXPIRY_MULTIPLIER: f64 = 2.0;
 
 /// Answers the polls of followers. Times are in ms of the caller's clock.
--- a/replication/src/lessor/holder.rs
+++ b/replication/src/lessor/holder.rs
@@ -37,8 +37,8 @@
 }
 
 impl Holder {
-    /// Creates the state of a follower that polls for the first time. The follower counts as not having
-    /// acknowledged an infinitely old response, so that it gets no lease before it has acknowledged a response.
+    /// Creates the state of a follower that polls for the first time. The state has an infinitely old response
+    /// as unacknowledged, so that the follower gets no lease before it has acknowledged a response.
     pub fn new(now: f64, budget_bytes: f64, sequence: u64) -> Self {
         Holder {
             generation: 0,
--- a/replication/src/lib.rs
+++ b/replication/src/lib.rs
@@ -7,7 +7,7 @@
 //! longer than [`lease::LeaseConfig::max_conflict_ms`]. [`replica`]s relay the state from the primary to the
 //! gateways. A gateway is a [`follower`], and so is a replica towards the primary. Primary and replicas answer
 //! followers through a [`lessor`]. [`store`] and [`tables`] implement [`storage`], [`wire`] defines the
-//! messages and their encoding, and [`placement`] decides which replica a gateway calls.
+//! messages and their encoding, and [`placement`] decides which replica a gateway polls.
 //!
 //! - **member**: a process that takes part in the replication: a gateway, a replica or the primary.
 //! - **primary**: the member that orders changes into revisions.
--- a/replication/src/placement.rs
+++ b/replication/src/placement.rs
@@ -1,4 +1,4 @@
-//! The order in which a gateway calls replicas, by rendezvous hashing: no table is needed, and when a replica
+//! The order in which a gateway prefers replicas, by rendezvous hashing: no table is needed, and when a replica
 //! fails, only its own followers move, and they spread over the other replicas.
 use sha2::{Digest, Sha256};
 
@@ -13,8 +13,8 @@
     pub region: String,
 }
 
-/// Returns the replicas, as indices into `replicas`, in the order in which the member of that name and location
-/// calls them.
+/// Returns the indices into `replicas` in the order in which the member `member` tries to connect to the
+/// replicas. `zone` and `region` are the location of the member.
 ///
 /// The first replica is in the member's zone if there is one, else in the member's region, else anywhere. The
 /// other replicas alternate between the region and elsewhere, and a hash of the member's name decides which of
--- a/replication/src/wire/message.rs
+++ b/replication/src/wire/message.rs
@@ -60,7 +60,7 @@
         /// The complete scopes.
         scopes: Vec<Scope>,
     },
-    /// The set of every scope there is, which replicas follow.
+    /// The set of all scopes, which replicas follow.
     AllScopes {
         /// The generation of the set.
         generation: u64,
--- a/replication/tests/common/mod.rs
+++ b/replication/tests/common/mod.rs
@@ -1,6 +1,6 @@
 //! A simulated fleet in virtual time: a primary, replicas, gateways, and their faults. The consensus is an
-//! oracle: there is one order of revisions and one leader at a time, and a replaced leader learns of its
-//! replacement only when it asks for confirmation.
+//! oracle: there is one order of revisions and one leader at a time, and a replaced leader detects the
+//! replacement only when the oracle does not confirm the leadership.
 #![allow(dead_code)] // Each test file uses only a part of this module.
 use rand_chacha::ChaCha8Rng;
 use std::collections::{BTreeMap, BinaryHeap};
@@ -144,7 +144,7 @@
 pub struct Gateway {
     pub process: Process,
     pub follower: Follower<Tables>,
-    /// The indices of replicas in the order in which the gateway calls them; empty without replicas.
+    /// The indices of replicas in the order in which the gateway prefers them; empty without replicas.
     pub replica_order: Vec<usize>,
     /// The index in `replica_order` of the replica that the gateway polls.
     pub position: usize,
--- a/replication/tests/generator/mod.rs
+++ b/replication/tests/generator/mod.rs
@@ -147,7 +147,10 @@
 pub fn from_hex(text: &str) -> Vec<u8> {
     let digits = text.as_bytes().chunks(2);
     digits
-        .map(|pair| u8::from_str_radix(std::str::from_utf8(pair).expect("UTF-8 text"), 16).expect("hex byte"))
+        .map(|pair| {
+            u8::from_str_radix(std::str::from_utf8(pair).expect("the hexadecimal text is ASCII"), 16)
+                .expect("each pair of digits is a hexadecimal byte")
+        })
         .collect()
 }
 
--- a/replication/tests/replicas.rs
+++ b/replication/tests/replicas.rs
@@ -135,7 +135,7 @@
 }
 
 impl Outcome {
-    fn is_sound(&self) -> bool {
+    fn has_no_violations(&self) -> bool {
         let observations = &self.observations;
         let faults = [
             observations.unknown_at_activation,
@@ -196,7 +196,7 @@
     let (mut revisions, mut longest, mut stale_scopes, schedules) = (0, 0, 0, seeds.clone().count());
     for seed in seeds {
         let outcome = run_random_schedule(seed, 50 + seed as usize % 11, replicas, Fault::None);
-        assert!(outcome.is_sound(), "seed {seed}: {outcome:?}");
+        assert!(outcome.has_no_violations(), "seed {seed}: {outcome:?}");
         revisions += outcome.observations.revisions;
         stale_scopes += outcome.observations.stale_scopes;
         longest = longest.max(outcome.longest_conflict_ms);
@@ -351,7 +351,7 @@
     for fault in faults {
         let detected = (0..40).find_map(|seed| {
             let outcome = run_random_schedule(seed, 50, 3, fault);
-            (!outcome.is_sound()).then_some((seed, outcome))
+            (!outcome.has_no_violations()).then_some((seed, outcome))
         });
         let Some((seed, outcome)) = detected else { panic!("{fault:?} was not detected in 40 schedules") };
         let (observations, differences) = (&outcome.observations, outcome.differences.len());
--- a/replication/tests/same_bytes.rs
+++ b/replication/tests/same_bytes.rs
@@ -28,7 +28,7 @@
     Scope::Tenants(4095),
 ];
 
-fn several<T>(
+fn random_vec<T>(
     generator: &mut Generator, max_count: u64, mut generate: impl FnMut(&mut Generator) -> T,
 ) -> Vec<T> {
     let count = generator.below(max_count + 1);
@@ -47,10 +47,10 @@
         1 => Subscription::Delta {
             from: generator.number(),
             generation,
-            added: several(generator, 4, Generator::any_scope),
-            removed: several(generator, 4, Generator::any_scope),
+            added: random_vec(generator, 4, Generator::any_scope),
+            removed: random_vec(generator, 4, Generator::any_scope),
         },
-        2 => Subscription::Complete { generation, scopes: several(generator, 4, Generator::any_scope) },
+        2 => Subscription::Complete { generation, scopes: random_vec(generator, 4, Generator::any_scope) },
         _ => Subscription::AllScopes { generation },
     }
 }
@@ -66,7 +66,7 @@
         known: generator.number(),
         in_force: generator.number(),
         subscription: subscription(generator, kind),
-        fetch: several(generator, 4, |generator| {
+        fetch: random_vec(generator, 4, |generator| {
             (generator.any_scope(), Cursor { revision: generator.number(), key: generator.number() })
         }),
     }
@@ -77,7 +77,7 @@
     ScopeChunk {
         scope,
         restart: generator.chance(0.5),
-        entries: several(generator, 5, |generator| {
+        entries: random_vec(generator, 5, |generator| {
             let change = change(generator);
             ChunkEntry { revision: generator.number(), key: change.key, entry: change.entry }
         }),
@@ -94,11 +94,11 @@
         lease_us: generator.number(),
         in_force: generator.number(),
         through: generator.number(),
-        chunks: several(generator, 4, chunk),
-        stale: several(generator, 4, Generator::any_scope),
-        pending: several(generator, 3, |generator| ChangeSet {
+        chunks: random_vec(generator, 4, chunk),
+        stale: random_vec(generator, 4, Generator::any_scope),
+        pending: random_vec(generator, 3, |generator| ChangeSet {
             revision: generator.number(),
-            changes: several(generator, 4, change),
+            changes: random_vec(generator, 4, change),
         }),
     }
 }
@@ -129,7 +129,7 @@
             all.push((format!("ask-{kind}-{n}"), Message::PollRequest(poll_request(&mut generator, kind))));
         }
         all.push((format!("grant-{n}"), Message::PollResponse(poll_response(&mut generator))));
-        let (proposal_id, changes) = (generator.number(), several(&mut generator, 5, change));
+        let (proposal_id, changes) = (generator.number(), random_vec(&mut generator, 5, change));
         all.push((format!("propose-{n}"), Message::Propose { proposal_id, changes }));
         let revision = if n % 2 == 0 { Ok(generator.number()) } else { Err(format!("reason {n}")) };
         all.push((format!("proposed-{n}"), Message::Proposed { proposal_id: generator.number(), revision }));
@@ -301,9 +301,15 @@
     for line in text.lines() {
         let (name, text) = line.split_once(' ').expect("the line contains a name and a text");
         let encoded = match name.split('-').next() {
-            Some("rules" | "stricter") => json(&serde_json::from_str::<Rules>(text).expect("valid rules")),
-            Some("version") => json(&serde_json::from_str::<rules::VersionedRules>(text).expect("document")),
-            Some("terms") => json(&serde_json::from_str::<LeaseConfig>(text).expect("valid lease settings")),
+            Some("rules" | "stricter") => {
+                json(&serde_json::from_str::<Rules>(text).expect("the rules are valid"))
+            }
+            Some("version") => json(
+                &serde_json::from_str::<rules::VersionedRules>(text).expect("the versioned rules are valid"),
+            ),
+            Some("terms") => {
+                json(&serde_json::from_str::<LeaseConfig>(text).expect("the lease settings are valid"))
+            }
             _ => continue,
         };
         assert_eq!(encoded, text, "{name}");
--- a/replication/tests/same_fleets.rs
+++ b/replication/tests/same_fleets.rs
@@ -223,7 +223,7 @@
 
     /// Restarts a member, moves a member to another lessor, changes the scopes that a gateway follows, or
     /// purges tombstones.
-    fn disturb(&mut self, now: f64) {
+    fn inject_disturbance(&mut self, now: f64) {
         let n = self.generator.below(5) as usize;
         let scope = SCOPES[2 + self.generator.below(7) as usize];
         match self.generator.below(8) {
@@ -310,7 +310,7 @@
                 self.propose();
             }
             if self.generator.chance(0.01) {
-                self.disturb(now);
+                self.inject_disturbance(now);
             }
             self.tick(now);
             self.deliver(now);
--- a/replication/tests/wire.rs
+++ b/replication/tests/wire.rs
@@ -46,7 +46,7 @@
     bool::arbitrary(g).then(|| entry(g))
 }
 
-fn several<T>(g: &mut Gen, generate: impl Fn(&mut Gen) -> T) -> Vec<T> {
+fn random_vec<T>(g: &mut Gen, generate: impl Fn(&mut Gen) -> T) -> Vec<T> {
     (0..u8::arbitrary(g) % 5).map(|_| generate(g)).collect()
 }
 
@@ -57,10 +57,10 @@
         1 => Subscription::Delta {
             from: u64::arbitrary(g),
             generation,
-            added: several(g, scope),
-            removed: several(g, scope),
+            added: random_vec(g, scope),
+            removed: random_vec(g, scope),
         },
-        2 => Subscription::Complete { generation, scopes: several(g, scope) },
+        2 => Subscription::Complete { generation, scopes: random_vec(g, scope) },
         _ => Subscription::AllScopes { generation },
     };
     PollRequest {
@@ -70,7 +70,7 @@
         known: u64::arbitrary(g),
         in_force: u64::arbitrary(g),
         subscription,
-        fetch: several(g, |g| (scope(g), Cursor { revision: u64::arbitrary(g), key: u64::arbitrary(g) })),
+        fetch: random_vec(g, |g| (scope(g), Cursor { revision: u64::arbitrary(g), key: u64::arbitrary(g) })),
     }
 }
 
@@ -102,18 +102,18 @@
         lease_us: u64::arbitrary(g),
         in_force: u64::arbitrary(g),
         through: u64::arbitrary(g),
-        chunks: several(g, |g| ScopeChunk {
+        chunks: random_vec(g, |g| ScopeChunk {
             scope: scope(g),
             restart: bool::arbitrary(g),
-            entries: several(g, |g| ChunkEntry {
+            entries: random_vec(g, |g| ChunkEntry {
                 revision: u64::arbitrary(g),
                 key: Key(u64::arbitrary(g)),
                 entry: optional_entry(g),
             }),
             final_digest: bool::arbitrary(g).then(|| Digest(u128::arbitrary(g))),
         }),
-        stale: several(g, scope),
-        pending: several(g, |g| ChangeSet { revision: u64::arbitrary(g), changes: several(g, change) }),
+        stale: random_vec(g, scope),
+        pending: random_vec(g, |g| ChangeSet { revision: u64::arbitrary(g), changes: random_vec(g, change) }),
     }
 }
 
@@ -123,7 +123,7 @@
         AnyMessage(match u8::arbitrary(g) % 6 {
             0 => Message::PollRequest(poll_request(g)),
             1 => Message::PollResponse(poll_response(g)),
-            2 => Message::Propose { proposal_id, changes: several(g, change) },
+            2 => Message::Propose { proposal_id, changes: random_vec(g, change) },
             3 => Message::Proposed { proposal_id, revision: Result::arbitrary(g) },
             4 => Message::GetStatus,
             _ => Message::Status(status(g)),
