--- a/control-plane/src/operator_file/mod.rs
+++ b/control-plane/src/operator_file/mod.rs
@@ -133,7 +133,7 @@
     /// Parses and checks the content of a file. `file` is the name of the file in errors.
     ///
     /// # Errors
-    /// The first problem of the content.
+    /// An [`InvalidFile`] with the first problem in the content.
     pub fn parse(file: &str, text: &str) -> Result<Self, InvalidFile> {
         let source = SourceText { file, text };
         let operator: OperatorFile = source.parse()?;
--- a/replication/src/follower.rs
+++ b/replication/src/follower.rs
@@ -126,7 +126,7 @@
         }
     }
 
-    /// Returns when the next poll is due, in ms; a time in the past if the poll is due at once.
+    /// Returns when the next poll is due, in ms. The time is in the past if the poll is due at once.
     ///
     /// Without a response the next poll is due after the regular interval; when responses arrive too late, the
     /// wait doubles, up to [`LeaseConfig::response_timeout_ms`].
--- a/replication/src/primary.rs
+++ b/replication/src/primary.rs
@@ -160,7 +160,7 @@
         &self.store
     }
 
-    /// Returns the side of the primary that answers its followers.
+    /// Returns the lessor, which answers the polls of the primary's followers.
     pub fn lessor(&self) -> &Lessor {
         &self.lessor
     }
--- a/replication/src/replica.rs
+++ b/replication/src/replica.rs
@@ -2,9 +2,9 @@
 //! of its own with leases that end no later than the replica's own lease.
 //!
 //! A replica reports to the primary the lowest progress among itself and all holders of its leases. A new
-//! follower cannot invalidate a report, so reports never go back: a follower that applies a response knows
-//! everything that the replica knew when it sent the response, and no follower holds a lease without having
-//! applied a response.
+//! follower cannot invalidate a report, so the reported progress never decreases: a follower that
+//! applies a response knows everything that the replica knew when it sent the response, and no follower holds a
+//! lease without having applied a response.
 use crate::follower::{Follower, FollowerEvent, ResponseError};
 use crate::lease::LeaseConfig;
 use crate::lessor::Lessor;
@@ -110,12 +110,12 @@
         self.follower.storage()
     }
 
-    /// Returns the side of the replica that polls its lessor.
+    /// Returns the follower, which polls the replica's own lessor.
     pub fn follower(&self) -> &Follower<Store> {
         &self.follower
     }
 
-    /// Returns the side of the replica that answers its followers.
+    /// Returns the lessor, which answers the polls of the replica's followers.
     pub fn lessor(&self) -> &Lessor {
         &self.lessor
     }
