--- a/scale-tests/src/fleet.rs
+++ b/scale-tests/src/fleet.rs
@@ -39,7 +39,8 @@
     pub distributors: Vec<WorkerProcess>,
     /// The workers of hollow gateways, except for the followers of everything.
     pub hollow_workers: Vec<WorkerProcess>,
-    /// The worker of the followers of everything; `None` if the plan has none.
+    /// The worker of the followers of everything, which are gateways that follow all scopes; `None` if the
+    /// plan has no such followers.
     pub everything: Option<WorkerProcess>,
     /// The links from the distributors to the origin, by the distributor's number.
     pub origin_links: Vec<Link>,
@@ -259,8 +260,8 @@
         Ok(all)
     }
 
-    /// Returns the state of the followers of everything, as [`Fleet::report`] does for the others; `None` if
-    /// the fleet has none.
+    /// Returns the state of the followers of everything, as [`Fleet::report`] does for the other hollow
+    /// gateways; `None` if the fleet has no followers of everything.
     pub async fn report_everything(
         &mut self, proposals: &[(Revision, u64)],
     ) -> Result<Option<WorkerReport>, String> {
@@ -326,7 +327,7 @@
             .for_each(|(_, link)| link.set(faults));
     }
 
-    /// Returns the names of the processes that have exited without being told to.
+    /// Returns the names of the processes that have exited although the run continues.
     pub fn exited_processes(&mut self) -> Vec<String> {
         let all =
             std::iter::once(&mut self.origin).chain(&mut self.distributors).chain(&mut self.hollow_workers);
--- a/scale-tests/src/invariants.rs
+++ b/scale-tests/src/invariants.rs
@@ -48,7 +48,7 @@
     pub origin_has_all_changes: bool,
     /// Whether every distributor's digest equals the origin's.
     pub distributors_have_all_changes: bool,
-    /// Names of the processes that exited without being told to.
+    /// Names of the processes that exited before the end of the run.
     pub exited_processes: Vec<String>,
 }
 
@@ -66,7 +66,7 @@
     Drains,
     /// No accepted change is lost.
     NothingLost,
-    /// No process exits without being told to.
+    /// No process exits before the end of the run.
     Alive,
 }
 
@@ -150,7 +150,7 @@
         report(Invariant::NothingLost, format!("{name} lacks the state that all accepted changes result in"));
     }
     for name in &evidence.exited_processes {
-        report(Invariant::Alive, format!("process {name} exited without being told to"));
+        report(Invariant::Alive, format!("process {name} exited before the end of the run"));
     }
     violations
 }
--- a/scale-tests/src/phase_result.rs
+++ b/scale-tests/src/phase_result.rs
@@ -30,7 +30,7 @@
     /// Resident memory in bytes at the end of the phase.
     #[serde(rename = "rss")]
     pub rss_bytes: f64,
-    /// Messages and bytes a second.
+    /// Number of messages and bytes per second.
     pub traffic: Traffic,
 }
 
--- a/scale-tests/src/real_gateways.rs
+++ b/scale-tests/src/real_gateways.rs
@@ -30,7 +30,7 @@
 /// How long requests to a drained server are counted after the bound on a drain has passed.
 const DRAIN_OBSERVATION: Duration = Duration::from_secs(3);
 
-/// What the clients of one gateway observed during a phase.
+/// The number and latency of the requests that the clients of one gateway sent during a phase.
 #[derive(Clone, Debug, Default, Serialize)]
 pub struct ClientResults {
     /// The phase's name in reports.
--- a/scale-tests/src/report.rs
+++ b/scale-tests/src/report.rs
@@ -295,7 +295,7 @@
 }
 
 /// Renders the slope metrics over runs of several sizes as a Markdown table; empty for a single run. `size`
-/// is the size that differs between the runs: its label, and how to read it from an outcome.
+/// describes the size in which the runs differ: a label, and a function that reads the size from an outcome.
 pub fn slope_table(outcomes: &[Outcome], size: (&str, fn(&Outcome) -> f64)) -> String {
     if outcomes.len() < 2 {
         return String::new();
--- a/scale-tests/src/run.rs
+++ b/scale-tests/src/run.rs
@@ -44,14 +44,15 @@
     /// Number of gateways that got all their scopes before the timeout.
     #[serde(rename = "whole")]
     pub complete: u64,
-    /// Time from the start of a gateway until all its scopes were there, in ms: median.
+    /// Time from the start of a gateway until it held all its scopes, in ms: median.
     pub p50_ms: f64,
-    /// Time from the start of a gateway until all its scopes were there, in ms: 90th percentile.
+    /// Time from the start of a gateway until it held all its scopes, in ms: 90th percentile.
     pub p90_ms: f64,
-    /// Time from the start of a gateway until all its scopes were there, in ms: maximum.
+    /// Time from the start of a gateway until it held all its scopes, in ms: maximum.
     #[serde(rename = "last_ms")]
     pub max_ms: f64,
-    /// Number of followers of everything, and number of those that got all scopes before the timeout.
+    /// Number of followers of everything (gateways that follow all scopes), and number of those followers
+    /// that got all scopes before the timeout.
     pub everything: (u64, u64),
 }
 
@@ -92,7 +93,7 @@
     /// The cost of a change when a version is the full state; `None` if not measured.
     #[serde(rename = "before")]
     pub full_state_cost: Option<FullStateCost>,
-    /// What the clients of the real gateways observed; empty for a run without real gateways.
+    /// Requests of the real gateways' clients, by phase and gateway; empty for a run without real gateways.
     pub real: Vec<ClientResults>,
     /// For the real gateway that follows the control servers: requests to a drained server after the bound on
     /// a drain, and requests to all servers in the same time.
@@ -412,7 +413,7 @@
         let drain_at = start + DRAIN_DELAY;
         self.propose_changes(drain_at, configuration_per_s, hosts_per_s).await?;
         let (scope, key) = self.drain_next_host().await?;
-        // The bound on the drain may pass before the end of the fault or after it.
+        // The fault may end before or after the time at which the drained host's followers are probed.
         let (mut ended, mut probed) = (false, false);
         let (end_fault_at, probe_at) = (start + duration, Instant::now() + DRAIN_BOUND);
         let end = probe_at.max(end_fault_at + CHANGES_AFTER_FAULT);
--- a/scale-tests/src/worker.rs
+++ b/scale-tests/src/worker.rs
@@ -147,7 +147,7 @@
 struct IncarnationRecord {
     timeline: Timeline,
     missing_scopes: BTreeSet<Scope>, // Followed scopes that are not complete.
-    /// The moment of the latest event: by the gateway client's clock, and in us of the monotonic clock.
+    /// The time of the latest event, in ms of the gateway client's clock and in us of the monotonic clock.
     last_moment: (f64, u64),
 }
 
@@ -190,7 +190,7 @@
     record.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-/// A hollow gateway with its current incarnation and what is kept of the past ones.
+/// A hollow gateway with its current incarnation, and the timelines and traffic of its past incarnations.
 struct GatewaySlot {
     gateway: HollowGateway,
     distributors: Vec<DistributorAddress>,
@@ -259,8 +259,8 @@
         }
     }
 
-    /// Starts an incarnation of a gateway, either without any state or from a snapshot file. The snapshot
-    /// comes with the followed scopes that it lacks.
+    /// Starts an incarnation of a gateway, either without any state or from a snapshot. `snapshot` holds the
+    /// path of the snapshot file and the followed scopes that the file lacks.
     fn start_incarnation(
         &self, gateway: &HollowGateway, distributors: &[DistributorAddress],
         snapshot: Option<(PathBuf, BTreeSet<Scope>)>,
