--- a/gateway/src/discovery/timing.rs
+++ b/gateway/src/discovery/timing.rs
@@ -22,8 +22,8 @@
 /// The time that the response to a poll takes at most, apart from the wait for a change.
 const MAX_RESPONSE_TIME: Duration = Duration::from_millis(500);
 
-// The gateway learns of a change within the deadline even if the poll on which the change was due stays
-// silent.
+// The gateway is notified of a change within `NOTIFICATION_DEADLINE` even if the poll that should have
+// returned the change gets no response.
 const _: () = assert!(
     FIRST_POLL.total().as_millis() + MAX_BACKOFF.as_millis() + MAX_RESPONSE_TIME.as_millis()
         < NOTIFICATION_DEADLINE.as_millis()
--- a/gateway/src/event_loop/attempts.rs
+++ b/gateway/src/event_loop/attempts.rs
@@ -127,7 +127,8 @@
         }));
     }
 
-    /// Asks an endpoint for its load report, unless a health check of the endpoint is already in flight.
+    /// Sends a health check, which requests an endpoint's load report, unless another health check of the
+    /// endpoint is in flight.
     pub(super) fn start_health_check(&mut self, endpoint: EndpointId) {
         let reachable =
             self.endpoints.reachable(endpoint).filter(|_| !self.health_checks.contains_key(&endpoint));
--- a/gateway/src/http1/head.rs
+++ b/gateway/src/http1/head.rs
@@ -2,7 +2,7 @@
 use super::fields::{FieldSpans, Span};
 use super::{ParseError, MAX_FIELDS};
 
-/// A parsed head, as spans of bytes that are still in the reader's buffer.
+/// A parsed message head, as spans of bytes that are still in the reader's buffer.
 #[derive(Debug)]
 pub struct Head<S> {
     pub(super) start_line: S,
--- a/gateway/src/http1/reader.rs
+++ b/gateway/src/http1/reader.rs
@@ -4,7 +4,7 @@
 use super::{Framing, ParseError, MAX_HEAD_BYTES};
 use bytes::{Bytes, BytesMut};
 
-/// The free space in the buffer that is ensured before each read.
+/// The minimum free space in the buffer before each read.
 const MIN_READ_BYTES: usize = 2048;
 /// The maximum number of interim responses before a final response.
 const MAX_INTERIM_RESPONSES: usize = 16;
--- a/gateway/src/invariants.rs
+++ b/gateway/src/invariants.rs
@@ -1,6 +1,6 @@
 //! Invariants that release builds check at run time. A violation is counted and logged with the request's id,
-//! and the gateway continues. A check only compares values that the caller has at hand, so that it costs
-//! little.
+//! and the gateway continues. A check only compares values that the caller already has, so that the check
+//! costs little.
 use std::fmt;
 use std::sync::atomic::{AtomicU64, Ordering::Relaxed};
 use std::sync::Arc;
--- a/gateway/src/listener/request.rs
+++ b/gateway/src/listener/request.rs
@@ -80,8 +80,8 @@
     }
 }
 
-/// Returns how long the client waits, in milliseconds: the value of the request's time left, at most the
-/// class's deadline. The deadline applies if the request states no time left.
+/// Returns how long the client still waits, in milliseconds: the value of [`TIME_LEFT_MS`], but at most
+/// `deadline_ms`, the deadline of the request's class. Returns `deadline_ms` for a request without the field.
 fn parse_time_left_ms(
     message: &CompleteMessage<RequestLine>, deadline_ms: f64,
 ) -> Result<f64, InvalidRequest> {
--- a/gateway/src/program/mod.rs
+++ b/gateway/src/program/mod.rs
@@ -35,7 +35,7 @@
 /// The maximum number of connections that wait in the kernel to be accepted.
 const LISTEN_BACKLOG: u32 = 1024;
 /// The exit code if the operators' file or its command-line argument is invalid.
-const EXIT_FAULTY_OPERATOR_FILE: u8 = 2;
+const EXIT_INVALID_OPERATOR_FILE: u8 = 2;
 
 /// An error that ends the program without a signal.
 #[derive(Debug, Error)]
@@ -60,7 +60,7 @@
     fn exit_code(&self) -> ExitCode {
         match self {
             ProgramError::OperatorArgument | ProgramError::OperatorFile(_) => {
-                ExitCode::from(EXIT_FAULTY_OPERATOR_FILE)
+                ExitCode::from(EXIT_INVALID_OPERATOR_FILE)
             }
             _ => ExitCode::FAILURE,
         }
--- a/gateway/src/upstream/attempt.rs
+++ b/gateway/src/upstream/attempt.rs
@@ -16,7 +16,7 @@
         /// The attempt's number among the attempts of the request, from 0.
         attempt: u32,
     },
-    /// The attempt asks the endpoint for its load report.
+    /// The attempt is a health check, which requests the endpoint's load report.
     HealthCheck,
 }
 
--- a/gateway/tests/attempts.rs
+++ b/gateway/tests/attempts.rs
@@ -158,7 +158,7 @@
     cancel.send(Cancellation::Always).expect("the attempt is in flight");
     assert_eq!(harness.outcome().await, Outcome::Cancelled);
     assert!(connection.closes_without_data().await);
-    // An attempt that is cancelled before the first byte is not sent over an idle connection either.
+    // An attempt that is cancelled before its first byte is not sent, not even over an idle connection.
     let _cancel = harness.send(server.address, 4, None, far_future());
     let mut connection = server.accept().await;
     connection.read_request().await.expect("the request is forwarded");
--- a/gateway/tests/discovery.rs
+++ b/gateway/tests/discovery.rs
@@ -45,8 +45,8 @@
     let (poll_target, responder) = discovery.next_poll().await;
     assert!(poll_target.contains("after=42"), "{poll_target}");
     assert_eq!(gateway.client().await.request(&look_request("still")).await.start_line.code, 200);
-    // After a closed connection, the watch also continues. A complete list then gives an endpoint another
-    // address.
+    // The watch continues after discovery closes the connection. The next complete list gives an endpoint
+    // another address.
     drop(responder);
     let moved_server = StubServer::start(SERVE).await;
     let (_, responder) = discovery.next_poll().await;
@@ -256,15 +256,15 @@
 /// How a poll fails.
 #[derive(Clone, Copy, Debug)]
 enum PollFailure {
-    /// There is no response.
+    /// Discovery sends no response.
     Silent,
-    /// The status is 503 at once.
+    /// Discovery responds with status 503 at once.
     Rejected,
-    /// The status is 503 after 3 s.
+    /// Discovery responds with status 503 after 3 s.
     RejectedLate,
-    /// The connection is closed without a response.
+    /// Discovery closes the connection without a response.
     Reset,
-    /// The body is not an endpoint list.
+    /// Discovery responds with a body that is not an endpoint list.
     Malformed,
 }
 
--- a/gateway/tests/sockets.rs
+++ b/gateway/tests/sockets.rs
@@ -5,7 +5,7 @@
 
 #[tokio::test]
 async fn a_connection_without_tcp_nodelay_is_usable() {
-    // A Unix socket stands for a TCP socket on which the kernel refuses TCP_NODELAY.
+    // The test uses a Unix socket, because the kernel refuses TCP_NODELAY on every Unix socket.
     let (local, peer) = std::os::unix::net::UnixStream::pair().expect("a socket pair is created");
     local.set_nonblocking(true).expect("the socket can be made non-blocking");
     let socket = std::net::TcpStream::from(std::os::fd::OwnedFd::from(local));
