--- a/fleet-simulator/src/capacity/control.rs
+++ b/fleet-simulator/src/capacity/control.rs
@@ -70,7 +70,7 @@
     let mut smallest = PollCost { lessor_us: f64::INFINITY, follower_us: f64::INFINITY };
     let us = |started: Instant| started.elapsed().as_secs_f64() * 1e6 / f64::from(followers);
     for round in 0..rounds + 20 {
-        // Every follower knows of the previous change set by now, so that it is in force.
+        // Every follower has received the previous change set, so that its revision comes into force.
         store.advance_to(revision);
         if round % 10 == 0 {
             revision += 1;
--- a/fleet-simulator/src/capacity/gateway.rs
+++ b/fleet-simulator/src/capacity/gateway.rs
@@ -187,7 +187,8 @@
     rev: u64,
     complete: String,
     change: String,
-    /// Number of calls received. The call after a response shows that the gateway has read the response.
+    /// Number of calls that the stub has received. Each call shows that the gateway has read the response to
+    /// the previous call.
     calls: u64,
 }
 
--- a/fleet-simulator/src/capacity/limits.rs
+++ b/fleet-simulator/src/capacity/limits.rs
@@ -86,14 +86,14 @@
         self.deviations / (self.sampled_share(quota) * quota * self.window_s).sqrt()
     }
 
-    /// Returns the steady throughput, as a multiple of the quota, of a tenant that always asks for more: `1 /
+    /// Returns the steady throughput, as a multiple of the quota, of a tenant that always requests more: `1 /
     /// (1 - error)`, or `None` if the error is 1 or more.
     pub fn max_steady_throughput(&self, quota: f64) -> Option<f64> {
         let error = self.relative_error(quota);
         (error < 1.0).then(|| 1.0 / (1.0 - error))
     }
 
-    /// Returns the mean throughput in the first window of a tenant that suddenly asks for `rate`, as a
+    /// Returns the mean throughput in the first window of a tenant that suddenly requests `rate`, as a
     /// multiple of the quota: `1 + ln(rate / quota)` while the count fills, plus `rate x reaction_s` until
     /// the gateways react.
     pub fn first_window_throughput(&self, quota: f64, rate: f64) -> f64 {
--- a/fleet-simulator/src/disturbance.rs
+++ b/fleet-simulator/src/disturbance.rs
@@ -148,7 +148,7 @@
     FailClass(u32, Option<(usize, f64)>),
     /// A gateway starts (`true`) or dies.
     Gateway(u32, bool),
-    /// Discovery goes down (`true`) or comes back.
+    /// Discovery goes down (`true`) or is restored.
     DiscoveryDown(bool),
     /// Discovery becomes stale (`true`) or catches up.
     DiscoveryStale(bool),
--- a/fleet-simulator/src/experiment.rs
+++ b/fleet-simulator/src/experiment.rs
@@ -83,7 +83,7 @@
     pub name: String,
     /// Policy of the gateways.
     pub policy: PolicyKind,
-    /// Retry budget of a baseline policy.
+    /// Retry budget of a baseline policy as a share of the first attempts; unlimited if `None`.
     pub budget: Option<f64>,
     /// World with the variant's and the sweep's values.
     pub world: World,
--- a/fleet-simulator/src/judge.rs
+++ b/fleet-simulator/src/judge.rs
@@ -200,10 +200,10 @@
     tenants: Vec<GroupService>,
     latency: Vec<Histogram<u64>>,
     violations: [RuleViolations; 4],
-    /// Per gateway and host, when the gateway was told of the host's drain or removal.
-    told_leaving_at: HashMap<(u32, u32), Us>,
-    /// Per gateway and host, the last start of the host that the gateway was told of.
-    told_starts: HashMap<(u32, u32), Us>,
+    /// Time at which a gateway was notified of a host's drain or removal, by gateway and host.
+    notified_leaving_at: HashMap<(u32, u32), Us>,
+    /// Last start of a host of which a gateway was notified, by gateway and host.
+    notified_starts: HashMap<(u32, u32), Us>,
 }
 
 impl GroupService {
@@ -218,7 +218,7 @@
 }
 
 impl Judge {
-    /// Creates the judge of a world whose hosts can do `capacity` standard core seconds per second. Messages
+    /// Creates the judge of a world whose hosts have a total capacity of `capacity` standard cores. Messages
     /// that begin before `start` do not count for service; arrivals end at `end`.
     pub fn new(world: &World, capacity: f64, start: Us, end: Us) -> Self {
         let violations = |rule| RuleViolations { rule, count: 0, first: Vec::new() };
@@ -244,8 +244,8 @@
                 violations(Rule::Drains),
                 violations(Rule::Cold),
             ],
-            told_leaving_at: HashMap::new(),
-            told_starts: HashMap::new(),
+            notified_leaving_at: HashMap::new(),
+            notified_starts: HashMap::new(),
         }
     }
 
@@ -332,7 +332,7 @@
         );
     }
 
-    /// Checks a rejection, which tells the client that a retry is harmless.
+    /// Checks a rejection, after which the client may safely retry the message.
     pub fn check_rejection(
         &mut self, now: Us, gateway: u32, message: u64, class: usize, sent: &[SentAttempt],
     ) {
@@ -344,12 +344,12 @@
         }
     }
 
-    /// Records and checks an attempt. `sent` holds the earlier attempts of the try; `presumed_told_at` is the
-    /// time from which discovery expects the gateway to know of the host's drain or removal.
+    /// Records and checks an attempt. `sent` holds the earlier attempts of the try; `presumed_notified_at` is
+    /// the time by which a gateway without a subscription should know of the host's drain or removal.
     #[allow(clippy::too_many_arguments)]
     pub fn check_attempt(
         &mut self, now: Us, gateway: u32, host: u32, message: u64, class: usize, sent: &[SentAttempt],
-        presumed_told_at: Option<Us>,
+        presumed_notified_at: Option<Us>,
     ) {
         self.bin(now).attempts += 1;
         if let Some(first) = sent.iter().find(|s| s.may_have_run) {
@@ -364,11 +364,11 @@
                 self.record_violation(Rule::Effects, now, what);
             }
         }
-        let told = self.told_leaving_at.get(&(gateway, host)).copied();
-        let told = told.into_iter().chain(presumed_told_at).min();
+        let notified_at = self.notified_leaving_at.get(&(gateway, host)).copied();
+        let notified_at = notified_at.into_iter().chain(presumed_notified_at).min();
         let grace = us(self.world.gateway.drain_grace_ms);
-        if let Some(told) = told.filter(|told| now > told + grace) {
-            let late_ms = ms(now - told);
+        if let Some(notified_at) = notified_at.filter(|at| now > at + grace) {
+            let late_ms = ms(now - notified_at);
             let what = format!(
                 "gateway {gateway} sent to host {host} {late_ms:.0} ms after the host's drain or removal"
             );
@@ -381,32 +381,32 @@
         !outcome.never_ran()
     }
 
-    /// Records that a gateway was told of a host. `leaving` is true for a drain or removal; `started` is the
-    /// host's last start, 0 if unknown.
-    pub fn gateway_told(&mut self, now: Us, gateway: u32, host: u32, leaving: bool, started: Us) {
+    /// Records that a gateway was notified of a host. `leaving` is true for a drain or removal; `started` is
+    /// the time of the host's last start, 0 if unknown.
+    pub fn record_notification(&mut self, now: Us, gateway: u32, host: u32, leaving: bool, started: Us) {
         if leaving {
-            self.told_leaving_at.entry((gateway, host)).or_insert(now);
+            self.notified_leaving_at.entry((gateway, host)).or_insert(now);
         } else {
-            self.told_leaving_at.remove(&(gateway, host));
+            self.notified_leaving_at.remove(&(gateway, host));
         }
         if started > 0 {
-            self.told_starts.insert((gateway, host), started);
+            self.notified_starts.insert((gateway, host), started);
         }
     }
 
-    /// Forgets what a dead gateway was told, because its successor starts without that knowledge.
+    /// Removes the notifications of a stopped gateway, because its successor starts without an endpoint list.
     pub fn forget_gateway(&mut self, gateway: u32) {
-        self.told_leaving_at.retain(|k, _| k.0 != gateway);
-        self.told_starts.retain(|k, _| k.0 != gateway);
+        self.notified_leaving_at.retain(|k, _| k.0 != gateway);
+        self.notified_starts.retain(|k, _| k.0 != gateway);
     }
 
-    /// Records that work from these gateways overloaded a cold host, which had started at `started`. Only
-    /// work of gateways that were told of the start counts as a violation.
-    pub fn cold_host_overloaded(&mut self, now: Us, host: u32, started: Us, sent: &[(u32, f64)]) {
+    /// Records that a cold host, started at `started`, went down under the work in `sent`, given per gateway.
+    /// The overload is a violation if gateways that were notified of the start sent two thirds of the work.
+    pub fn record_cold_host_overload(&mut self, now: Us, host: u32, started: Us, sent: &[(u32, f64)]) {
         let all: f64 = sent.iter().map(|s| s.1).sum();
-        let told = |s: &&(u32, f64)| self.told_starts.get(&(s.0, host)) == Some(&started);
-        let from_told_gateways: f64 = sent.iter().filter(told).map(|s| s.1).sum();
-        if from_told_gateways * 3.0 >= all * 2.0 {
+        let notified = |s: &&(u32, f64)| self.notified_starts.get(&(s.0, host)) == Some(&started);
+        let from_notified_gateways: f64 = sent.iter().filter(notified).map(|s| s.1).sum();
+        if from_notified_gateways * 3.0 >= all * 2.0 {
             self.record_violation(Rule::Cold, now, format!("cold host {host} went down under overload"));
         }
     }
--- a/fleet-simulator/src/simulation.rs
+++ b/fleet-simulator/src/simulation.rs
@@ -806,7 +806,7 @@
         self.schedule(self.now + latency, Event::ResponseAtClient(key, outcome));
     }
 
-    /// Tells a gateway that the client of a try has disconnected.
+    /// Notifies a gateway that the client of a try has disconnected.
     fn on_client_disconnected(&mut self, key: TryKey, timed_out: bool) {
         let Some(t) = self.tries.get_mut(key).filter(|t| !t.ended) else { return };
         t.ended = true;
@@ -870,9 +870,17 @@
         };
         let give_up_at = attempt.give_up_at;
         let (message_number, class) = (message.number, message.class);
-        let presumed_told_at =
-            self.discovery.presumed_told_at(gateway as usize, host, us(self.world.gateway.ask_within_ms));
-        self.judge.check_attempt(self.now, gateway, host, message_number, class, &t.sent, presumed_told_at);
+        let presumed_notified_at =
+            self.discovery.presumed_notified_at(gateway as usize, host, us(self.world.gateway.ask_within_ms));
+        self.judge.check_attempt(
+            self.now,
+            gateway,
+            host,
+            message_number,
+            class,
+            &t.sent,
+            presumed_notified_at,
+        );
         self.trace_attempt(message_number, host, || {
             format!(
                 "gateway {gateway} sends attempt {number} to host {host}, gives up at {:.1} ms",
@@ -1105,7 +1113,7 @@
                 self.trace_if(TraceTarget::Host(host), || {
                     format!("goes down, overloaded while cold by {sent:?}")
                 });
-                self.judge.cold_host_overloaded(self.now, host, started, &sent);
+                self.judge.record_cold_host_overload(self.now, host, started, &sent);
                 self.end_lost_attempts(host, lost, true);
                 self.send_outcome(key, Outcome::ConnectionLost, false);
                 let at = self.now + us(self.world.discovery.notice_ms);
@@ -1223,7 +1231,7 @@
         if update.complete {
             let listed: Vec<u32> = update.entries.iter().map(|e| e.host).collect();
             for host in (0..self.hosts.len() as u32).filter(|h| listed.binary_search(h).is_err()) {
-                self.judge.gateway_told(self.now, gateway, host, true, 0);
+                self.judge.record_notification(self.now, gateway, host, true, 0);
             }
         }
         let kind = if update.complete { UpdateKind::Complete } else { UpdateKind::Delta };
@@ -1233,7 +1241,7 @@
     fn send_endpoint_update(&mut self, gateway: u32, kind: UpdateKind, entries: &[Entry]) {
         let mut records = Vec::with_capacity(entries.len());
         for e in entries {
-            self.judge.gateway_told(self.now, gateway, e.host, e.state != State::Serving, e.started);
+            self.judge.record_notification(self.now, gateway, e.host, e.state != State::Serving, e.started);
             self.trace_if(TraceTarget::Host(e.host), || {
                 format!("gateway {gateway} learns of state {:?}", e.state)
             });
--- a/fleet-simulator/src/statistics.rs
+++ b/fleet-simulator/src/statistics.rs
@@ -52,7 +52,7 @@
     pub difference: f64,
     /// Half the width of the 95% confidence interval of the difference.
     pub half_width: f64,
-    /// Verdict, where a larger value is better.
+    /// Verdict on the second variant, for a value of which more is better.
     pub verdict: Verdict,
 }
 
--- a/fleet-simulator/src/world/discovery.rs
+++ b/fleet-simulator/src/world/discovery.rs
@@ -7,7 +7,7 @@
 use rand_chacha::ChaCha8Rng;
 use std::collections::{BTreeMap, VecDeque};
 
-/// Readiness of a host as discovery knows it.
+/// Readiness of a host as observed by discovery.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum State {
     /// The host accepts new work.
@@ -144,7 +144,7 @@
         }
     }
 
-    /// Goes down, which ends all subscriptions, or comes back without the history of changes.
+    /// Takes discovery down, which ends all subscriptions, or restores it without the history of changes.
     pub fn set_down(&mut self, now: Us, down: bool, out: &mut Vec<Delivery>) {
         self.down = down;
         if !down {
@@ -227,9 +227,10 @@
         subscriber.delivered.values().copied().collect()
     }
 
-    /// Returns since when a gateway without a subscription is expected to know of a host's drain or removal.
-    /// The gateway has `ask_within` after its last call to call again, four times that after a failed call.
-    pub fn presumed_told_at(&self, gateway: usize, host: u32, ask_within: Us) -> Option<Us> {
+    /// Returns the time by which a gateway without a subscription is expected to have been notified of a
+    /// host's drain or removal, because the gateway must repeat its call within `ask_within`, or within four
+    /// times `ask_within` after a failed call. Returns `None` for a subscribed gateway or an available host.
+    pub fn presumed_notified_at(&self, gateway: usize, host: u32, ask_within: Us) -> Option<Us> {
         let subscriber = &self.subscribers[gateway];
         let unavailable_since = *self.unavailable_since.get(&host)?;
         let (last_call, failed) = subscriber.last_call.unwrap_or((0, false));
--- a/fleet-simulator/src/world/network.rs
+++ b/fleet-simulator/src/world/network.rs
@@ -12,7 +12,7 @@
 }
 
 impl Network {
-    /// Creates a network under the seed of a run.
+    /// Creates a network whose random latencies are determined by the run's seed.
     pub fn new(spec: spec::Network, seed: u64) -> Self {
         Network { spec, rng: stream(seed, Purpose::Network, 0) }
     }
--- a/fleet-simulator/src/world/spec.rs
+++ b/fleet-simulator/src/world/spec.rs
@@ -236,7 +236,7 @@
     }
 }
 
-/// What warms up a cold host.
+/// Condition by which a cold host gains capacity.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Deserialize, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum WarmBy {
@@ -255,7 +255,7 @@
     pub share: Span,
     /// Time after which the host is warm at the latest.
     pub warm_ms: Span,
-    /// What warms up the host.
+    /// Condition by which the host gains capacity.
     pub by: WarmBy,
     /// The host goes down when sent more than this multiple of its current capacity within `fall_ms`; 0 for
     /// never.
@@ -473,9 +473,9 @@
     pub period_ms: f64,
     /// Largest delay of a notification after the publication; the delays are uniformly distributed.
     pub spread_ms: f64,
-    /// Number of calls handled concurrently.
+    /// Number of calls that discovery handles concurrently.
     pub capacity: u32,
-    /// Time to handle a call.
+    /// Time that discovery takes to handle a call.
     pub call_ms: f64,
     /// Longest time that a call may queue before it fails.
     pub timeout_ms: f64,
@@ -511,8 +511,8 @@
     pub may_cancel: bool,
     /// Shortest time between two timers of the balancer.
     pub tick_ms: f64,
-    /// Grace period after a gateway is told of a host's drain or removal; sending to the host afterwards is
-    /// a violation.
+    /// Grace period after a gateway is notified of a host's drain or removal; sending to the host afterwards
+    /// is a violation.
     pub drain_grace_ms: f64,
     /// Longest time between two calls to discovery by a gateway without a subscription.
     pub ask_within_ms: f64,
--- a/fleet-simulator/tests/experiments.rs
+++ b/fleet-simulator/tests/experiments.rs
@@ -60,7 +60,7 @@
 }
 
 #[test]
-fn variants_see_the_same_arrivals_and_earn_at_most_what_was_asked() {
+fn variants_see_the_same_arrivals_and_earn_at_most_the_offered_worth() {
     let (results, _) = small_experiment().run(2, &|| ()).expect("the simulation completes");
     for seed in 0..3 {
         let findings_of = |v: usize| &results.variants[v].runs[seed].findings;
@@ -209,7 +209,7 @@
 }
 
 #[test]
-fn paired_comparison_tells_differences_from_noise() {
+fn paired_comparison_distinguishes_differences_from_noise() {
     let base: Vec<f64> = (0..20).map(|n| 0.8 + 0.01 * f64::from(n % 5)).collect();
     let shifted_by = |by: f64| -> Vec<f64> {
         base.iter().enumerate().map(|(n, b)| b + by + if n % 2 == 0 { 0.004 } else { -0.004 }).collect()
--- a/fleet-simulator/tests/world.rs
+++ b/fleet-simulator/tests/world.rs
@@ -227,8 +227,8 @@
     let list = discovery.receive(&calls[0]);
     assert_eq!((list.complete, list.entries), (false, vec![entry(1, State::Draining)]));
     // Only a gateway without a subscription is presumed to know of the drain after a while.
-    assert_eq!(discovery.presumed_told_at(0, 1, 500), None);
-    assert_eq!(discovery.presumed_told_at(2, 1, 500), Some(100 + 4 * 500));
+    assert_eq!(discovery.presumed_notified_at(0, 1, 500), None);
+    assert_eq!(discovery.presumed_notified_at(2, 1, 500), Some(100 + 4 * 500));
     // The history holds two changes; a gateway that has missed more receives the complete list.
     discovery.observe(200, entry(2, State::Serving));
     discovery.observe(210, entry(1, State::Gone));
