--- a/fleet-simulator/src/simulation.rs
+++ b/fleet-simulator/src/simulation.rs
@@ -870,17 +870,9 @@
         };
         let give_up_at = attempt.give_up_at;
         let (message_number, class) = (message.number, message.class);
-        let presumed_notified_at =
+        let notified_by =
             self.discovery.presumed_notified_at(gateway as usize, host, us(self.world.gateway.ask_within_ms));
-        self.judge.check_attempt(
-            self.now,
-            gateway,
-            host,
-            message_number,
-            class,
-            &t.sent,
-            presumed_notified_at,
-        );
+        self.judge.check_attempt(self.now, gateway, host, message_number, class, &t.sent, notified_by);
         self.trace_attempt(message_number, host, || {
             format!(
                 "gateway {gateway} sends attempt {number} to host {host}, gives up at {:.1} ms",
