--- a/balancer/src/endpoint_set.rs
+++ b/balancer/src/endpoint_set.rs
@@ -63,7 +63,7 @@
         &self.eligible
     }
 
-    /// Returns the number of eligible endpoints on both sides.
+    /// Returns the number of eligible endpoints in the gateway's own zone and in all other zones together.
     pub fn eligible_count(&self) -> usize {
         self.eligible.len()
     }
--- a/fleet-simulator/src/world/hosts.rs
+++ b/fleet-simulator/src/world/hosts.rs
@@ -224,7 +224,9 @@
         f64::from(self.cores) * self.speed
     }
 
-    /// Returns the share of the capacity that the host has reached in its slow start, by age and by work.
+    /// Returns the share of its full capacity that the host has reached while it warms up after a start. The
+    /// share grows with the time since the start or, for [`WarmBy::Work`], with the work done if that is
+    /// further advanced.
     pub fn warm_share(&mut self, now: Us) -> f64 {
         let Some(started) = self.started else { return 1.0 };
         let by_time = now.saturating_sub(started) as f64 / self.warm_up.max(1) as f64;
--- a/gateway/src/events.rs
+++ b/gateway/src/events.rs
@@ -69,9 +69,9 @@
 /// The bytes of a request to forward. The time left, in milliseconds, is inserted when an attempt is sent.
 #[derive(Clone, Debug, Default)]
 pub struct RawRequest {
-    /// The part of the head before the value of the time left.
+    /// The part of the head before the value of the header field that carries the time left.
     pub before_time_left: Bytes,
-    /// The part of the head after the value of the time left.
+    /// The part of the head after the value of the header field that carries the time left.
     pub after_time_left: Bytes,
     /// The body as sent by the client, without the framing of the client connection.
     pub body: Bytes,
--- a/replication/src/endpoint_list.rs
+++ b/replication/src/endpoint_list.rs
@@ -24,9 +24,11 @@
     /// More than half of the hosts are missing without an explicit removal, so a second gateway has to read the
     /// same list, or an operator has to confirm the list. Until then only the explicit changes may be proposed.
     NeedsConfirmation {
-        /// The rules with the explicit changes only.
+        /// The rules in force with only the explicit changes of the list: hosts that the list adds, replaces
+        /// or explicitly removes.
         explicit_changes: Rules,
-        /// The rules with all changes.
+        /// The rules in force with all changes of the list, so that hosts missing from the list are removed
+        /// too.
         all_changes: Rules,
     },
 }
--- a/replication/src/replica.rs
+++ b/replication/src/replica.rs
@@ -82,7 +82,8 @@
             store.add_pending(change_set);
         }
         let events = self.follower.apply_response(now, poll, response);
-        // The store's history of the scopes that were fetched from the start begins at this revision.
+        // The chunks may have replaced the contents of some scopes. This second call records `in_force` as
+        // the revision at which the history of these scopes begins, because earlier removals are unknown.
         self.follower.storage_mut().advance_to(in_force);
         // The progress is updated before another follower gets a lease and may lower the minimum.
         self.update_reportable(now);
--- a/scale-tests/src/phase_result.rs
+++ b/scale-tests/src/phase_result.rs
@@ -66,9 +66,9 @@
     /// the increase is counted from the start of the gateways.
     #[serde(rename = "most_bytes_per_s")]
     pub max_bytes_per_s: f64,
-    /// Usage of a follower of everything, including its process; `None` if the fleet has none.
+    /// Usage of a gateway that follows all scopes, including its process; `None` if the fleet has none.
     pub everything: Option<MemberUsage>,
-    /// Bytes of replicated state in a follower of everything, by the follower's own count.
+    /// Bytes of replicated state in a gateway that follows all scopes, by the gateway's own count.
     #[serde(rename = "everything_state")]
     pub everything_state_bytes: f64,
     /// Usage of a distributor.
--- a/simulator-adapter/src/protocol.rs
+++ b/simulator-adapter/src/protocol.rs
@@ -23,7 +23,7 @@
 pub enum EventKind {
     /// An update of the endpoint list; a line for each record of the update follows.
     EndpointUpdate,
-    /// A record of the preceding endpoint update.
+    /// The record of one endpoint, as part of the endpoint update that an earlier line started.
     EndpointRecord,
     RequestArrival,
     /// The response to a request of a streamed class has started.
